--- a/src/lovagestage/gateway/__init__.py
+++ b/src/lovagestage/gateway/__init__.py
@@ -1,5 +1,6 @@
-"""The entry's front end on the users' platform.
+"""The gateway, which is the entry's HTTP front end on the users' platform.
 
-Callers speak plain HTTP to it, upstreams are reached directly, and what must
-outlast a process lies in the platform's metadata store.
+Callers send plain HTTP requests to a gateway, and the gateway forwards them
+directly to upstreams. State that must survive a gateway process is stored in
+the platform's metadata store.
 """
--- a/src/lovagestage/gateway/__main__.py
+++ b/src/lovagestage/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a gateway; also reached as `lovagestage gateway`."""
+"""Runs a gateway as `python -m`; `lovagestage gateway` does the same."""
 
 from __future__ import annotations
 
--- a/src/lovagestage/gateway/clocks.py
+++ b/src/lovagestage/gateway/clocks.py
@@ -1,4 +1,4 @@
-"""Clocks of a gateway."""
+"""Clock that a gateway uses for timeouts and ages."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 def get_elapsed_s() -> float:
-    """Seconds that also count while the VM is suspended.
+    """Returns the seconds since boot, time in VM suspension included.
 
-    What a gateway believes of the outside ages during a suspension; the
-    monotonic clock stands still then, and the time of day may be set back.
+    The gateway's information about other processes ages while the VM is
+    suspended. The monotonic clock stops during a suspension, and the time of
+    day may be set back, so neither can measure that age.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/lovagestage/gateway/cold_start.py
+++ b/src/lovagestage/gateway/cold_start.py
@@ -1,8 +1,9 @@
-"""Callers of a gateway that has no configuration yet.
+"""Holds callers' requests until the gateway has its first configuration.
 
-The load that this answers: all gateways start at once, and the narrow links of
-some carry a large configuration for a second. A caller that is refused comes
-back to another gateway that has just started, and few of them ask a third time.
+This handles a simultaneous start of all gateways, some of which receive a large
+configuration over a narrow link for a second. A caller whose request is refused
+retries at another gateway that has just started as well, and few callers retry
+a second time.
 """
 
 from __future__ import annotations
@@ -11,40 +12,44 @@
 import contextlib
 from collections.abc import Callable
 
-POLL_S = 0.05
-"""Time between looks whether the store still answers."""
-HELD_RATIO = 1 / 3
-"""Part of its time for which a caller is held at most: it gives an attempt up
-after that, and has enough left to be served elsewhere."""
+POLL_INTERVAL_S = 0.05
+"""Interval in seconds between checks whether the store is still sending the
+first configuration."""
+MAX_WAIT_RATIO = 1 / 3
+"""Share of a request's time budget for which the gateway holds it at most. The
+caller gives its attempt up after that and has enough time left to be served by
+another gateway."""
 
 
 class ColdStart:
-    """Lets callers wait while the first configuration arrives.
+    """Makes requests wait while the first configuration is being received.
 
     Args:
-        is_arriving: Whether the store is sending it.
+        is_arriving: Returns whether the store is sending the first
+            configuration.
     """
 
     def __init__(self, is_arriving: Callable[[], bool]) -> None:
         self._is_arriving = is_arriving
         self._has_configuration = asyncio.Event()
 
-    def end(self) -> None:
-        """Notes that there is a configuration."""
+    def set_configured(self) -> None:
+        """Releases all waiting requests, as a configuration is now known."""
         self._has_configuration.set()
 
-    async def wait(self, budget_s: float) -> None:
-        """Returns once there is a configuration, or none is on its way.
+    async def wait_for_configuration(self, budget_s: float) -> None:
+        """Waits until a configuration is known or none is being received.
 
         Args:
-            budget_s: Time that the caller waits for its answer.
+            budget_s: Time in seconds for which the caller waits for its answer;
+                the wait is limited to a share of it.
         """
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + HELD_RATIO * budget_s
+        end_s = loop.time() + MAX_WAIT_RATIO * budget_s
         while not self._has_configuration.is_set():
             left_s = end_s - loop.time()
             if left_s <= 0.0 or not self._is_arriving():
                 return
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(POLL_S, left_s)):
+                async with asyncio.timeout(min(POLL_INTERVAL_S, left_s)):
                     await self._has_configuration.wait()
--- a/src/lovagestage/gateway/command.py
+++ b/src/lovagestage/gateway/command.py
@@ -1,4 +1,4 @@
-"""The command that runs a gateway."""
+"""Runs a gateway."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Adds the command's arguments to a parser."""
+    """Adds the command's arguments to an argument parser."""
     parser.add_argument(
         "--settings",
         type=pathlib.Path,
@@ -34,7 +34,14 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs the command by itself; returns its exit code."""
+    """Runs the command without the parent command line.
+
+    Args:
+        arguments: Command-line arguments; None for those of the process.
+
+    Returns:
+        The exit code of the process.
+    """
     parser = argparse.ArgumentParser(
         prog="lovagestage gateway", description=__doc__
     )
@@ -49,9 +56,15 @@
 def run(options: argparse.Namespace) -> int:
     """Checks the settings and runs the gateway.
 
+    Args:
+        options: Parsed command-line arguments.
+
+    Returns:
+        The exit code of the process.
+
     Raises:
-        SettingsError: The settings are missing or wrong.
-        ListenError: The callers' address can't be listened at.
+        SettingsError: The settings are missing or invalid.
+        ListenError: The gateway can't listen on the callers' address.
     """
     path = resolve_path(options.settings)
     settings = read_settings(path)
@@ -59,14 +72,23 @@
         print(f"{path}: ok")
         return 0
     listener = open_listener(settings.client_address)
-    # What follows takes longer to import than all before.
+    # This import takes longer than all imports above, so the port is opened
+    # before it.
     from lovagestage.gateway.process import run_gateway
 
     return run_gateway(settings, path, options.metrics_port, listener)
 
 
 def resolve_path(given: pathlib.Path | None) -> pathlib.Path:
-    """Path of the settings file."""
+    """Returns the path of the settings file.
+
+    Args:
+        given: Path from the command line; None to use the environment variable.
+
+    Raises:
+        SettingsError: Neither the command line nor the environment names a
+            file.
+    """
     path = given or os.environ.get(SETTINGS_VARIABLE)
     if not path:
         raise SettingsError("", 0, SETTINGS_VARIABLE, "is not set.")
--- a/src/lovagestage/gateway/connections.py
+++ b/src/lovagestage/gateway/connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to upstreams."""
+"""Pool of idle HTTP connections to upstreams."""
 
 from __future__ import annotations
 
@@ -9,23 +9,27 @@
 from lovagestage.gateway.upstream import Upstream
 
 CONNECT_TIMEOUT_S = 0.4
-"""Two lost opening packets of a near zone, or a dark VM: another upstream
-answers sooner than a third packet would arrive."""
+"""Timeout in seconds for opening a connection. It covers two lost SYN packets
+to a near zone, or a VM that does not respond: another upstream answers sooner
+than a third SYN would arrive."""
 IDLE_LIMIT_S = 3.0
-"""An idle connection is not used after this, where the upstream names no
-shorter time: common servers close after 5 s and sooner."""
+"""Time in seconds after which an idle connection is no longer reused, unless
+the upstream announces a shorter one. Common servers close idle connections
+after 5 s or sooner, and a request that meets the close has to be sent again."""
 IDLE_MARGIN_S = 0.7
-"""Part of a named idle time that is not used; the request must arrive before
-it is over."""
-MAX_IDLE = 6
-"""Idle connections kept for one upstream; its limit is for all gateways."""
+"""Part in seconds of an announced idle timeout that is not used, because the
+request must arrive before the upstream closes the connection."""
+MAX_IDLE_CONNECTIONS = 6
+"""Idle connections pooled for one upstream. An upstream's connection limit
+applies to all gateways together."""
 
 
 class ConnectionPool:
-    """Idle connections by upstream.
+    """Pools idle connections per upstream process.
 
-    One that started again under its id is another upstream: a connection to
-    the process before would wait for an answer of nobody.
+    An upstream that restarted under its id is a different pool key. On a
+    connection to the previous process, a request would wait for an answer that
+    never comes.
     """
 
     def __init__(self) -> None:
@@ -37,27 +41,33 @@
     async def acquire(
         self, upstream: Upstream, may_reuse: bool
     ) -> ClientConnection:
-        """Takes the connection that was used last, or opens one.
+        """Returns the most recently used idle connection, or opens a new one.
 
         Args:
-            upstream: Where to.
-            may_reuse: Whether a kept connection will do. Not for a request
-                that must not run twice: one that crosses the upstream's
-                close may have run, and could be neither repeated nor called
-                not run. An upstream may close at any time, so age is no help.
+            upstream: The upstream to connect to.
+            may_reuse: Whether an idle pooled connection may be used. It must be
+                False for a request that must not run twice: if the request
+                crosses the upstream's close of the connection, it may have run,
+                so the gateway could neither retry it nor report it as not run.
+                The connection's age does not help, since an upstream may close
+                at any time.
+
+        Returns:
+            A connection on which a request can be sent.
 
         Raises:
-            ConnectionLostError: None could be opened; nothing was sent.
+            ConnectionLostError: No connection could be opened; nothing was
+                sent.
         """
         now_s = asyncio.get_running_loop().time()
-        limit_s = min(
+        idle_limit_s = min(
             IDLE_LIMIT_S, self._idle_limits_s.get(upstream, IDLE_LIMIT_S)
         )
         idle = self._idle.get(upstream, [])
         while may_reuse and idle:
             connection = idle.pop()
-            is_young = now_s - connection.idle_since_s < limit_s
-            if is_young and connection.make_reusable():
+            is_reusable = now_s - connection.idle_since_s < idle_limit_s
+            if is_reusable and connection.make_reusable():
                 return connection
             connection.abort()
         channel = await open_channel(upstream.entry.address, CONNECT_TIMEOUT_S)
@@ -69,22 +79,30 @@
         connection: ClientConnection,
         idle_timeout_s: float | None,
     ) -> None:
-        """Keeps a connection whose answer has been read whole."""
+        """Returns a connection to the pool.
+
+        Args:
+            upstream: The upstream at the other end.
+            connection: The connection, whose answer has been read completely;
+                it is closed if the pool for the upstream is full.
+            idle_timeout_s: Idle timeout in seconds that the upstream announced;
+                None if it announced none.
+        """
         if idle_timeout_s is not None:
             self._idle_limits_s[upstream] = idle_timeout_s - IDLE_MARGIN_S
         idle = self._idle.setdefault(upstream, [])
-        if len(idle) >= MAX_IDLE or not connection.channel.is_open:
+        if len(idle) >= MAX_IDLE_CONNECTIONS or not connection.channel.is_open:
             connection.abort()
             return
         connection.idle_since_s = asyncio.get_running_loop().time()
         idle.append(connection)
 
-    def expire(self) -> None:
-        """Closes connections that are too old to be used."""
+    def close_expired(self) -> None:
+        """Closes connections that have been idle for too long to be reused."""
         now_s = asyncio.get_running_loop().time()
         for upstream, idle in list(self._idle.items()):
-            old = [c for c in idle if now_s - c.idle_since_s > IDLE_LIMIT_S]
-            for connection in old:
+            expired = [c for c in idle if now_s - c.idle_since_s > IDLE_LIMIT_S]
+            for connection in expired:
                 idle.remove(connection)
                 connection.abort()
             if not idle:
--- a/src/lovagestage/gateway/exchange.py
+++ b/src/lovagestage/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt at one upstream, and what its end proves of the run."""
+"""Sends one attempt to an upstream and reports whether the request ran."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.types import RunState
 
-MAX_SKIPPED = 2
-"""Late answers to earlier requests that are read past; an upstream sends one
+MAX_HEADS_READ = 2
+"""Heads that are read while looking for the answer to a request. A late second
+answer to an earlier request may come first; an upstream sends at most one
 second answer to a request."""
 _BAD_GATEWAY_CODES = (502, 503, 504)
 
@@ -29,24 +30,26 @@
 class Exchange:
     """Sends a request to an upstream and reads the answer.
 
-    Leaving the context before the whole answer has been read closes the
-    connection, which stops the upstream's work.
+    Leaving the context before the answer was read completely closes the
+    connection, which makes the upstream stop working on the request.
 
     Args:
-        pool: Connections.
-        upstream: Where to.
-        call: What to send.
-        is_repeatable: Whether the request may run again.
-        expected_s: Time that its answer is expected to take to begin; None
-            while too little is known.
-        work_s: Time that it takes of the upstream by itself.
+        pool: Connections to upstreams.
+        upstream: The upstream that gets the request.
+        call: The request to send.
+        is_repeatable: Whether the request may run more than once.
+        expected_s: Expected time in seconds until the answer starts; None while
+            too few answers have been observed.
+        work_s: Time in seconds that the request takes at an idle upstream.
 
     Attributes:
-        upstream: Where to.
-        head: Head of the answer, once read.
-        is_whole: Whether the whole answer has been read.
-        connect_s: Time that the connection took to open; 0 for a kept one.
-        head_s: Time from sending the request to the head of its answer.
+        upstream: The upstream that gets the request.
+        head: Head of the answer; None until it was read.
+        is_complete: Whether the answer has been read completely.
+        connect_s: Time in seconds that opening the connection took; about 0 for
+            a pooled connection.
+        head_s: Time in seconds from sending the request to receiving the head
+            of its answer.
     """
 
     def __init__(
@@ -60,29 +63,31 @@
     ) -> None:
         self.upstream = upstream
         self.head: AnswerHead | None = None
-        self.is_whole = False
+        self.is_complete = False
         self.connect_s = 0.0
         self.head_s = 0.0
         self._pool = pool
         self._call = call
         self._is_repeatable = is_repeatable
         self._expected_s = expected_s
-        self._waiting_s = work_s
+        self._pending_work_s = work_s
         self._connection: ClientConnection | None = None
-        # A kept connection that breaks is followed by a new one. The request
-        # may have run on the first, also where the second does not open.
+        # If a pooled connection breaks, the request is sent again on a new one.
+        # It may have run on the first connection, even if the second one cannot
+        # be opened.
         self._has_sent = False
-        # Under this number the upstream's silence counts while it waits.
-        self._waiting_number: int | None = None
-        self._is_placed = False
+        # Key under which the upstream's inactivity tracker holds this request;
+        # None once the request no longer counts as waiting.
+        self._inactivity_key: int | None = None
+        self._has_warmup_slot = False
 
     async def __aenter__(self) -> Self:
         performance, now_s = self.upstream.performance, get_elapsed_s()
         performance.note_sent(now_s)
         performance.running += 1
-        self._place()
-        performance.waiting_s += self._waiting_s
-        self._waiting_number = performance.silence.add(
+        self._reserve_warmup_slot()
+        performance.waiting_s += self._pending_work_s
+        self._inactivity_key = performance.silence.add(
             now_s, get_patience_s(self._expected_s)
         )
         return self
@@ -96,46 +101,55 @@
         performance, now_s = self.upstream.performance, get_elapsed_s()
         performance.running -= 1
         if performance.silence.is_stalled(now_s):
-            # The request is given up, at its deadline or by its caller, and
-            # with it goes the sign that its upstream hangs.
+            # The request is abandoned, for example at its deadline or because
+            # its caller left. Removing it also removes the sign that its
+            # upstream hangs, so the upstream is recorded as unavailable here.
             performance.note_absent(now_s)
-        self._end_silence()
-        self._end_wait()
-        if self._is_placed:
+        self._end_inactivity_check()
+        self._remove_pending_work()
+        if self._has_warmup_slot:
             self.upstream.warmup.note_withdrawn()
         connection, head = self._connection, self.head
         if connection is None:
             return
-        if self.is_whole and head is not None and not head.closes:
+        if self.is_complete and head is not None and not head.closes:
             self._pool.release(self.upstream, connection, head.idle_timeout_s)
         else:
             connection.abort()
 
-    def note_begun(self, time_s: float) -> None:
-        """Notes that the answer has begun, so many seconds after its call."""
-        self._end_wait()
+    def record_answer_start(self, time_s: float) -> None:
+        """Records that the answer has started.
+
+        Args:
+            time_s: Time in seconds from the start of the call.
+        """
+        self._remove_pending_work()
         if self._expected_s is not None:
             self.upstream.performance.note_time(time_s, self._expected_s)
 
     async def fetch_head(self) -> AnswerHead:
         """Sends the request and reads the head of its answer.
 
+        Returns:
+            The head of the answer.
+
         Raises:
-            AttemptFailedError: There is no answer to pass on.
+            AttemptFailedError: There is no answer that may be forwarded.
         """
         while True:
             started_s = get_elapsed_s()
             connection = await self._connect()
             sent_s = get_elapsed_s()
             self.connect_s = sent_s - started_s
-            was_used = connection.uses > 0
+            was_reused = connection.uses > 0
             try:
-                head = await self._ask(connection)
+                head = await self._send_call(connection)
             except ConnectionLostError as error:
-                if was_used and self._is_repeatable:
-                    # The upstream closed it while it was idle.
+                if was_reused and self._is_repeatable:
+                    # The upstream probably closed the pooled connection while
+                    # it was idle.
                     connection.abort()
-                    self._place()
+                    self._reserve_warmup_slot()
                     continue
                 raise AttemptFailedError(
                     "connection_lost", RunState.UNKNOWN
@@ -146,50 +160,64 @@
                 ) from error
             self.upstream.performance.note_heard()
             self.upstream.performance.silence.note_heard(get_elapsed_s())
-            self._end_silence()
+            self._end_inactivity_check()
             self._check_head(head)
             self.head = head
             self.head_s = get_elapsed_s() - sent_s
             return head
 
-    async def fetch_part(self) -> bytes | None:
-        """Reads a part of the body; None after the whole of it.
+    async def fetch_chunk(self) -> bytes | None:
+        """Reads a chunk of the answer's body.
+
+        Returns:
+            The chunk; None after the end of the body.
 
         Raises:
-            AttemptFailedError: The answer broke off.
+            AttemptFailedError: The answer ended before it was complete.
         """
         assert self._connection is not None
         try:
-            part = await self._connection.receive_part()
+            chunk = await self._connection.receive_part()
         except (ConnectionLostError, WrongMessageError) as error:
             raise AttemptFailedError("answer_broken", RunState.RAN) from error
         self.upstream.performance.silence.note_heard(get_elapsed_s())
-        self.is_whole = part is None
-        return part
+        self.is_complete = chunk is None
+        return chunk
 
     async def fetch_body(self, limit_bytes: int) -> bytes:
-        """Reads the whole body; fails as `fetch_part` does."""
-        parts = []
+        """Reads the complete body of the answer.
+
+        Args:
+            limit_bytes: Longest body that is accepted.
+
+        Returns:
+            The body.
+
+        Raises:
+            AttemptFailedError: The body is too long or ended before it was
+                complete.
+        """
+        chunks = []
         size = 0
-        while (part := await self.fetch_part()) is not None:
-            parts.append(part)
-            size += len(part)
+        while (chunk := await self.fetch_chunk()) is not None:
+            chunks.append(chunk)
+            size += len(chunk)
             if size > limit_bytes:
                 raise AttemptFailedError("answer_too_long", RunState.RAN)
-        return b"".join(parts)
+        return b"".join(chunks)
 
-    def _place(self) -> None:
-        self._is_placed = True
+    def _reserve_warmup_slot(self) -> None:
+        self._has_warmup_slot = True
         self.upstream.warmup.note_placed()
 
-    def _end_silence(self) -> None:
-        if self._waiting_number is not None:
-            self.upstream.performance.silence.remove(self._waiting_number)
-            self._waiting_number = None
+    def _end_inactivity_check(self) -> None:
+        if self._inactivity_key is not None:
+            self.upstream.performance.silence.remove(self._inactivity_key)
+            self._inactivity_key = None
 
-    def _end_wait(self) -> None:
-        self.upstream.performance.waiting_s -= self._waiting_s
-        self._waiting_s = 0.0
+    def _remove_pending_work(self) -> None:
+        self.upstream.performance.waiting_s -= self._pending_work_s
+        self._pending_work_s = 0.0
 
     async def _connect(self) -> ClientConnection:
         performance, begun_s = self.upstream.performance, get_elapsed_s()
@@ -209,11 +237,11 @@
             performance.note_connect_ended(begun_s)
         return self._connection
 
-    async def _ask(self, connection: ClientConnection) -> AnswerHead:
+    async def _send_call(self, connection: ClientConnection) -> AnswerHead:
         call = self._call
         request = call.request
         self._has_sent = True
-        self._is_placed = False
+        self._has_warmup_slot = False
         self.upstream.warmup.note_sent(get_elapsed_s())
         connection.send(
             request.method,
@@ -221,15 +249,15 @@
             wire.encode_request(call),
             request.body,
         )
-        for _ in range(MAX_SKIPPED):
+        for _ in range(MAX_HEADS_READ):
             head = wire.decode_answer(await connection.receive_head())
             if head.request_id in (None, request.id):
                 return head
-            # A second answer to an earlier request came first.
+            # This is a second answer to an earlier request on the connection.
             while await connection.receive_part() is not None:
                 await asyncio.sleep(0)
             connection.skip_answer()
-        raise WrongMessageError("Answers to other requests.")
+        raise WrongMessageError("Got only answers to other requests.")
 
     def _check_head(self, head: AnswerHead) -> None:
         if head.is_other_instance:
--- a/src/lovagestage/gateway/exposition.py
+++ b/src/lovagestage/gateway/exposition.py
@@ -1,7 +1,7 @@
-"""Counters and latency histograms in the Prometheus text format.
+"""Counters, gauges and histograms in the Prometheus text format.
 
-Kept small on purpose: the usual client library takes 5.5 MB of resident
-memory (VmHWM of an interpreter that imports it), a sixth of this process.
+The usual client library is avoided because it takes 5.5 MB of resident memory
+(VmHWM of an interpreter that imports it), a sixth of this process.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
 PREFIX = "lovagestage_"
-"""Stands before each name."""
+"""Prefix of each metric name."""
 
 
 class SeriesKind(enum.Enum):
-    """Kinds of the text format; the value is the format's name."""
+    """Metric types; each value is the type's name in the text format."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -26,13 +26,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class SeriesSpec:
-    """What a series is.
+    """Description of a metric.
 
     Attributes:
         name: Name without the prefix; ends with the unit.
-        kind: Kind of the text format.
-        text: What it says.
-        labels: Its labels, each with a bounded number of values.
+        kind: Metric type.
+        text: Help text.
+        labels: Names of the labels, each with a bounded number of values.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 
 class Series(enum.Enum):
-    """What is measured."""
+    """Metrics that a gateway exposes."""
 
     REQUESTS = SeriesSpec(
         "requests_total",
@@ -53,36 +53,38 @@
     ATTEMPTS = SeriesSpec(
         "attempts_total", SeriesKind.COUNTER, "Attempts at upstreams."
     )
-    LINES_LEFT_OUT = SeriesSpec(
-        "log_lines_left_out_total", SeriesKind.COUNTER, "Log lines over budget."
+    LINES_DROPPED = SeriesSpec(
+        "log_lines_left_out_total",
+        SeriesKind.COUNTER,
+        "Log lines dropped: over the rate limit, buffer full or output closed.",
     )
     ANSWER_S = SeriesSpec(
         "answer_seconds",
         SeriesKind.HISTOGRAM,
-        "From a request's head to its end.",
+        "Time from receiving a request's head to the end of the request.",
         ("kind",),
     )
     FIRST_EVENT_S = SeriesSpec(
         "first_event_seconds",
         SeriesKind.HISTOGRAM,
-        "From a request's head to its stream's first event.",
+        "Time from receiving a request's head to its stream's first event.",
     )
     STORE_CALLS = SeriesSpec(
         "store_calls_total",
         SeriesKind.COUNTER,
-        "Calls to the metadata store; lost is one without a whole answer.",
+        "Calls to the metadata store; lost means that no whole answer came.",
         ("call", "outcome"),
     )
     STORE_BYTES = SeriesSpec(
         "store_bytes_total",
         SeriesKind.COUNTER,
-        "Bodies of the store's answers, also of those that broke off.",
+        "Body bytes of the store's answers, including incomplete ones.",
         ("call", "outcome"),
     )
     STORE_CALL_S = SeriesSpec(
         "store_call_seconds",
         SeriesKind.HISTOGRAM,
-        "Answered calls to the metadata store, but reads that wait.",
+        "Answered calls to the metadata store, except reads that wait.",
         ("call",),
     )
     DATAGRAMS = SeriesSpec(
@@ -100,7 +102,7 @@
     RELAY_QUESTIONS = SeriesSpec(
         "relay_questions_total",
         SeriesKind.COUNTER,
-        "Questions to gateways that watch the store.",
+        "Questions sent to gateways that watch the store.",
         ("outcome",),
     )
     OPEN_REQUESTS = SeriesSpec(
@@ -109,66 +111,72 @@
     EVACUATED_ZONES = SeriesSpec(
         "evacuated_zones",
         SeriesKind.GAUGE,
-        "Availability zones whose upstreams get nothing.",
+        "Availability zones whose upstreams get no requests.",
     )
     UPSTREAMS = SeriesSpec(
-        "upstreams", SeriesKind.GAUGE, "Upstreams known, leaving ones included."
+        "upstreams",
+        SeriesKind.GAUGE,
+        "Upstreams known, including leaving ones and those recently gone.",
     )
     PEERS = SeriesSpec("peers", SeriesKind.GAUGE, "Other gateways known.")
     CONFIGURATION_LAG_S = SeriesSpec(
         "configuration_lag_seconds",
         SeriesKind.GAUGE,
-        "How long a newer configuration has been known and not read.",
+        "Time for which a newer configuration has been known but not read.",
     )
     PROOF_AGE_S = SeriesSpec(
         "proof_age_seconds",
         SeriesKind.GAUGE,
-        "Age of the latest proof that the configuration is in force.",
+        "Age of the latest confirmation that no newer configuration existed.",
     )
 
 
 class Exposition:
-    """Collects values and writes them as text."""
+    """Collects the values of metrics and formats them as text."""
 
     def __init__(self) -> None:
         self._counts: dict[tuple[Series, str], float] = {}
         self._histograms: dict[tuple[Series, str], _Histogram] = {}
         self._gauges: dict[Series, Callable[[], float | None]] = {}
 
-    def count(self, series: Series, labels: str = "", by: float = 1.0) -> None:
-        """Adds to a counter.
+    def count(
+        self, series: Series, labels: str = "", amount: float = 1.0
+    ) -> None:
+        """Increments a counter.
 
         Args:
             series: The counter.
-            labels: As written between braces.
-            by: What to add.
+            labels: Labels as they are written between braces in the text
+                format.
+            amount: Increment.
         """
         key = (series, labels)
-        self._counts[key] = self._counts.get(key, 0.0) + by
+        self._counts[key] = self._counts.get(key, 0.0) + amount
 
     def add_gauge(
         self, series: Series, read: Callable[[], float | None]
     ) -> None:
-        """Adds a gauge, read whenever the text is asked for.
+        """Registers a gauge, which is read each time the text is requested.
 
         Args:
             series: The gauge.
-            read: Tells its value; None where there is none yet.
+            read: Returns the gauge's value; None if it has none yet.
         """
         self._gauges[series] = read
 
     def observe(self, series: Series, labels: str, value_s: float) -> None:
-        """Adds a value to a histogram."""
+        """Adds a value in seconds to a histogram."""
         key = (series, labels)
         self._histograms.setdefault(key, _Histogram()).add(value_s)
 
     def format_text(self) -> str:
-        """All series as text, the long ones last.
+        """Formats all metrics as text, histograms last.
 
-        Collectors that keep the first part of a page miss nothing short.
+        A collector that truncates the page then still gets all counters and
+        gauges, which take a few lines each.
         """
         lines = []
-        for series in sorted(Series, key=_is_long):
+        for series in sorted(Series, key=_is_histogram):
             spec = series.value
             name = PREFIX + spec.name
             lines.append(f"# HELP {name} {spec.text}")
@@ -188,21 +196,21 @@
         name = PREFIX + series.value.name
         return [
             f"{name}{{{labels}}} {_format_value(value)}"
-            for (kind, labels), value in self._counts.items()
-            if kind is series
+            for (owner, labels), value in self._counts.items()
+            if owner is series
         ]
 
     def _format_histograms(self, series: Series) -> list[str]:
         name = PREFIX + series.value.name
         return [
             line
-            for (kind, labels), histogram in self._histograms.items()
-            if kind is series
+            for (owner, labels), histogram in self._histograms.items()
+            if owner is series
             for line in histogram.format_lines(name, labels)
         ]
 
 
-def _is_long(series: Series) -> bool:
+def _is_histogram(series: Series) -> bool:
     return series.value.kind is SeriesKind.HISTOGRAM
 
 
--- a/src/lovagestage/gateway/forwarder.py
+++ b/src/lovagestage/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Runs admitted requests on upstreams and passes their answers on."""
+"""Runs admitted requests on upstreams and forwards the answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from lovagestage.gateway.plain import forward_plain
 from lovagestage.gateway.reading import ReadingTimes
 from lovagestage.gateway.repeats import RepeatBudget
-from lovagestage.gateway.runs import RunParts
+from lovagestage.gateway.runs import RunContext
 from lovagestage.gateway.settings import Bounds, GatewaySettings
 from lovagestage.gateway.sinks import AnswerSink, EvidenceSink
 from lovagestage.gateway.stream_runs import forward_stream
@@ -24,17 +24,17 @@
 
 
 class Forwarder:
-    """Forwards requests.
+    """Forwards admitted requests to upstreams.
 
     Args:
         settings: Settings of the process.
-        deployment: What is in force.
+        deployment: Configuration and upstreams that are in force.
         pool: Connections to upstreams.
-        evidence: Takes what is seen of versions.
-        suspects: Requests that may crash upstreams.
+        evidence: Receives evidence for or against versions.
+        suspects: Tracks requests that may crash upstreams.
         rng: Source of randomness.
-        get_gateways: Counts the gateways, this one included; None where they
-            cannot hear of each other.
+        count_gateways: Returns the number of gateways, this one included; None
+            if gateways cannot exchange messages.
     """
 
     def __init__(
@@ -45,16 +45,16 @@
         evidence: EvidenceSink,
         suspects: SuspectWatch,
         rng: random.Random,
-        get_gateways: Callable[[], int | None],
+        count_gateways: Callable[[], int | None],
     ) -> None:
-        self._get_gateways = get_gateways
+        self._count_gateways = count_gateways
         self._started_s = get_elapsed_s()
         self._zone = settings.zone
         self._bounds = settings.bounds
         self._deployment = deployment
         self._rng = rng
         self._budgets: dict[ServiceId, RepeatBudget] = {}
-        self._parts = RunParts(
+        self._context = RunContext(
             pool,
             evidence,
             LatencyTable(),
@@ -64,27 +64,32 @@
         )
 
     def make_attempts(self, admitted: Admitted) -> Attempts:
-        """Prepares the attempts of a request."""
+        """Counts a request in the retry budget and prepares its attempts."""
         budget = self._get_budget(admitted.service)
-        budget.note_request(get_elapsed_s(), self._get_gateways())
+        budget.note_request(get_elapsed_s(), self._count_gateways())
         return Attempts(
             admitted, self._deployment, budget, self._zone, self._rng
         )
 
     async def forward(self, attempts: Attempts, sink: AnswerSink) -> None:
-        """Runs a request.
+        """Runs a request and sends its answer to the sink.
+
+        Args:
+            attempts: Attempts of the request.
+            sink: Receives the answer.
 
         Raises:
-            GatewayRefusalError: It has no answer of an upstream.
-            AttemptFailedError: A stream broke off after it had begun.
+            GatewayRefusalError: No upstream gave an answer that can be
+                forwarded.
+            AttemptFailedError: A stream broke off after it had started.
         """
         if attempts.admitted.route.kind is RouteKind.STREAM:
-            await forward_stream(self._parts, attempts, sink)
+            await forward_stream(self._context, attempts, sink)
         else:
-            await forward_plain(self._parts, attempts, sink)
+            await forward_plain(self._context, attempts, sink)
 
     def apply_bounds(self, bounds: Bounds) -> None:
-        """Takes new bounds; budgets start anew."""
+        """Applies new limits; all retry budgets start again."""
         self._bounds = bounds
         self._budgets.clear()
 
@@ -97,7 +102,7 @@
                 self._bounds.retry_window_s,
                 self._bounds.retry_slack,
                 self._started_s,
-                self._get_gateways(),
+                self._count_gateways(),
             )
             self._budgets[service] = budget
         return budget
--- a/src/lovagestage/gateway/listeners.py
+++ b/src/lovagestage/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""The socket on which callers' connections arrive."""
+"""Opens the sockets on which a gateway accepts connections."""
 
 from __future__ import annotations
 
@@ -7,25 +7,32 @@
 from lovagestage.exceptions import ListenError
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted; a burst after a restart brings
-those of all callers at once."""
+"""Length of the queue of connections that wait to be accepted. After a restart
+all callers connect at the same time."""
 
 
 def open_listener(address: str) -> socket.socket:
-    """Listens at `IP:PORT`; connections wait until they are accepted.
+    """Opens a listening socket; the kernel queues connections until `accept`.
 
-    A process that starts needs most of its time for imports. The port of one
-    that does not listen yet resets every connection, and callers whose retry
-    falls into that time lose their request. With the port open first they
-    wait a few tenths of a second instead.
+    A starting process spends most of its time on imports. While its port is
+    closed, every connection to it is reset, and a caller whose retry falls into
+    that time loses its request. If the port is opened first, callers wait a few
+    tenths of a second instead.
+
+    Args:
+        address: `IP:PORT` to listen on.
+
+    Returns:
+        The non-blocking listening socket.
 
     Raises:
-        ListenError: The address is not this VM's or is in use.
+        ListenError: The address does not belong to this VM or is in use.
     """
     host, _, port = address.rpartition(":")
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        # The connections of the process before may still be closing.
+        # Connections of the previous process may still be in the TIME_WAIT
+        # state.
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind((host, int(port)))
         listener.listen(BACKLOG)
--- a/src/lovagestage/gateway/loglines.py
+++ b/src/lovagestage/gateway/loglines.py
@@ -1,4 +1,4 @@
-"""Log lines of a gateway: one per event, bounded, never blocking."""
+"""Log output of a gateway: one line per event, rate-limited, non-blocking."""
 
 from __future__ import annotations
 
@@ -12,114 +12,123 @@
 from lovagestage.telemetry.logs import KeyValueFormatter
 
 LINES_PER_S = 40.0
-"""Lines of one event and level in a second: twice the requests that one VM
-gets. More are counted, not written."""
+"""Rate limit in lines per second for each event and level: twice the requests
+that one VM gets. Further lines are counted and dropped."""
 BURST_LINES = 120.0
-MAX_WAITING_BYTES = 256 * 1024
-"""Kept while nobody reads standard output; further lines are left out."""
-_RENAMED = {"levelname": "level", "asctime": "time", "message": "event"}
-_FIELDS = "%(asctime)s %(levelname)s %(message)s"
+MAX_BUFFERED_BYTES = 256 * 1024
+"""Size limit in bytes of the buffer that is filled while standard output is not
+read; further lines are dropped."""
+_RENAMED_FIELDS = {"levelname": "level", "asctime": "time", "message": "event"}
+_LINE_FORMAT = "%(asctime)s %(levelname)s %(message)s"
 
 
-class _Allowance:
+class _RateLimit:
     def __init__(self, now_s: float) -> None:
-        self.lines = BURST_LINES
-        self.at_s = now_s
-        self.left_out = 0
+        self.tokens = BURST_LINES
+        self.updated_s = now_s
+        self.dropped = 0
 
 
 class LineHandler(logging.Handler):
-    """Writes lines to a descriptor without waiting for its reader.
+    """Writes log lines to a file descriptor without waiting for its reader.
 
     Args:
-        descriptor: Where to; set to non-blocking.
-        exposition: Counts lines that were left out.
+        descriptor: Descriptor to write to; it is set to non-blocking.
+        exposition: Counts lines that were dropped.
     """
 
     def __init__(self, descriptor: int, exposition: Exposition) -> None:
         super().__init__()
         self._descriptor = descriptor
         self._exposition = exposition
-        self._allowances: dict[tuple[str, int], _Allowance] = {}
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._waiting_bytes = 0
-        self._is_watching = False
+        self._limits: dict[tuple[str, int], _RateLimit] = {}
+        self._buffer: collections.deque[bytes] = collections.deque()
+        self._buffered_bytes = 0
+        self._is_waiting_to_write = False
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes a line, or counts that it was left out."""
-        if not self._allow(record):
+        """Writes a line, buffers it, or counts it as dropped."""
+        if not self._is_within_limit(record):
             return
         line = self.format(record).encode() + b"\n"
-        if self._waiting_bytes + len(line) > MAX_WAITING_BYTES:
-            self._exposition.count(Series.LINES_LEFT_OUT)
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
+            self._exposition.count(Series.LINES_DROPPED)
             return
-        self._waiting.append(line)
-        self._waiting_bytes += len(line)
-        if not self._is_watching:
-            self.write_waiting()
-
-    def write_waiting(self) -> None:
-        """Writes what the reader takes."""
-        while self._waiting:
-            line = self._waiting.popleft()
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
+        if not self._is_waiting_to_write:
+            self.write_buffered()
+
+    def write_buffered(self) -> None:
+        """Writes buffered lines until a write would block or none is left."""
+        while self._buffer:
+            line = self._buffer.popleft()
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
-                self._waiting.appendleft(line)
-                self._watch()
+                self._buffer.appendleft(line)
+                self._start_waiting_to_write()
                 return
             except OSError:
-                # Nobody can read any more; there is nowhere to tell it.
-                self._exposition.count(Series.LINES_LEFT_OUT)
+                # The reader has closed the pipe, so the loss cannot be logged;
+                # it is only counted.
+                self._exposition.count(Series.LINES_DROPPED)
                 written = len(line)
-            self._waiting_bytes -= written
+            self._buffered_bytes -= written
             if written < len(line):
-                self._waiting.appendleft(line[written:])
-        self._unwatch()
+                self._buffer.appendleft(line[written:])
+        self._stop_waiting_to_write()
 
-    def _watch(self) -> None:
-        if not self._is_watching:
+    def _start_waiting_to_write(self) -> None:
+        if not self._is_waiting_to_write:
             loop = asyncio.get_running_loop()
-            loop.add_writer(self._descriptor, self.write_waiting)
-            self._is_watching = True
+            loop.add_writer(self._descriptor, self.write_buffered)
+            self._is_waiting_to_write = True
 
-    def _unwatch(self) -> None:
-        if self._is_watching:
+    def _stop_waiting_to_write(self) -> None:
+        if self._is_waiting_to_write:
             asyncio.get_running_loop().remove_writer(self._descriptor)
-            self._is_watching = False
+            self._is_waiting_to_write = False
 
-    def _allow(self, record: logging.LogRecord) -> bool:
+    def _is_within_limit(self, record: logging.LogRecord) -> bool:
         key = (str(record.msg), record.levelno)
-        known = self._allowances.get(key)
-        if known is None:
-            known = self._allowances[key] = _Allowance(record.created)
-        earned = max(0.0, record.created - known.at_s) * LINES_PER_S
-        known.lines = min(BURST_LINES, known.lines + earned)
-        known.at_s = record.created
-        if known.lines < 1.0:
-            known.left_out += 1
-            self._exposition.count(Series.LINES_LEFT_OUT)
+        limit = self._limits.get(key)
+        if limit is None:
+            limit = self._limits[key] = _RateLimit(record.created)
+        refill = max(0.0, record.created - limit.updated_s) * LINES_PER_S
+        limit.tokens = min(BURST_LINES, limit.tokens + refill)
+        limit.updated_s = record.created
+        if limit.tokens < 1.0:
+            limit.dropped += 1
+            self._exposition.count(Series.LINES_DROPPED)
             return False
-        known.lines -= 1.0
-        if known.left_out:
-            record.left_out = known.left_out
-            known.left_out = 0
+        limit.tokens -= 1.0
+        if limit.dropped:
+            record.left_out = limit.dropped
+            limit.dropped = 0
         return True
 
 
 def _is_event(record: logging.LogRecord) -> bool:
-    """Leaves out the service library's own lines; they are sentences."""
+    """Filters out the service library's own lines, which are sentences."""
     return not str(record.msg).startswith("[^")
 
 
 def start_logging(vm: str, exposition: Exposition) -> None:
-    """Sends all logging of the process to standard output."""
+    """Sends all log output of the process to standard output.
+
+    Args:
+        vm: Name of the VM, added to each line.
+        exposition: Counts lines that were dropped.
+    """
     handler = LineHandler(sys.stdout.fileno(), exposition)
     handler.addFilter(_is_event)
     handler.setFormatter(
         KeyValueFormatter(
-            _FIELDS, rename_fields=_RENAMED, static_fields={"vm": vm}
+            _LINE_FORMAT,
+            rename_fields=_RENAMED_FIELDS,
+            static_fields={"vm": vm},
         )
     )
     root = logging.getLogger()
--- a/src/lovagestage/gateway/messages.py
+++ b/src/lovagestage/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the gateway's parts hand them to each other."""
+"""Requests and answers as the gateway's modules pass them to each other."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 )
 
 ANY_MODEL = "*"
-"""A caller's model name that leaves the choice to the router."""
+"""Model name in a request that leaves the choice of the model to the router."""
 
 
 @dataclasses.dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt that other requests may share.
+    """A segment of a prompt that other requests may share.
 
     Attributes:
-        name: Hash of its text.
-        tokens: Its length.
+        name: Hash of the segment's text.
+        tokens: Length of the segment in tokens.
     """
 
     name: str
@@ -34,19 +34,20 @@
     Attributes:
         id: The caller's id of this attempt.
         method: HTTP method.
-        target: Path and query, passed on unchanged.
+        target: Path and query, forwarded unchanged.
         path: Path without the query.
-        host: Host that it names.
-        headers: Headers that are passed on unchanged.
-        budget_s: Time that the caller waits.
+        host: Value of the Host header.
+        headers: Headers that are forwarded unchanged.
+        budget_s: Time in seconds for which the caller waits.
         key: API key; None without one.
-        model: Model that it names; None where it names none.
-        parts: Parts of its prompt, in order.
-        prompt_tokens: Length of the prompt.
-        resume_after: Id of the last event that the caller has.
-        session: Requests that follow each other; None without one.
-        body: The whole body.
-        arrived_s: Loop time at which its head was read.
+        model: Requested model; None if the request names none.
+        parts: Segments of the prompt, in order.
+        prompt_tokens: Length of the prompt in tokens.
+        resume_after: Id of the last stream event that the caller has received;
+            None for a stream from its start.
+        session: Session to which the request belongs; None without one.
+        body: The complete body.
+        arrived_s: Loop time in seconds at which the request's head was read.
     """
 
     id: RequestId
@@ -67,7 +68,12 @@
 
     @property
     def subject(self) -> str | None:
-        """The last part of the prompt that other requests may share."""
+        """Key of the prompt prefix that other requests may share.
+
+        It is the hash of the last segment but one, as the last segment belongs
+        to this request alone. It is None for a prompt with fewer than two
+        segments.
+        """
         if len(self.parts) < 2:
             return None
         return self.parts[-2].name
@@ -78,13 +84,14 @@
     """A request as it is sent to one upstream.
 
     Attributes:
-        request: What the caller sent.
-        upstream: The incarnation that may run it.
-        left_s: Time that is left.
-        workspace: Whose key it came with; None on public routes.
-        model: Model that is to answer; None where none is named.
-        resume_after: Id of the last event that is not to be sent again.
-        priority: From 0 for the most urgent; None for the default.
+        request: The caller's request.
+        upstream: The upstream process that may run the request.
+        left_s: Time in seconds until the request's deadline.
+        workspace: Workspace of the request's API key; None on public routes.
+        model: Model that is to answer; None if none is named.
+        resume_after: Id of the last event that must not be sent again; None for
+            a stream from its start.
+        priority: Priority from 0, the most urgent; None for the default.
     """
 
     request: CallerRequest
@@ -102,15 +109,19 @@
 
     Attributes:
         status: HTTP status.
-        headers: Headers that are passed on unchanged.
-        request_id: Id of the request that it answers; None without one.
-        is_signed: It bears the upstream's signature.
-        is_not_run: The upstream says that it has not run the request.
-        is_other_instance: Another incarnation has the address now.
-        confidence: The model's rough opinion of its answer, 0 to 100.
-        closes: The upstream closes the connection.
-        idle_timeout_s: Time after which it closes an idle connection.
-        has_encoding: The body is not as the upstream made it.
+        headers: Headers that are forwarded unchanged.
+        request_id: Id of the request that is answered; None without one.
+        is_signed: Whether the answer carries the upstream's signature.
+        is_not_run: Whether the upstream states that it has not run the request.
+        is_other_instance: Whether a different upstream process uses the address
+            now.
+        confidence: The model's rough confidence in its answer, 0 to 100; None
+            without one.
+        closes: Whether the upstream closes the connection after the answer.
+        idle_timeout_s: Time in seconds after which the upstream closes an idle
+            connection; None if it announces none.
+        has_encoding: Whether the body has a content encoding, so that it is not
+            as the upstream made it.
     """
 
     status: int
--- a/src/lovagestage/gateway/plain.py
+++ b/src/lovagestage/gateway/plain.py
@@ -1,4 +1,4 @@
-"""Requests with one answer, as opposed to a stream."""
+"""Forwards requests that get one complete answer instead of a stream."""
 
 from __future__ import annotations
 
@@ -10,67 +10,74 @@
 from lovagestage.gateway.rollouts import AnswerQuality
 from lovagestage.gateway.runs import (
     MAX_BODY_BYTES,
-    RunParts,
-    add_evidence,
+    RunContext,
     begin_attempt,
-    get_silence_limit_s,
-    limit_wait,
+    get_answer_timeout_s,
     make_exchange,
-    may_repeat_answer,
-    note_failure,
+    record_evidence,
+    record_failed_attempt,
+    should_retry_answer,
+    wait_with_timeout,
 )
 from lovagestage.gateway.sinks import AnswerSink
 from lovagestage.gateway.upstream import Upstream
 
 
 async def forward_plain(
-    parts: RunParts, attempts: Attempts, sink: AnswerSink
+    context: RunContext, attempts: Attempts, sink: AnswerSink
 ) -> None:
-    """Runs a request until it has an answer or may not be sent again.
+    """Sends a request to upstreams until it is answered or may not be retried.
+
+    Args:
+        context: Dependencies of the run.
+        attempts: Attempts of the request.
+        sink: Receives the answer.
 
     Raises:
-        GatewayRefusalError: It has no answer of an upstream.
+        GatewayRefusalError: No upstream gave an answer that can be forwarded.
     """
     while True:
         model = attempts.admitted.request.model
-        upstream = await begin_attempt(parts, attempts, model)
+        upstream = await begin_attempt(context, attempts, model)
         started_s = asyncio.get_running_loop().time()
         try:
-            head, body = await _fetch_whole(parts, attempts, upstream)
+            head, body = await _fetch_answer(context, attempts, upstream)
         except AttemptFailedError as error:
-            note_failure(parts, attempts, upstream, error)
+            record_failed_attempt(context, attempts, upstream, error)
             if not attempts.may_repeat():
                 raise attempts.make_refusal(error.reason) from error
             continue
-        _note_answer(parts, attempts, upstream, head, started_s)
-        if head.status >= 500 and may_repeat_answer(
+        _record_answer(context, attempts, upstream, head, started_s)
+        if head.status >= 500 and should_retry_answer(
             attempts, upstream, head.status
         ):
             continue
-        await sink.send_whole(head, body)
+        await sink.send_answer(head, body)
         return
 
 
-async def _fetch_whole(
-    parts: RunParts, attempts: Attempts, upstream: Upstream
+async def _fetch_answer(
+    context: RunContext, attempts: Attempts, upstream: Upstream
 ) -> tuple[AnswerHead, bytes]:
     model = attempts.admitted.request.model
-    limit_s = get_silence_limit_s(parts, attempts, model)
+    limit_s = get_answer_timeout_s(context, attempts, model)
     async with make_exchange(
-        parts, attempts, upstream, model, None
+        context, attempts, upstream, model, None
     ) as exchange:
         started_s = asyncio.get_running_loop().time()
-        head = await limit_wait(attempts, exchange.fetch_head(), limit_s)
+        head = await wait_with_timeout(attempts, exchange.fetch_head(), limit_s)
         attempts.note_head(exchange.connect_s, exchange.head_s)
-        exchange.note_begun(asyncio.get_running_loop().time() - started_s)
-        body = await limit_wait(
+        exchange.record_answer_start(
+            asyncio.get_running_loop().time() - started_s
+        )
+        body = await wait_with_timeout(
             attempts, exchange.fetch_body(MAX_BODY_BYTES), attempts.left_s
         )
         return head, body
 
 
-def _note_answer(
-    parts: RunParts,
+def _record_answer(
+    context: RunContext,
     attempts: Attempts,
     upstream: Upstream,
     head: AnswerHead,
@@ -81,11 +88,11 @@
     kind = (admitted.route.name, admitted.request.model)
     failed = head.status >= 500
     upstream.performance.note_answer(failed)
-    parts.suspects.note_answered(attempts.fingerprint, attempts.run_name)
-    is_slow = parts.latency.is_slow(kind, time_s)
+    context.suspects.note_answered(attempts.fingerprint, attempts.run_name)
+    is_slow = context.latency.is_slow(kind, time_s)
     quality = AnswerQuality.SLOW if is_slow else AnswerQuality.GOOD
     if failed:
         quality = AnswerQuality.FAILED
-    add_evidence(parts, attempts, upstream, quality)
+    record_evidence(context, attempts, upstream, quality)
     if not failed and not attempts.assignment.is_new:
-        parts.latency.add(kind, time_s)
+        context.latency.add(kind, time_s)
--- a/src/lovagestage/gateway/process.py
+++ b/src/lovagestage/gateway/process.py
@@ -1,4 +1,4 @@
-"""A gateway's process: start, readiness, reload and planned stop."""
+"""Runs a gateway as a process: start, readiness, reload and planned stop."""
 
 from __future__ import annotations
 
@@ -17,26 +17,30 @@
 from lovagestage.gateway.messages import CallerRequest
 from lovagestage.gateway.server import CallerConnection, CallerServer
 from lovagestage.gateway.settings import GatewaySettings
-from lovagestage.gateway.wiring import make_parts
+from lovagestage.gateway.wiring import make_components
 from lovagestage.platform.settings import read_settings
 
 _log = logging.getLogger(__name__)
 
-EXPIRE_S = 0.2
-"""Upstreams that lapsed are given up at most this late."""
-SETTINGS_CHECK_S = 1.0
-COLD_WAIT_S = 0.25
-"""The first callers wait so long for the store, which answers within 0.05 s
-where it is sound. A refusal would send them to gateways that have started at
-the same moment; with a store that is away it comes this much later."""
-COLD_POLL_S = 0.005
-"""Time between looks whether the store has answered; a call takes as long."""
-NOTICE_S = 2.6
-"""Time for the balancer to see that the gateway is leaving: two looks, a
-second apart, and the time for the answer."""
+EXPIRE_INTERVAL_S = 0.2
+"""Interval in seconds for removing expired upstreams and sessions and closing
+idle connections. An expired upstream is given up at most this late."""
+SETTINGS_CHECK_INTERVAL_S = 1.0
+STARTUP_WAIT_S = 0.25
+"""Time in seconds for which a starting gateway delays accepting callers until
+it is ready. A healthy store answers within 0.05 s. A refusal would send the
+first callers to gateways that started at the same moment; while the store is
+unavailable, the refusal comes this much later."""
+STARTUP_POLL_INTERVAL_S = 0.005
+"""Interval in seconds between checks whether a starting gateway is ready; a
+call to the store takes about as long."""
+DRAIN_NOTICE_S = 2.6
+"""Time in seconds for the load balancer to detect that the gateway is draining:
+two probes, one second apart, and the time for the answer."""
 STOP_MARGIN_S = 0.6
-"""A stopping process ends itself this long before it would be killed."""
-STOP_POLL_S = 0.05
+"""Time in seconds before the end of the allowed stop time at which a stopping
+process exits by itself, so that it is not killed."""
+STOP_POLL_INTERVAL_S = 0.05
 
 
 def run_gateway(
@@ -45,7 +49,17 @@
     metrics_port: int,
     listener: socket.socket,
 ) -> int:
-    """Runs a gateway until it is told to stop; returns its exit code."""
+    """Runs a gateway until it is told to stop.
+
+    Args:
+        settings: Settings of the process.
+        path: File from which the settings were read.
+        metrics_port: Port of the metrics; 0 for none.
+        listener: Socket on which callers' connections arrive.
+
+    Returns:
+        The exit code of the process.
+    """
     exposition = Exposition()
     start_logging(settings.vm, exposition)
     gateway = Gateway(settings, path, metrics_port, exposition, listener)
@@ -53,14 +67,14 @@
 
 
 class Gateway:
-    """All parts of a gateway.
+    """A gateway process with its servers and background services.
 
     Args:
         settings: Settings of the process.
-        path: File that they came from.
+        path: File from which the settings were read.
         metrics_port: Port of the metrics; 0 for none.
-        exposition: Takes what is measured.
-        listener: Where callers' connections arrive.
+        exposition: Collects the metrics.
+        listener: Socket on which callers' connections arrive.
     """
 
     def __init__(
@@ -76,94 +90,108 @@
         self._metrics_port = metrics_port
         self._exposition = exposition
         self._listener = listener
-        self._is_leaving = False
+        self._is_draining = False
         self._settings_changed_ns = 0
-        self._parts = make_parts(settings, exposition)
-        service = self._parts.service
-        self._callers = CallerServer(service.answer, service.get_limits)
-        self._probes = CallerServer(self._answer_probe, service.get_limits)
-        self._metrics = CallerServer(self._answer_metrics, service.get_limits)
+        self._components = make_components(settings, exposition)
+        service = self._components.service
+        self._caller_server = CallerServer(
+            service.handle_request, service.get_limits
+        )
+        self._probe_server = CallerServer(
+            self._answer_probe, service.get_limits
+        )
+        self._metrics_server = CallerServer(
+            self._answer_metrics, service.get_limits
+        )
         exposition.add_gauge(
-            Series.OPEN_REQUESTS, lambda: self._callers.open_requests
+            Series.OPEN_REQUESTS, lambda: self._caller_server.open_requests
+        )
+        self._components.timers.subscribe(EXPIRE_INTERVAL_S, self._expire)
+        self._components.timers.subscribe(
+            SETTINGS_CHECK_INTERVAL_S, self._check_settings
         )
-        self._parts.timers.subscribe(EXPIRE_S, self._expire)
-        self._parts.timers.subscribe(SETTINGS_CHECK_S, self._check_settings)
 
     @property
     def deployment(self) -> Deployment:
-        """What the gateway believes of the deployment."""
-        return self._parts.deployment
+        """Deployment state as this gateway currently knows it."""
+        return self._components.deployment
 
     async def run(self) -> int:
-        """Runs until SIGTERM or SIGINT."""
+        """Runs until SIGTERM or SIGINT; returns the process's exit code."""
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload, "signal")
         try:
-            await self._open_probes()
-            for service in self._parts.services:
+            await self._open_probe_servers()
+            for service in self._components.services:
                 await service.start()
             _log.info(
                 "process_started",
                 extra={"address": self._settings.client_address},
             )
-            await self._wait_for_beliefs(stop)
-            await self._callers.open(self._listener)
+            await self._wait_until_ready(stop)
+            await self._caller_server.open(self._listener)
             await stop.wait()
-            await self._leave()
+            await self._drain()
         finally:
-            self._callers.close()
-            self._probes.close()
-            self._metrics.close()
-            for service in reversed(self._parts.services):
+            self._caller_server.close()
+            self._probe_server.close()
+            self._metrics_server.close()
+            for service in reversed(self._components.services):
                 await service.stop()
         _log.info("process_stopped", extra={"signal": "term"})
         return 0
 
-    async def _open_probes(self) -> None:
+    async def _open_probe_servers(self) -> None:
         address = self._settings.readiness_address
-        await self._probes.open(open_listener(address))
+        await self._probe_server.open(open_listener(address))
         if self._metrics_port:
             host = self._settings.client_address.rpartition(":")[0]
             address = f"{host}:{self._metrics_port}"
-            await self._metrics.open(open_listener(address))
+            await self._metrics_server.open(open_listener(address))
+
+    async def _wait_until_ready(self, stop: asyncio.Event) -> None:
+        """Waits until the gateway is ready, for `STARTUP_WAIT_S` at most.
 
-    async def _wait_for_beliefs(self, stop: asyncio.Event) -> None:
-        """Lets callers wait while the store is about to answer."""
+        Callers that connect meanwhile wait in the listening socket's queue.
+        """
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + COLD_WAIT_S
+        end_s = loop.time() + STARTUP_WAIT_S
         while not (self.is_ready() or stop.is_set() or loop.time() >= end_s):
-            await asyncio.sleep(COLD_POLL_S)
+            await asyncio.sleep(STARTUP_POLL_INTERVAL_S)
 
-    async def _leave(self) -> None:
-        """Leaves the balancer, then answers what is open."""
+    async def _drain(self) -> None:
+        """Reports not ready to the balancer, then completes open requests."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         end_s = started_s + self._settings.bounds.stop_s - STOP_MARGIN_S
-        self._is_leaving = True
-        self._callers.is_leaving = True
-        _log.info("drain_started", extra={"open": self._callers.open_requests})
-        await asyncio.sleep(NOTICE_S)
-        self._callers.close()
-        self._parts.service.refuse_streams()
-        while self._callers.open_requests and loop.time() < end_s:
-            await asyncio.sleep(STOP_POLL_S)
-            self._callers.close_idle()
-        if self._callers.open_requests:
+        self._is_draining = True
+        self._caller_server.is_draining = True
+        _log.info(
+            "drain_started", extra={"open": self._caller_server.open_requests}
+        )
+        await asyncio.sleep(DRAIN_NOTICE_S)
+        self._caller_server.close()
+        self._components.service.refuse_streams()
+        while self._caller_server.open_requests and loop.time() < end_s:
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
+            self._caller_server.close_idle()
+        if self._caller_server.open_requests:
             _log.warning(
-                "drain_timeout", extra={"open": self._callers.open_requests}
+                "drain_timeout",
+                extra={"open": self._caller_server.open_requests},
             )
 
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Returns whether the balancer should send callers to this gateway."""
         now_s = get_elapsed_s()
         return (
-            not self._is_leaving
+            not self._is_draining
             and self.deployment.configuration is not None
-            and self._parts.upstream_feed.is_synced
-            and self._parts.rollouts.is_resolved
+            and self._components.upstream_feed.is_synced
+            and self._components.rollouts.is_resolved
             and self.deployment.trust.holds(now_s)
             and not self.deployment.trust.is_superseded(now_s)
         )
@@ -182,7 +210,7 @@
     def _expire(self) -> None:
         self.deployment.rotation.expire(get_elapsed_s())
         self.deployment.pins.expire(get_elapsed_s())
-        self._parts.pool.expire()
+        self._components.pool.close_expired()
 
     def _check_settings(self) -> None:
         try:
@@ -203,11 +231,12 @@
                 extra={"cause": cause, "error": error.message},
             )
             return
-        # Addresses and times to wait for stay as they are until a restart.
+        # Addresses and wait times, such as those of long polls and of the stop,
+        # stay unchanged until a restart.
         self.deployment.trust.limit_s = settings.bounds.revoke_s
         self.deployment.trust.apply_s = settings.bounds.apply_s
         self.deployment.regions = settings.regions
         self.deployment.pins.session_s = settings.bounds.session_s
-        self._parts.rollouts.apply_bounds(settings.bounds)
-        self._parts.forwarder.apply_bounds(settings.bounds)
+        self._components.rollouts.apply_bounds(settings.bounds)
+        self._components.forwarder.apply_bounds(settings.bounds)
         _log.info("settings_reloaded", extra={"cause": cause})
--- a/src/lovagestage/gateway/runs.py
+++ b/src/lovagestage/gateway/runs.py
@@ -1,4 +1,8 @@
-"""What runs of all kinds share: calls, time limits, and what is learnt."""
+"""Steps that plain and streamed runs share.
+
+These are the choice of an upstream, the call, its timeouts, and what the
+gateway learns from its result.
+"""
 
 from __future__ import annotations
 
@@ -26,53 +30,64 @@
 from lovagestage.types import RunState
 
 _log = logging.getLogger(__name__)
-LOST_REASONS = ("connection_lost", "answer_broken")
-"""Failures that a crash of the upstream looks like."""
+CRASH_LIKE_REASONS = ("connection_lost", "answer_broken")
+"""Failure reasons that a crash of the upstream would also cause."""
 _Result = TypeVar("_Result")
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
-"""Longest plain answer; it is held until whole, so that one that breaks off
-can be repeated or reported."""
-SILENT_AIM_RATIO = 1.0
-"""Part of the aim after which a silent upstream is given up where the request
-may run elsewhere."""
-SILENT_MEANS = 4.0
-"""The same in mean times of such answers, where that is longer: on a full day
-silence is a queue."""
+"""Longest plain answer in bytes. The answer is held in memory until it is
+complete, so that a request whose answer breaks off can be retried or reported
+as failed."""
+TIMEOUT_TARGET_RATIO = 1.0
+"""Response timeout as a share of the route's target latency. It applies to an
+attempt that may be followed by another one: an upstream that has sent nothing
+by then is given up."""
+TIMEOUT_MEANS = 4.0
+"""Response timeout as a multiple of the mean latency of such answers, which
+applies if it is longer: under high load an upstream sends nothing because the
+request is queued."""
 
 
 @dataclasses.dataclass(frozen=True)
-class RunParts:
-    """Parts of the gateway that runs use.
+class RunContext:
+    """Components of the gateway that runs use.
 
     Attributes:
         pool: Connections to upstreams.
-        evidence: Takes what is seen of versions.
-        latency: Times of answers by route and model.
-        reading: Times that prompts take by themselves, by model.
-        gauge: How full the upstreams are.
-        suspects: Requests that may crash upstreams.
+        evidence: Receives evidence for or against versions.
+        latency: Latencies of answers by route and model.
+        prefill_times: Times that upstreams take to prefill prompts, by model.
+        gauge: Load of the upstreams.
+        suspects: Tracks requests that may crash upstreams.
     """
 
     pool: ConnectionPool
     evidence: EvidenceSink
     latency: LatencyTable
-    reading: ReadingTimes
+    prefill_times: ReadingTimes
     gauge: LoadGauge
     suspects: SuspectWatch
 
 
 async def begin_attempt(
-    parts: RunParts, attempts: Attempts, model: str | None
+    context: RunContext, attempts: Attempts, model: str | None
 ) -> Upstream:
-    """Chooses an upstream, once the request may run.
+    """Waits until the request may run and chooses an upstream for it.
+
+    Args:
+        context: Dependencies of the run.
+        attempts: Attempts of the request.
+        model: Model that is to answer; None if none is named.
+
+    Returns:
+        The upstream for the next attempt.
 
     Raises:
-        GatewayRefusalError: It may not, or none is left.
+        GatewayRefusalError: The request must not run, or no upstream is left.
     """
     fingerprint = attempts.fingerprint
     while True:
-        admission = parts.suspects.admit(fingerprint)
+        admission = context.suspects.admit(fingerprint)
         if admission is Admission.REFUSE:
             raise attempts.make_refusal("crashes_upstreams", comes_back=False)
         if admission is not Admission.WAIT:
@@ -81,38 +96,42 @@
             raise attempts.make_refusal("suspect_waiting")
         await asyncio.sleep(PROBE_WAIT_S)
     attempts.model = model
-    upstream = attempts.choose(make_work(parts, attempts, model))
+    upstream = attempts.choose(estimate_work(context, attempts, model))
     if admission is Admission.PROBE:
-        parts.suspects.start_probe(fingerprint, attempts.run_name)
+        context.suspects.start_probe(fingerprint, attempts.run_name)
     return upstream
 
 
-def make_work(parts: RunParts, attempts: Attempts, model: str | None) -> Work:
-    """What an attempt asks of an upstream."""
+def estimate_work(
+    context: RunContext, attempts: Attempts, model: str | None
+) -> Work:
+    """Estimates the work that an attempt causes at an upstream."""
     request = attempts.admitted.request
     prompt = make_prompt(request.parts)
     if prompt is None:
-        expected_s = get_expected_s(parts, attempts, model)
+        expected_s = get_expected_latency_s(context, attempts, model)
         time_s = UNKNOWN_S if expected_s is None else expected_s
         return Work(time_s, time_s, request.subject)
     return Work(
-        parts.reading.get(model, prompt.fresh_tokens),
-        parts.reading.get(model, prompt.cached_tokens),
+        context.prefill_times.get(model, prompt.fresh_tokens),
+        context.prefill_times.get(model, prompt.cached_tokens),
         request.subject,
     )
 
 
-def note_reading(parts: RunParts, attempts: Attempts, time_s: float) -> None:
-    """Learns from the time until the last attempt's answer began."""
+def record_prefill_time(
+    context: RunContext, attempts: Attempts, time_s: float
+) -> None:
+    """Updates the prefill times with the last attempt's time to first event."""
     prompt = make_prompt(attempts.admitted.request.parts)
     if prompt is None:
         return
     tokens = prompt.cached_tokens if attempts.is_cached else prompt.fresh_tokens
-    parts.reading.add(attempts.model, tokens, time_s)
+    context.prefill_times.add(attempts.model, tokens, time_s)
 
 
 def make_exchange(
-    parts: RunParts,
+    context: RunContext,
     attempts: Attempts,
     upstream: Upstream,
     model: str | None,
@@ -120,8 +139,19 @@
 ) -> Exchange:
     """Prepares one attempt.
 
+    Args:
+        context: Dependencies of the run.
+        attempts: Attempts of the request.
+        upstream: The upstream that was chosen for the attempt.
+        model: Model that is to answer; None if none is named.
+        resume_after: Id of the last event that must not be sent again; None for
+            a stream from its start.
+
+    Returns:
+        The exchange with the upstream, not yet started.
+
     Raises:
-        GatewayRefusalError: No time is left for it.
+        GatewayRefusalError: The request's deadline has passed.
     """
     admitted = attempts.admitted
     if attempts.left_s <= 0.0:
@@ -138,44 +168,57 @@
         admitted.priority,
     )
     return Exchange(
-        parts.pool,
+        context.pool,
         upstream,
         call,
         admitted.route.is_repeatable,
-        get_expected_s(parts, attempts, model),
+        get_expected_latency_s(context, attempts, model),
         attempts.work_s,
     )
 
 
-def get_expected_s(
-    parts: RunParts, attempts: Attempts, model: str | None
+def get_expected_latency_s(
+    context: RunContext, attempts: Attempts, model: str | None
 ) -> float | None:
-    """Time to the first sign of an answer, as others took."""
+    """Returns the mean time until such an answer starts; None if unknown."""
     route = attempts.admitted.route
-    return parts.latency.get((route.name, model))
+    return context.latency.get((route.name, model))
 
 
-def get_silence_limit_s(
-    parts: RunParts, attempts: Attempts, model: str | None
+def get_answer_timeout_s(
+    context: RunContext, attempts: Attempts, model: str | None
 ) -> float:
-    """Time for the first sign of an answer."""
+    """Returns the time in seconds within which an answer must start.
+
+    If the request must not be sent again after this attempt, it is the time
+    until the request's deadline. Otherwise a timeout derived from the route's
+    target latency and the mean latency of such answers applies as well.
+    """
     route = attempts.admitted.route
     left_s = max(0.0, attempts.left_s)
     if not route.is_repeatable or attempts.runs >= route.max_attempts:
         return left_s
-    mean_s = parts.latency.get((route.name, model)) or 0.0
-    limit_s = max(SILENT_AIM_RATIO * route.aim_s, SILENT_MEANS * mean_s)
+    mean_s = context.latency.get((route.name, model)) or 0.0
+    limit_s = max(TIMEOUT_TARGET_RATIO * route.aim_s, TIMEOUT_MEANS * mean_s)
     return min(left_s, limit_s)
 
 
-async def limit_wait(
+async def wait_with_timeout(
     attempts: Attempts, awaitable: Awaitable[_Result], limit_s: float
 ) -> _Result:
-    """Waits for an upstream.
+    """Waits for data from an upstream.
+
+    Args:
+        attempts: Attempts of the request.
+        awaitable: The read to wait for.
+        limit_s: Timeout in seconds.
+
+    Returns:
+        The result of the read.
 
     Raises:
-        AttemptFailedError: It fell silent; it is at fault where the request
-            has time left.
+        AttemptFailedError: The upstream sent nothing in time. This counts as a
+            fault of the upstream if the request has time left.
     """
     try:
         async with asyncio.timeout(max(0.0, limit_s)):
@@ -186,17 +229,17 @@
         ) from error
 
 
-def note_failure(
-    parts: RunParts,
+def record_failed_attempt(
+    context: RunContext,
     attempts: Attempts,
     upstream: Upstream,
     error: AttemptFailedError,
 ) -> None:
-    """Learns from an attempt that gave no answer.
+    """Records an attempt that gave no answer.
 
-    It is no evidence against a version: a crash or a cut link ends all that
-    runs at an upstream at once, and two such upstreams of the new version
-    would stop a good one.
+    It is no evidence against a version: a crash or a cut link ends all requests
+    at an upstream at the same time, and two such upstreams of the new version
+    would end the roll-out of a good version.
     """
     attempts.note_failure(upstream, error)
     performance, now_s = upstream.performance, get_elapsed_s()
@@ -216,22 +259,23 @@
             "left_out_s": round(performance.get_left_out_s(now_s), 2),
         },
     )
-    if error.at_fault and error.reason in LOST_REASONS:
-        parts.suspects.note_lost(
+    if error.at_fault and error.reason in CRASH_LIKE_REASONS:
+        context.suspects.note_lost(
             attempts.fingerprint, attempts.run_name, upstream
         )
 
 
-def may_repeat_answer(
+def should_retry_answer(
     attempts: Attempts, upstream: Upstream, status: int
 ) -> bool:
-    """Whether a request whose answer is a failure is sent once more.
+    """Returns whether a request that was answered with a failure is retried.
 
-    Only where another upstream is left: the caller gets the answer of the
-    last one, not a refusal of the gateway's own in its place.
+    It is retried only if another upstream is left. Otherwise the caller gets
+    the answer of the last upstream instead of a refusal made by the gateway.
+    The call also logs the answer and, for a retry, takes it from the budget.
     """
     attempts.note_failed_answer(upstream)
-    is_repeated = attempts.has_other() and attempts.may_repeat()
+    is_retried = attempts.has_other() and attempts.may_repeat()
     _log.warning(
         "answer_failed",
         extra={
@@ -239,29 +283,31 @@
             "upstream": upstream.id,
             "status": status,
             "attempts": attempts.sent,
-            "next": "repeat" if is_repeated else "pass_on",
+            "next": "repeat" if is_retried else "pass_on",
             "left_s": round(attempts.left_s, 3),
         },
     )
-    return is_repeated
+    return is_retried
 
 
-def add_evidence(
-    parts: RunParts,
+def record_evidence(
+    context: RunContext,
     attempts: Attempts,
     upstream: Upstream,
     quality: AnswerQuality,
 ) -> None:
-    """Counts an answer for or against its version.
+    """Records an answer as evidence for or against its version.
 
-    Not that of a request which another version could not answer: it is a
-    chosen one, and says nothing of the version's share of failures.
+    An answer is not counted if the upstream has another version than the one to
+    which the request was assigned. Such a request came there only because its
+    own version could not answer it, so it is not a random sample and says
+    nothing about the version's share of failures.
     """
     version = attempts.assignment.version
     if version is not None and upstream.entry.version != version:
         return
     admitted = attempts.admitted
-    parts.evidence.add_answer(
+    context.evidence.add_answer(
         admitted.service,
         admitted.route.name,
         attempts.assignment,
--- a/src/lovagestage/gateway/server.py
+++ b/src/lovagestage/gateway/server.py
@@ -1,4 +1,4 @@
-"""The side of the gateway that callers reach."""
+"""HTTP server on which callers send requests."""
 
 from __future__ import annotations
 
@@ -26,26 +26,28 @@
 
 _log = logging.getLogger(__name__)
 
-BODY_SILENCE_S = 10.0
-"""Time without a byte of a body; a caller that stalls would hold memory for
-ever. One that sends slowly has as long as it waits for its answer: refused
-for the time that its body takes, it would send it again from the start."""
-MAX_BODY_S = 60.0
-"""Time for a whole body at most, whatever the caller says that it waits."""
+BODY_INACTIVITY_TIMEOUT_S = 10.0
+"""Inactivity timeout in seconds while a request's body is received; without it,
+a caller that stalls would hold memory forever. A caller that sends slowly has
+as much time as it waits for its answer: if it were refused because its body
+takes long, it would send the body again from the start."""
+BODY_TIMEOUT_S = 60.0
+"""Limit in seconds for receiving a complete body, however long the caller waits
+for its answer."""
 
 
 class CallerConnection:
-    """Reads requests from one caller and sends their answers.
+    """Reads requests from one caller and sends the answers.
 
     Args:
         channel: The connection.
-        limits: What callers may send, as of now.
+        limits: Returns the current limits for requests.
 
     Attributes:
         channel: The connection.
         is_busy: Whether a request is being read or answered.
         status: Status of the last answer.
-        closes: Whether the connection ends with the next answer.
+        closes: Whether the connection is closed after the next answer.
     """
 
     def __init__(
@@ -64,11 +66,11 @@
         """Reads the next request.
 
         Returns:
-            The request; None where the caller has closed or was idle for too
-            long.
+            The request; None if the caller closed the connection or was idle
+            for too long.
 
         Raises:
-            WrongMessageError: It must not be passed on.
+            WrongMessageError: The request must not be forwarded.
             ConnectionLostError: The caller reset the connection.
         """
         limits = self._limits()
@@ -88,15 +90,23 @@
             _check_head(event, limits.head_bytes)
             arrived_s = asyncio.get_running_loop().time()
             request = wire.decode_request(event)
-            body_s = min(MAX_BODY_S, max(BODY_SILENCE_S, request.budget_s))
+            body_s = min(
+                BODY_TIMEOUT_S, max(BODY_INACTIVITY_TIMEOUT_S, request.budget_s)
+            )
             async with asyncio.timeout(body_s):
                 body = await self._read_body(limits.body_bytes)
         except TimeoutError:
-            raise WrongMessageError("Sent too slowly.", 408) from None
+            raise WrongMessageError(
+                "The request was not received in time.", 408
+            ) from None
         return dataclasses.replace(request, body=body, arrived_s=arrived_s)
 
-    def make_ready_for_next(self) -> bool:
-        """Whether another request may follow on the connection."""
+    def prepare_next_request(self) -> bool:
+        """Prepares the connection for another request.
+
+        Returns:
+            Whether another request may follow on the connection.
+        """
         self.is_busy = False
         states = (self._parser.our_state, self._parser.their_state)
         if self.closes or states != (h11.DONE, h11.DONE):
@@ -104,8 +114,8 @@
         self._parser.start_next_cycle()
         return True
 
-    async def send_whole(self, head: AnswerHead, body: bytes) -> None:
-        """Sends an upstream's whole answer."""
+    async def send_answer(self, head: AnswerHead, body: bytes) -> None:
+        """Sends a complete answer of an upstream."""
         headers = [
             (name, value)
             for name, value in head.headers
@@ -117,7 +127,12 @@
     async def send_refusal(
         self, request_id: str, refusal: GatewayRefusalError
     ) -> None:
-        """Sends an answer of the gateway's own."""
+        """Sends an answer that the gateway made itself.
+
+        Args:
+            request_id: Id of the request; empty if it is not known.
+            refusal: Status and reason of the answer.
+        """
         body = msgspec.json.encode(
             {"error": refusal.reason, "status": refusal.status}
         )
@@ -127,7 +142,7 @@
         await self._send_all(refusal.status, headers, body)
 
     async def send_text(self, status: int, text: str) -> None:
-        """Sends a plain text."""
+        """Sends a plain text with a status."""
         body = text.encode()
         headers = [
             (b"Content-Type", b"text/plain; version=0.0.4"),
@@ -135,7 +150,7 @@
         ]
         await self._send_all(status, headers, body)
 
-    async def start(self, head: AnswerHead) -> None:
+    async def start_stream(self, head: AnswerHead) -> None:
         """Sends the head of a stream."""
         headers = [
             (name, value)
@@ -145,12 +160,12 @@
         headers.append((b"Transfer-Encoding", b"chunked"))
         self._send(self._make_response(head.status, headers))
 
-    async def send(self, event: bytes) -> None:
+    async def send_event(self, event: bytes) -> None:
         """Sends an event of a stream."""
         self._send(h11.Data(data=event))
         await self.channel.drain()
 
-    async def finish(self) -> None:
+    async def finish_stream(self) -> None:
         """Ends a stream that is complete."""
         self._send(h11.EndOfMessage())
         await self.channel.drain()
@@ -170,10 +185,10 @@
     async def _send_all(
         self, status: int, headers: Headers, body: bytes
     ) -> None:
-        parts: list[h11.Event] = [self._make_response(status, headers)]
+        events: list[h11.Event] = [self._make_response(status, headers)]
         if body:
-            parts.append(h11.Data(data=body))
-        self._send(*parts, h11.EndOfMessage())
+            events.append(h11.Data(data=body))
+        self._send(*events, h11.EndOfMessage())
         await self.channel.drain()
 
     def _send(self, *events: h11.Event) -> None:
@@ -181,22 +196,22 @@
         self.channel.write(data)
 
     async def _read_body(self, limit_bytes: int) -> bytes:
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while True:
             if self._parser.they_are_waiting_for_100_continue:
                 answer = h11.InformationalResponse(status_code=100, headers=[])
                 self.channel.write(self._parser.send(answer) or b"")
-            async with asyncio.timeout(BODY_SILENCE_S):
+            async with asyncio.timeout(BODY_INACTIVITY_TIMEOUT_S):
                 event = await self._receive()
             if isinstance(event, h11.EndOfMessage):
-                return b"".join(parts)
+                return b"".join(chunks)
             if not isinstance(event, h11.Data):
-                raise ConnectionLostError("Closed within a request.")
-            parts.append(bytes(event.data))
+                raise ConnectionLostError("Connection closed within a request.")
+            chunks.append(bytes(event.data))
             size += len(event.data)
             if size > limit_bytes:
-                raise WrongMessageError(f"Over {limit_bytes} bytes.", 413)
+                raise WrongMessageError(f"Body over {limit_bytes} bytes.", 413)
 
     async def _receive(self) -> object:
         while True:
@@ -215,31 +230,32 @@
 
 
 def _check_head(event: h11.Request, limit_bytes: int) -> None:
-    """Refuses a head that is too long but came at once.
+    """Rejects a head that is too long but arrived in one piece.
 
-    The parser's own limit is for what it has to keep.
+    The parser's own limit applies only to an incomplete head that it must
+    buffer.
     """
     size = len(event.target) + sum(
-        len(name) + len(value) + _HEADER_EXTRA_BYTES
+        len(name) + len(value) + _HEADER_OVERHEAD_BYTES
         for name, value in event.headers
     )
     if size > limit_bytes:
         raise WrongMessageError(f"Head over {limit_bytes} bytes.", 431)
 
 
-_HEADER_EXTRA_BYTES = 4
-"""Colon, space and line end."""
+_HEADER_OVERHEAD_BYTES = 4
+"""Bytes of a header line besides name and value: colon, space and line end."""
 _STATUSES = frozenset(status.value for status in HTTPStatus)
 
 Handler = Callable[[CallerRequest, CallerConnection], Awaitable[None]]
 
 
 class CallerServer:
-    """Accepts callers' connections, one task each.
+    """Accepts callers' connections and runs one task for each.
 
     Args:
         handler: Answers one request.
-        limits: What callers may send, as of now.
+        limits: Returns the current limits for requests.
     """
 
     def __init__(
@@ -249,28 +265,28 @@
         self._limits = limits
         self._server: asyncio.Server | None = None
         self._tasks: dict[asyncio.Task[None], CallerConnection] = {}
-        self.is_leaving = False
+        self.is_draining = False
 
     @property
     def open_requests(self) -> int:
-        """Requests that are being read or answered."""
+        """Number of requests that are being read or answered."""
         return sum(connection.is_busy for connection in self._tasks.values())
 
     async def open(self, listener: socket.socket) -> None:
-        """Accepts the connections of a listening socket."""
+        """Starts accepting the connections of a listening socket."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             self._make_channel, sock=listener, backlog=BACKLOG
         )
 
     def close_idle(self) -> None:
-        """Closes connections that carry no request."""
+        """Closes connections on which no request is being read or answered."""
         for connection in self._tasks.values():
             if not connection.is_busy:
                 connection.channel.close()
 
     def close(self) -> None:
-        """Stops listening and closes idle connections."""
+        """Stops accepting connections and closes idle ones."""
         if self._server is not None:
             self._server.close()
         self.close_idle()
@@ -284,12 +300,12 @@
         task = asyncio.get_running_loop().create_task(self._serve(connection))
         self._tasks[task] = connection
         task.add_done_callback(self._tasks.pop)
-        # A caller that leaves ends the work on its request at once.
+        # When a caller disconnects, the work on its request ends immediately.
         channel.lost.add_done_callback(lambda _: task.cancel())
 
     async def _serve(self, connection: CallerConnection) -> None:
         try:
-            while await self._serve_one(connection):
+            while await self._serve_request(connection):
                 pass
             connection.channel.close()
         except (ConnectionLostError, h11.LocalProtocolError) as error:
@@ -301,7 +317,7 @@
             _log.exception("caller_connection_failed")
             connection.channel.abort()
 
-    async def _serve_one(self, connection: CallerConnection) -> bool:
+    async def _serve_request(self, connection: CallerConnection) -> bool:
         try:
             request = await connection.read_request()
         except WrongMessageError as error:
@@ -319,14 +335,15 @@
             return False
         if request is None:
             return False
-        connection.closes = self.is_leaving
+        connection.closes = self.is_draining
         try:
             await self._handler(request, connection)
         except AttemptFailedError:
-            # The stream must not look complete.
+            # The connection is aborted so that the stream does not look
+            # complete.
             connection.channel.abort()
             return False
-        return connection.make_ready_for_next()
+        return connection.prepare_next_request()
 
 
 class _AcceptedChannel(Channel):
--- a/src/lovagestage/gateway/service.py
+++ b/src/lovagestage/gateway/service.py
@@ -1,4 +1,4 @@
-"""Answers callers' requests: admits, forwards, and says how it went."""
+"""Handles callers' requests: admits, forwards, logs and measures them."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class GatewayService:
-    """Answers requests.
+    """Handles the requests that callers send.
 
     Args:
-        deployment: What is in force.
-        forwarder: Runs requests.
-        exposition: Takes what is measured.
-        cold_start: Lets the first callers wait for a configuration.
+        deployment: Configuration and upstreams that are in force.
+        forwarder: Runs requests on upstreams.
+        exposition: Collects the metrics.
+        cold_start: Makes the first callers wait for a configuration.
     """
 
     def __init__(
@@ -44,36 +44,40 @@
         self._forwarder = forwarder
         self._exposition = exposition
         self._cold_start = cold_start
-        self._takes_streams = True
+        self._accepts_streams = True
 
     def refuse_streams(self) -> None:
-        """Refuses streams from now on.
+        """Makes the service refuse requests for streams from now on.
 
-        A caller whose stream began before the stop may send its next request
-        on the same connection when that stream ends, seconds later. Begun
-        then, it would be cut by the end of the process; refused, it runs at
-        another gateway.
+        A caller whose stream started before the stop may send its next request
+        on the same connection when that stream ends, seconds later. A stream
+        started then would be cut off by the end of the process; a refused one
+        runs at another gateway.
         """
-        self._takes_streams = False
+        self._accepts_streams = False
 
     def get_limits(self) -> ClientLimits:
-        """What callers may send."""
+        """Returns the current limits for callers' requests."""
         configuration = self._deployment.configuration
         return configuration.limits if configuration else _DEFAULT_LIMITS
 
-    async def answer(
+    async def handle_request(
         self, request: CallerRequest, connection: CallerConnection
     ) -> None:
         """Answers one request.
 
+        Args:
+            request: The request.
+            connection: The caller's connection, which gets the answer.
+
         Raises:
-            AttemptFailedError: A stream broke off after it had begun.
+            AttemptFailedError: A stream broke off after it had started.
         """
-        await self._cold_start.wait(request.budget_s)
+        await self._cold_start.wait_for_configuration(request.budget_s)
         try:
             admitted = self._admit(request)
         except GatewayRefusalError as refusal:
-            self._log_refused(request, refusal)
+            self._log_refusal(request, refusal)
             await connection.send_refusal(request.id, refusal)
             return
         attempts = self._forwarder.make_attempts(admitted)
@@ -86,8 +90,10 @@
             self._log_end(attempts, "stream_broken", 0, error.reason)
             raise
         except asyncio.CancelledError:
-            is_gone = not connection.channel.is_open
-            self._log_end(attempts, "caller_gone" if is_gone else "stopped", 0)
+            has_caller_left = not connection.channel.is_open
+            self._log_end(
+                attempts, "caller_gone" if has_caller_left else "stopped", 0
+            )
             raise
         else:
             self._log_end(attempts, "answered", connection.status)
@@ -99,15 +105,18 @@
             self._deployment.trust,
             get_elapsed_s(),
         )
-        if admitted.route.kind is RouteKind.STREAM and not self._takes_streams:
+        if (
+            admitted.route.kind is RouteKind.STREAM
+            and not self._accepts_streams
+        ):
             raise GatewayRefusalError(503, "stopping", COME_BACK_S)
         return admitted
 
-    def _get_trust_age_s(self) -> float | None:
+    def _get_configuration_age_s(self) -> float | None:
         age_s = self._deployment.trust.get_age_s(get_elapsed_s())
         return None if age_s is None else round(age_s, 2)
 
-    def _log_refused(
+    def _log_refusal(
         self, request: CallerRequest, refusal: GatewayRefusalError
     ) -> None:
         configuration = self._deployment.configuration
@@ -122,7 +131,7 @@
                 "reason": refusal.reason,
                 "status": refusal.status,
                 "config": configuration.version if configuration else None,
-                "config_age_s": self._get_trust_age_s(),
+                "config_age_s": self._get_configuration_age_s(),
             },
         )
 
@@ -136,7 +145,7 @@
         admitted = attempts.admitted
         request, route = admitted.request, admitted.route
         time_s = asyncio.get_running_loop().time() - request.arrived_s
-        self._measure(attempts, outcome, time_s)
+        self._record_metrics(attempts, outcome, time_s)
         is_good = outcome == "answered" and status < HTTPStatus.BAD_REQUEST
         _log.log(
             logging.INFO if is_good else logging.WARNING,
@@ -159,11 +168,13 @@
                 "first_s": _round(attempts.first_event_s),
                 "time_s": _round(time_s),
                 "config": admitted.config_version,
-                "config_age_s": self._get_trust_age_s(),
+                "config_age_s": self._get_configuration_age_s(),
             },
         )
 
-    def _measure(self, attempts: Attempts, outcome: str, time_s: float) -> None:
+    def _record_metrics(
+        self, attempts: Attempts, outcome: str, time_s: float
+    ) -> None:
         kind = attempts.admitted.route.kind.value
         labels = f'kind="{kind}",outcome="{outcome}"'
         self._exposition.count(Series.REQUESTS, labels)
--- a/src/lovagestage/gateway/settings.py
+++ b/src/lovagestage/gateway/settings.py
@@ -10,23 +10,30 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """Limits that the deployment's owners set.
+    """Time and rate limits that the owners of the deployment set.
 
     Attributes:
-        revoke_s: A key that was taken away may be used no longer than this.
-        apply_s: A configuration is in force after this.
-        drain_s: A leaving upstream takes no request after this.
-        evacuate_s: No upstream of a zone that is to be empty takes one after
-            this.
-        stop_s: A process that was told to stop is killed after this.
-        retry_ratio: Arrivals beyond the first of each request, as a share of
-            requests, that a service may get within a window.
-        retry_window_s: Length of that window.
-        retry_slack: Such arrivals beyond the share, over all gateways.
-        exposure_ratio: Share of a service's requests that an unproved version
+        revoke_s: Time in seconds after which a revoked key must no longer be
+            accepted.
+        apply_s: Time in seconds after which a configuration must be in force.
+        drain_s: Time in seconds after which a draining upstream must get no new
+            requests.
+        evacuate_s: Time in seconds after which the upstreams of an evacuated
+            zone must get no new requests.
+        stop_s: Time in seconds after which a process that was told to stop is
+            killed.
+        retry_ratio: Limit of retries within a window, as a ratio to a service's
+            requests. A retry is any arrival of a request at an upstream after
+            its first.
+        retry_window_s: Length of the window in seconds.
+        retry_slack: Number of retries allowed beyond the ratio, over all
+            gateways together.
+        exposure_ratio: Share of a service's requests that an unproven version
             may get over its whole roll-out.
-        exposure_slack: Such requests beyond that share, over all gateways.
-        session_s: Requests of a session follow each other within this.
+        exposure_slack: Number of requests allowed beyond that share, over all
+            gateways together.
+        session_s: Longest time in seconds between two consecutive requests of a
+            session.
     """
 
     revoke_s: float
@@ -44,16 +51,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class GatewaySettings:
-    """Where a gateway listens and what it must keep to.
+    """Addresses and limits of a gateway process.
 
     Attributes:
-        vm: The VM that it runs on.
+        vm: The VM on which the gateway runs.
         zone: The VM's availability zone.
         regions: Region of each availability zone.
-        client_address: `IP:PORT` that callers reach.
-        readiness_address: `IP:PORT` that the balancer asks.
-        peer_address: `IP:PORT` for datagrams of other gateways; None where
-            the deployment allows none.
+        client_address: `IP:PORT` on which callers connect.
+        readiness_address: `IP:PORT` that the load balancer probes.
+        peer_address: `IP:PORT` for datagrams of other gateways; None if the
+            deployment allows none.
         store_address: `IP:PORT` of the metadata store.
         bounds: Limits of the deployment.
     """
--- a/src/lovagestage/gateway/sinks.py
+++ b/src/lovagestage/gateway/sinks.py
@@ -1,4 +1,4 @@
-"""What the forwarder hands its results to."""
+"""Interfaces to which the forwarder passes answers and evidence."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class AnswerSink(Protocol):
-    """Where an answer goes."""
+    """Receives the answer to a request and sends it to the caller."""
 
-    async def send_whole(self, head: AnswerHead, body: bytes) -> None:
-        """Sends a whole answer."""
+    async def send_answer(self, head: AnswerHead, body: bytes) -> None:
+        """Sends a complete answer."""
 
-    async def start(self, head: AnswerHead) -> None:
+    async def start_stream(self, head: AnswerHead) -> None:
         """Sends the head of a stream."""
 
-    async def send(self, event: bytes) -> None:
-        """Sends an event."""
+    async def send_event(self, event: bytes) -> None:
+        """Sends an event of a stream."""
 
-    async def finish(self) -> None:
+    async def finish_stream(self) -> None:
         """Ends a stream that is complete."""
 
 
 class EvidenceSink(Protocol):
-    """Where what speaks for or against a version goes."""
+    """Receives evidence for or against a version of a service."""
 
     def add_answer(
         self,
@@ -37,4 +37,12 @@
         upstream: Upstream,
         quality: AnswerQuality,
     ) -> None:
-        """Takes an answer."""
+        """Records the quality of an answer.
+
+        Args:
+            service: The service that answered.
+            route: Name of the request's route.
+            assignment: Version to which the request was assigned.
+            upstream: The upstream that answered.
+            quality: Quality of the answer.
+        """
--- a/src/lovagestage/gateway/stream_runs.py
+++ b/src/lovagestage/gateway/stream_runs.py
@@ -1,4 +1,4 @@
-"""Requests that are answered with a stream of events."""
+"""Forwards requests that are answered with a stream of events."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from lovagestage.gateway.rollouts import AnswerQuality
 from lovagestage.gateway.runs import (
     MAX_BODY_BYTES,
-    RunParts,
-    add_evidence,
+    RunContext,
     begin_attempt,
-    get_silence_limit_s,
-    limit_wait,
+    get_answer_timeout_s,
     make_exchange,
-    may_repeat_answer,
-    note_failure,
-    note_reading,
+    record_evidence,
+    record_failed_attempt,
+    record_prefill_time,
+    should_retry_answer,
+    wait_with_timeout,
 )
 from lovagestage.gateway.sinks import AnswerSink
 from lovagestage.gateway.streams import EventSplitter
@@ -35,11 +35,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Progress:
-    """What the caller has had, over all runs.
+    """What the caller has received of the stream, over all runs.
 
     Attributes:
-        last_id: Id of the last event that it has; None for none.
-        is_started: Whether it has the head.
+        last_id: Id of the last event that the caller has received, also with an
+            earlier request; None without one.
+        is_started: Whether the head of the stream was sent.
     """
 
     last_id: str | None
@@ -48,54 +49,60 @@
 
 @dataclasses.dataclass(frozen=True)
 class _NextRun:
-    """A run that is to follow one that ended without an answer to keep."""
+    """The run that follows one whose answer is not forwarded."""
 
     model: str | None
 
 
 async def forward_stream(
-    parts: RunParts, attempts: Attempts, sink: AnswerSink
+    context: RunContext, attempts: Attempts, sink: AnswerSink
 ) -> None:
-    """Runs a request until its stream is complete.
+    """Sends a request to upstreams until its stream is complete.
 
-    A run that breaks off is followed by one at another upstream, which goes
-    on after the last whole event that the caller has.
+    If a run breaks off, the next one at another upstream continues after the
+    last complete event that the caller has received.
+
+    Args:
+        context: Dependencies of the run.
+        attempts: Attempts of the request.
+        sink: Receives the stream.
 
     Raises:
-        GatewayRefusalError: It has no answer of an upstream.
-        AttemptFailedError: It broke off after it had begun.
+        GatewayRefusalError: No upstream gave an answer that can be forwarded.
+        AttemptFailedError: The stream broke off after it had started and may
+            not be continued.
     """
     admitted = attempts.admitted
     model = get_first_model(admitted.route, admitted.request)
     progress = _Progress(admitted.request.resume_after, False)
     while True:
-        upstream = await begin_attempt(parts, attempts, model)
-        run = _StreamRun(parts, attempts, upstream, model, progress, sink)
+        upstream = await begin_attempt(context, attempts, model)
+        run = _StreamRun(context, attempts, upstream, model, progress, sink)
         try:
-            following = await run.run()
+            next_run = await run.run()
         except AttemptFailedError as error:
             progress = run.progress
-            note_failure(parts, attempts, upstream, error)
+            record_failed_attempt(context, attempts, upstream, error)
             if attempts.may_repeat():
                 continue
             if progress.is_started:
                 raise
             raise attempts.make_refusal(error.reason) from error
-        if following is None:
+        if next_run is None:
             return
-        model = following.model
+        model = next_run.model
 
 
 class _StreamRun:
-    """One run of a stream.
+    """One run of a stream at one upstream.
 
     Attributes:
-        progress: What the caller has had after it.
+        progress: What the caller has received, this run included.
     """
 
     def __init__(
         self,
-        parts: RunParts,
+        context: RunContext,
         attempts: Attempts,
         upstream: Upstream,
         model: str | None,
@@ -103,62 +110,65 @@
         sink: AnswerSink,
     ) -> None:
         self.progress = progress
-        self._parts = parts
+        self._context = context
         self._attempts = attempts
         self._upstream = upstream
         self._model = model
         self._sink = sink
         self._splitter = EventSplitter()
         self._started_s = asyncio.get_running_loop().time()
-        self._is_first = True
+        self._awaits_first_event = True
 
     async def run(self) -> _NextRun | None:
-        """Runs it.
+        """Sends the request to the upstream and forwards its answer.
 
         Returns:
-            The run that is to follow; None where the caller has its answer.
+            The run that is to follow; None if the caller has its answer.
 
         Raises:
-            AttemptFailedError: It broke off.
+            AttemptFailedError: The answer did not come in time, is invalid or
+                broke off.
         """
         attempts = self._attempts
-        limit_s = get_silence_limit_s(self._parts, attempts, self._model)
+        limit_s = get_answer_timeout_s(self._context, attempts, self._model)
         async with make_exchange(
-            self._parts,
+            self._context,
             attempts,
             self._upstream,
             self._model,
             self.progress.last_id,
         ) as exchange:
-            head = await limit_wait(attempts, exchange.fetch_head(), limit_s)
+            head = await wait_with_timeout(
+                attempts, exchange.fetch_head(), limit_s
+            )
             attempts.note_head(exchange.connect_s, exchange.head_s)
             if head.status >= 300:
-                return await self._pass_failure(exchange, head)
-            larger = self._get_larger_model(head)
-            if larger is not None:
-                return _NextRun(larger)
-            limit_s -= self._get_time_s()
-            await self._pass_events(exchange, head, limit_s)
+                return await self._forward_failure(exchange, head)
+            larger_model = self._get_larger_model(head)
+            if larger_model is not None:
+                return _NextRun(larger_model)
+            limit_s -= self._get_run_time_s()
+            await self._forward_events(exchange, head, limit_s)
         return None
 
-    async def _pass_failure(
+    async def _forward_failure(
         self, exchange: Exchange, head: AnswerHead
     ) -> _NextRun | None:
         attempts = self._attempts
-        body = await limit_wait(
+        body = await wait_with_timeout(
             attempts, exchange.fetch_body(MAX_BODY_BYTES), attempts.left_s
         )
         failed = head.status >= 500
         self._upstream.performance.note_answer(failed)
         if failed:
-            add_evidence(
-                self._parts, attempts, self._upstream, AnswerQuality.FAILED
+            record_evidence(
+                self._context, attempts, self._upstream, AnswerQuality.FAILED
             )
-            if may_repeat_answer(attempts, self._upstream, head.status):
+            if should_retry_answer(attempts, self._upstream, head.status):
                 return _NextRun(self._model)
         if self.progress.is_started:
             raise AttemptFailedError("failed", RunState.RAN, at_fault=False)
-        await self._sink.send_whole(head, body)
+        await self._sink.send_answer(head, body)
         return None
 
     def _get_larger_model(self, head: AnswerHead) -> str | None:
@@ -166,80 +176,82 @@
         if self.progress.is_started:
             return None
         route = attempts.admitted.route
-        pressure = self._parts.gauge.get_pressure(
+        load = self._context.gauge.get_pressure(
             attempts.get_least_wait_s(), route.aim_s
         )
-        larger = get_larger_model(
+        larger_model = get_larger_model(
             route,
             self._model,
             head.confidence,
             attempts.admitted.request.prompt_tokens,
-            pressure,
+            load,
             attempts.left_ratio,
         )
-        if larger is None or not attempts.may_escalate():
+        if larger_model is None or not attempts.may_escalate():
             return None
         _log.info(
             "request_escalated",
             extra={
                 "request": attempts.admitted.request.id,
                 "confidence": head.confidence,
-                "pressure": round(pressure, 2),
-                "model": larger,
+                "pressure": round(load, 2),
+                "model": larger_model,
             },
         )
-        return larger
+        return larger_model
 
-    async def _pass_events(
+    async def _forward_events(
         self, exchange: Exchange, head: AnswerHead, limit_s: float
     ) -> None:
         attempts = self._attempts
-        gap_s = attempts.admitted.route.gap_s
+        event_timeout_s = attempts.admitted.route.gap_s
         while True:
             limit_s = min(limit_s, attempts.left_s)
-            part = await limit_wait(attempts, exchange.fetch_part(), limit_s)
-            if part is None:
+            chunk = await wait_with_timeout(
+                attempts, exchange.fetch_chunk(), limit_s
+            )
+            if chunk is None:
                 break
-            for event in self._splitter.split(part):
-                await self._pass_event(exchange, head, event)
-                limit_s = gap_s
-        if self._splitter.has_rest:
+            for event in self._splitter.split(chunk):
+                await self._forward_event(exchange, head, event)
+                limit_s = event_timeout_s
+        if self._splitter.has_incomplete_event:
             raise AttemptFailedError("event_broken", RunState.RAN)
         self._upstream.performance.note_answer(False)
-        self._parts.suspects.note_answered(
+        self._context.suspects.note_answered(
             attempts.fingerprint, attempts.run_name
         )
         if not self.progress.is_started:
-            await self._sink.start(head)
-        await self._sink.finish()
+            await self._sink.start_stream(head)
+        await self._sink.finish_stream()
 
-    async def _pass_event(
+    async def _forward_event(
         self, exchange: Exchange, head: AnswerHead, event: bytes
     ) -> None:
-        if self._is_first:
-            self._is_first = False
-            exchange.note_begun(self._get_time_s())
-            self._note_first_event()
+        if self._awaits_first_event:
+            self._awaits_first_event = False
+            exchange.record_answer_start(self._get_run_time_s())
+            self._record_first_event()
         if not self.progress.is_started:
-            await self._sink.start(head)
-        await self._sink.send(event)
+            await self._sink.start_stream(head)
+        await self._sink.send_event(event)
         last_id = decode_event(event) or self.progress.last_id
         self.progress = _Progress(last_id, True)
 
-    def _get_time_s(self) -> float:
+    def _get_run_time_s(self) -> float:
         return asyncio.get_running_loop().time() - self._started_s
 
-    def _note_first_event(self) -> None:
-        parts, attempts = self._parts, self._attempts
-        route, time_s = attempts.admitted.route, self._get_time_s()
+    def _record_first_event(self) -> None:
+        context, attempts = self._context, self._attempts
+        route, time_s = attempts.admitted.route, self._get_run_time_s()
         kind = (route.name, self._model)
-        is_slow = parts.latency.is_slow(kind, time_s, attempts.extra_s)
+        is_slow = context.latency.is_slow(kind, time_s, attempts.extra_s)
         quality = AnswerQuality.SLOW if is_slow else AnswerQuality.GOOD
-        add_evidence(parts, attempts, self._upstream, quality)
+        record_evidence(context, attempts, self._upstream, quality)
         if not attempts.assignment.is_new:
-            parts.latency.add(kind, time_s)
-            note_reading(parts, attempts, time_s)
-        parts.gauge.add(time_s, route.aim_s)
+            context.latency.add(kind, time_s)
+            record_prefill_time(context, attempts, time_s)
+        context.gauge.add(time_s, route.aim_s)
         if attempts.first_event_s is None:
             now_s = asyncio.get_running_loop().time()
             attempts.first_event_s = now_s - attempts.admitted.request.arrived_s
--- a/src/lovagestage/gateway/streams.py
+++ b/src/lovagestage/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Events of a stream."""
+"""Splits an upstream's byte stream into server-sent events."""
 
 from __future__ import annotations
 
@@ -8,38 +8,45 @@
 from lovagestage.types import RunState
 
 MAX_EVENT_BYTES = 256 * 1024
-"""Longest event; what an upstream sends without an end is no event."""
-_END = re.compile(rb"\r?\n\r?\n")
+"""Longest event in bytes. Longer data without an event end is treated as a
+failure of the upstream, so that it cannot fill the memory."""
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
 
 
 class EventSplitter:
-    """Cuts a stream into whole events.
+    """Splits a byte stream into complete events.
 
-    Only whole events are passed on: an upstream may stop in the middle of
-    one, and the next run sends that event again from its start.
+    Only complete events are forwarded: an upstream may stop in the middle of an
+    event, and the next run sends that event again from its start.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
-    def has_rest(self) -> bool:
-        """Whether an event has begun and not ended."""
-        return bool(self._rest.strip())
+    def has_incomplete_event(self) -> bool:
+        """Whether an event has started and not ended."""
+        return bool(self._buffer.strip())
 
     def split(self, data: bytes) -> list[bytes]:
-        """Takes bytes; returns the events that they complete.
+        """Adds received bytes and returns the events that they complete.
+
+        Args:
+            data: Bytes received from the upstream.
+
+        Returns:
+            The complete events, each with its terminating blank line.
 
         Raises:
-            AttemptFailedError: An event is longer than any should be.
+            AttemptFailedError: An event exceeds `MAX_EVENT_BYTES`.
         """
-        self._rest += data
+        self._buffer += data
         events = []
         start = 0
-        for end in _END.finditer(self._rest):
-            events.append(self._rest[start : end.end()])
+        for end in _EVENT_END.finditer(self._buffer):
+            events.append(self._buffer[start : end.end()])
             start = end.end()
-        self._rest = self._rest[start:]
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer = self._buffer[start:]
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise AttemptFailedError("event_too_long", RunState.RAN)
         return events
--- a/src/lovagestage/gateway/wiring.py
+++ b/src/lovagestage/gateway/wiring.py
@@ -1,4 +1,4 @@
-"""Composition root of a gateway: builds its parts and connects them."""
+"""Composition root of a gateway: creates its components and connects them."""
 
 from __future__ import annotations
 
@@ -55,48 +55,58 @@
 )
 from lovagestage.timers import TimerService
 
-WAIT_RATIO = 0.7
-"""The store holds a read for this part of the time in which what it waits for
-must be in force. A change arrives at once; the store does not always wake a
-read that waits, and then the next one finds the change in time."""
-TRUST_WAIT_RATIO = 0.3
-"""The same as part of the time for which keys may be relied on, where that is
-shorter. A read that returns records proves nothing later than its sending, so
-that the proof is two waits old when the store is lost at the end of the next
-one, and callers must be served for a while from then on."""
-OWED_RATIO = 0.6
-"""Part of the time for which keys may be relied on that must be left when the
-store is lost: callers with a key are owed service for so long after it."""
+LONG_POLL_RATIO = 0.7
+"""Time for which the store holds a long poll, as a share of the time in which a
+change must be in force. A change normally ends the poll immediately. The store
+does not always wake a waiting read, and then the next read still finds the
+change in time."""
+FRESHNESS_POLL_RATIO = 0.3
+"""Time for which the store holds a read of the operators' topic, as a share of
+the time for which keys may be relied on. It applies if it is shorter than the
+time above. A read that returns records confirms the state only as of its
+sending. The last confirmation is therefore two waits old if the store is lost
+at the end of the next poll, and callers must still be served for a while after
+that."""
+OUTAGE_SERVICE_RATIO = 0.6
+"""Share of the time for which keys may be relied on that must be left when the
+store becomes unavailable. Requests with a key must be served for that long
+afterwards."""
 MIN_RELAY_BOUND_S = 0.5
-"""Where less is left, followers would ask more than ten times a second: each
-gateway reads the store for itself."""
-OPERATOR_PAUSE_S = 0.2
-"""Configurations come in storms of several a second; a tenth of the time in
-which one must be in force."""
-UPSTREAM_PAUSE_RATIO = 0.25
-"""Pause as part of the time for which a leaving upstream still serves. A
-release changes many within seconds, and each change would wake every gateway
-that reads for itself."""
-NOTES_WAIT_S = 10.0
-"""Notes are rare; a read costs a call whenever it ends."""
-NOTES_PAUSE_S = 1.0
-"""Evidence comes from all gateways within moments; a verdict has seconds, and
-the time in which going sessions are told is longer."""
+"""Shortest relay bound in seconds. With a shorter one, followers would query
+their watcher more than ten times a second, so each gateway reads the store
+itself."""
+OPERATOR_READ_PAUSE_S = 0.2
+"""Pause in seconds after records of the operators' topic. Configurations come
+in bursts of several a second, and the pause makes such records share a read. It
+is a tenth of the time in which a configuration must be in force."""
+UPSTREAM_READ_PAUSE_RATIO = 0.25
+"""Pause after records of the upstreams' topic, as a share of the time for which
+a draining upstream still serves. A release changes many upstreams within
+seconds, and without the pause each change would wake every gateway that reads
+the store itself."""
+PEER_MESSAGES_POLL_S = 10.0
+"""Time in seconds for which the store holds a read of the peer messages. Peer
+messages are rare, and each read that ends costs a call."""
+PEER_MESSAGES_READ_PAUSE_S = 1.0
+"""Pause in seconds after records of the peer messages. All gateways report
+evidence within moments and a verdict may take seconds. Gateways also have
+longer than this to send their ongoing sessions to each other."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Parts:
-    """What a gateway's process runs and asks.
+class Components:
+    """Components that a gateway process starts and calls.
 
     Attributes:
-        deployment: What the gateway believes.
-        pool: Kept connections to upstreams.
-        rollouts: Follows the roll-outs.
-        forwarder: Runs requests.
-        upstream_feed: Reads the upstreams' entries.
-        service: Answers callers.
-        timers: Calls subscribers.
-        services: What is started, in order, with the above among them.
+        deployment: Deployment state as this gateway knows it.
+        pool: Pooled connections to upstreams.
+        rollouts: Tracks the roll-outs.
+        forwarder: Runs requests on upstreams.
+        upstream_feed: Reads the upstreams' entries from the store.
+        service: Handles callers' requests.
+        timers: Calls subscribers periodically.
+        services: Background services in the order in which they are started,
+            including those among the components above.
     """
 
     deployment: Deployment
@@ -109,13 +119,15 @@
     services: tuple[mode.Service, ...]
 
 
-def make_parts(settings: GatewaySettings, exposition: Exposition) -> Parts:
-    """Builds all parts; nothing is started."""
+def make_components(
+    settings: GatewaySettings, exposition: Exposition
+) -> Components:
+    """Creates all components without starting any."""
     rng = random.Random()
     bounds = settings.bounds
     make_store = functools.partial(_make_store, settings, exposition)
     socket = _make_peer_socket(settings, exposition)
-    guard = WarmupGuard(
+    warmup_guard = WarmupGuard(
         ZoneDealers(),
         settings.zone,
         None if socket is None else socket.own,
@@ -125,7 +137,7 @@
     deployment = Deployment(
         Trust(bounds.revoke_s, bounds.apply_s),
         SessionPins(bounds.session_s),
-        guard,
+        warmup_guard,
     )
     deployment.regions = settings.regions
     gossip = _make_gossip(settings, deployment, socket)
@@ -141,9 +153,9 @@
     rollouts.set_mailbox(mailbox)
     suspects = SuspectWatch(mailbox.post)
     if socket is not None and gossip is not None:
-        mailbox.subscribe(HelloNote, _make_greeter(socket, gossip))
+        mailbox.subscribe(HelloNote, _make_hello_handler(socket, gossip))
     relay = _make_relay(settings, socket, exposition)
-    _subscribe(mailbox, rollouts, suspects)
+    _subscribe_to_peer_messages(mailbox, rollouts, suspects)
     pool = ConnectionPool()
     forwarder = Forwarder(
         settings,
@@ -156,22 +168,22 @@
     )
     cold_start = ColdStart(lambda: operator_feed.is_beginning)
     store_return = StoreReturn()
-    operator_beliefs = OperatorBeliefs(
+    operator_state = OperatorBeliefs(
         deployment,
         rollouts.on_order,
         _make_configuration_listener(socket, cold_start),
     )
     operator_feed = _make_operator_feed(
-        make_store(), bounds, operator_beliefs, rng, store_return, relay
+        make_store(), bounds, operator_state, rng, store_return, relay
     )
     upstream_feed = _make_upstream_feed(
         make_store(), bounds, deployment, rng, store_return, relay
     )
-    notes_feed = _make_notes_feed(
+    peer_messages_feed = _make_peer_messages_feed(
         make_store(), mailbox, rng, store_return, relay
     )
     if relay is not None:
-        for feed in (operator_feed, upstream_feed, notes_feed):
+        for feed in (operator_feed, upstream_feed, peer_messages_feed):
             relay.add_source(feed)
     _add_gauges(exposition, deployment, socket, operator_feed)
     timers = TimerService()
@@ -181,11 +193,11 @@
         *(each for each in peer_services if each is not None),
         operator_feed,
         upstream_feed,
-        notes_feed,
+        peer_messages_feed,
         mailbox,
         rollouts,
     )
-    return Parts(
+    return Components(
         deployment,
         pool,
         rollouts,
@@ -200,30 +212,34 @@
 def _make_configuration_listener(
     socket: PeerSocket | None, cold_start: ColdStart
 ) -> Callable[[int, bytes], None]:
-    def note(version: int, configuration: bytes) -> None:
-        cold_start.end()
+    def on_configuration(version: int, configuration: bytes) -> None:
+        cold_start.set_configured()
         if socket is not None:
             socket.add_key(version, configuration)
 
-    return note
+    return on_configuration
 
 
 def _make_store(
     settings: GatewaySettings, exposition: Exposition
 ) -> StoreClient:
-    """A client of its own for each part: calls on one wait for each other."""
+    """Creates a store client for one component.
+
+    Calls on one client wait for each other, so components do not share a
+    client.
+    """
 
-    def note(call: CallEnd) -> None:
+    def record_call(call: CallEnd) -> None:
         labels = f'call="{call.kind.value}"'
         outcome = f'{labels},outcome="{call.outcome.value}"'
         exposition.count(Series.STORE_CALLS, outcome)
         if call.received_bytes:
             exposition.count(Series.STORE_BYTES, outcome, call.received_bytes)
-        has_waited = call.kind is CallKind.WAITING_READ
-        if call.outcome is CallOutcome.ANSWERED and not has_waited:
+        is_long_poll = call.kind is CallKind.WAITING_READ
+        if call.outcome is CallOutcome.ANSWERED and not is_long_poll:
             exposition.observe(Series.STORE_CALL_S, labels, call.time_s)
 
-    return StoreClient(settings.store_address, note)
+    return StoreClient(settings.store_address, record_call)
 
 
 def _add_gauges(
@@ -250,7 +266,7 @@
         exposition.add_gauge(Series.PEERS, lambda: len(socket.peers))
 
 
-def _subscribe(
+def _subscribe_to_peer_messages(
     mailbox: Mailbox, rollouts: RolloutService, suspects: SuspectWatch
 ) -> None:
     mailbox.subscribe(CrashReport, suspects.on_report)
@@ -268,15 +284,15 @@
     return PeerSocket(settings.peer_address, exposition)
 
 
-def _make_greeter(
+def _make_hello_handler(
     socket: PeerSocket, gossip: Gossip
 ) -> Callable[[HelloNote], None]:
-    def greet(note: HelloNote) -> None:
+    def on_hello(note: HelloNote) -> None:
         peer = socket.add_peer(note.peer_address)
         if peer is not None and note.zone:
             gossip.note_zone(peer, note.zone)
 
-    return greet
+    return on_hello
 
 
 def _make_gossip(
@@ -301,33 +317,39 @@
 
 
 def get_relay_bound_s(bounds: Bounds) -> float:
-    """Time within which a change must be in force at followers.
+    """Returns the time in seconds in which followers must apply a change.
 
-    A proof that a watcher tells is older than one's own, and keys are relied
-    on only as long as it is young: it must not be so old that callers are
-    refused soon after the store is lost.
+    A freshness confirmation that a watcher reports is older than one from a
+    gateway's own read, and keys are relied on only as long as it is young. The
+    bound keeps it from being so old that callers are refused soon after the
+    store becomes unavailable.
     """
-    oldest_s = (1.0 - OWED_RATIO) * bounds.revoke_s - MARGIN_S - SLACK_S
+    max_age_s = (
+        (1.0 - OUTAGE_SERVICE_RATIO) * bounds.revoke_s - MARGIN_S - SLACK_S
+    )
     return min(
         bounds.apply_s,
         bounds.drain_s,
         bounds.evacuate_s,
-        oldest_s / (WATCH_RATIO + PERIOD_RATIO),
+        max_age_s / (WATCH_RATIO + PERIOD_RATIO),
     )
 
 
 def get_operator_wait_s(bounds: Bounds) -> float:
-    """Time for which the store holds a read of the operators' topic."""
+    """Returns the time in seconds for which the store holds operator reads.
+
+    These are the reads of the operators' topic.
+    """
     return min(
-        WAIT_RATIO * min(bounds.apply_s, bounds.evacuate_s),
-        TRUST_WAIT_RATIO * bounds.revoke_s,
+        LONG_POLL_RATIO * min(bounds.apply_s, bounds.evacuate_s),
+        FRESHNESS_POLL_RATIO * bounds.revoke_s,
     )
 
 
 def _make_operator_feed(
     store: StoreClient,
     bounds: Bounds,
-    beliefs: OperatorBeliefs,
+    state: OperatorBeliefs,
     rng: random.Random,
     store_return: StoreReturn,
     relay: Relay | None,
@@ -335,9 +357,9 @@
     return TopicFeed(
         store,
         TopicReading(
-            OPERATOR_TOPIC, get_operator_wait_s(bounds), OPERATOR_PAUSE_S
+            OPERATOR_TOPIC, get_operator_wait_s(bounds), OPERATOR_READ_PAUSE_S
         ),
-        beliefs,
+        state,
         rng,
         store_return,
         relay,
@@ -352,25 +374,25 @@
     store_return: StoreReturn,
     relay: Relay | None,
 ) -> TopicFeed:
-    beliefs = UpstreamBeliefs(deployment)
+    state = UpstreamBeliefs(deployment)
     feed = TopicFeed(
         store,
         TopicReading(
             UPSTREAM_TOPIC,
-            WAIT_RATIO * bounds.drain_s,
-            UPSTREAM_PAUSE_RATIO * bounds.drain_s,
+            LONG_POLL_RATIO * bounds.drain_s,
+            UPSTREAM_READ_PAUSE_RATIO * bounds.drain_s,
             is_told=True,
         ),
-        beliefs,
+        state,
         rng,
         store_return,
         relay,
     )
-    beliefs.set_source(feed)
+    state.set_source(feed)
     return feed
 
 
-def _make_notes_feed(
+def _make_peer_messages_feed(
     store: StoreClient,
     mailbox: Mailbox,
     rng: random.Random,
@@ -381,10 +403,10 @@
         store,
         TopicReading(
             TOPIC,
-            NOTES_WAIT_S,
-            NOTES_PAUSE_S,
+            PEER_MESSAGES_POLL_S,
+            PEER_MESSAGES_READ_PAUSE_S,
             is_keyed=False,
-            watch_wait_s=NOTES_WAIT_S,
+            watch_wait_s=PEER_MESSAGES_POLL_S,
             is_told=True,
             is_timely=False,
         ),
--- a/tests/test_gateway_callers.py
+++ b/tests/test_gateway_callers.py
@@ -150,12 +150,12 @@
 async def test_caller_that_sends_slowly_has_its_time(monkeypatch):
     # Guards against a caller on a narrow link whose body is refused for the
     # time that it takes, again and again, though its deadline is not over.
-    monkeypatch.setattr(server, "BODY_SILENCE_S", 0.3)
+    monkeypatch.setattr(server, "BODY_INACTIVITY_TIMEOUT_S", 0.3)
     async with run_stage() as stage:
         assert await send_slowly(stage, 8, 0.1) == 200
 
 
 async def test_caller_that_stalls_within_its_body_is_refused(monkeypatch):
-    monkeypatch.setattr(server, "BODY_SILENCE_S", 0.3)
+    monkeypatch.setattr(server, "BODY_INACTIVITY_TIMEOUT_S", 0.3)
     async with run_stage() as stage:
         assert await send_slowly(stage, 2, 0.6) == 408
--- a/tests/test_gateway_loglines.py
+++ b/tests/test_gateway_loglines.py
@@ -11,7 +11,7 @@
 from lovagestage.gateway.exposition import Exposition, Series
 from lovagestage.gateway.loglines import (
     BURST_LINES,
-    MAX_WAITING_BYTES,
+    MAX_BUFFERED_BYTES,
     LineHandler,
 )
 from lovagestage.telemetry.logs import KeyValueFormatter
@@ -64,7 +64,7 @@
     assert len(lines) == BURST_LINES + 2
     assert "store_lost" in lines[-2]
     assert f"left_out={5000 - int(BURST_LINES)}" in lines[-1]
-    name = Series.LINES_LEFT_OUT.value.name
+    name = Series.LINES_DROPPED.value.name
     assert f"{name}{{}} 4880" in exposition.format_text()
 
 
@@ -79,7 +79,7 @@
         for _ in range(20):
             handler.emit(make_record("x" * 100, float(second)))
     assert loop.time() - started_s < 2.0
-    assert handler._waiting_bytes <= MAX_WAITING_BYTES
+    assert handler._buffered_bytes <= MAX_BUFFERED_BYTES
     total = 0
     for _ in range(200):
         await asyncio.sleep(0)
@@ -87,8 +87,8 @@
             total += len(os.read(reader, 1 << 16))
         except BlockingIOError:
             await asyncio.sleep(0.002)
-    assert total > MAX_WAITING_BYTES
-    assert handler._waiting_bytes == 0
+    assert total > MAX_BUFFERED_BYTES
+    assert handler._buffered_bytes == 0
 
 
 def test_histograms_are_cumulative():
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -70,7 +70,7 @@
     # A counter that is rounded stands still and then jumps: rates worked out
     # from it are nothing, and then far too high.
     exposition = Exposition()
-    exposition.count(Series.ATTEMPTS, by=123_456_789)
+    exposition.count(Series.ATTEMPTS, amount=123_456_789)
     samples = parse(exposition.format_text())
     assert samples[f"{PREFIX}attempts_total", ()] == 123_456_789
 
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -17,7 +17,7 @@
 from lovagestage.gateway.exposition import Exposition
 from lovagestage.gateway.feeds import SILENCE_S
 from lovagestage.gateway.listeners import open_listener
-from lovagestage.gateway.process import COLD_WAIT_S, Gateway
+from lovagestage.gateway.process import STARTUP_WAIT_S, Gateway
 from lovagestage.platform.settings import decode_settings
 from tests.gateway_stage import (
     Stage,
@@ -107,7 +107,7 @@
         reply, took_s = await send_before_start(stage, nobody.getsockname()[1])
     assert reply.status == 503
     assert "retry-after" in reply.headers
-    assert took_s < COLD_WAIT_S + ANSWER_LIMIT_S
+    assert took_s < STARTUP_WAIT_S + ANSWER_LIMIT_S
 
 
 async def test_caller_waits_for_a_configuration_that_is_arriving():
@@ -121,7 +121,7 @@
     worker = await stage.add_worker("w1")
     stage.store.faults.bytes_per_s = 130_000.0
     reply, took_s = await send_before_start(stage, store_port)
-    assert took_s > COLD_WAIT_S
+    assert took_s > STARTUP_WAIT_S
     assert reply.status == 200
     await worker.stop()
     await runner.cleanup()
