--- a/src/lovagestage/gateway/cold_start.py
+++ b/src/lovagestage/gateway/cold_start.py
@@ -21,7 +21,7 @@
 another gateway."""
 
 
-class ColdStart:
+class StartupGate:
     """Makes requests wait while the first configuration is being received.
 
     Args:
--- a/src/lovagestage/gateway/exposition.py
+++ b/src/lovagestage/gateway/exposition.py
@@ -124,7 +124,7 @@
         SeriesKind.GAUGE,
         "Time for which a newer configuration has been known but not read.",
     )
-    PROOF_AGE_S = SeriesSpec(
+    FRESHNESS_CHECK_AGE_S = SeriesSpec(
         "proof_age_seconds",
         SeriesKind.GAUGE,
         "Age of the latest confirmation that no newer configuration existed.",
--- a/src/lovagestage/gateway/service.py
+++ b/src/lovagestage/gateway/service.py
@@ -10,7 +10,7 @@
 from lovagestage.gateway.admission import COME_BACK_S, Admitted, admit
 from lovagestage.gateway.attempts import Attempts
 from lovagestage.gateway.clocks import get_elapsed_s
-from lovagestage.gateway.cold_start import ColdStart
+from lovagestage.gateway.cold_start import StartupGate
 from lovagestage.gateway.configuration import ClientLimits, RouteKind
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.exposition import Exposition, Series
@@ -30,7 +30,7 @@
         deployment: Configuration and upstreams that are in force.
         forwarder: Runs requests on upstreams.
         exposition: Collects the metrics.
-        cold_start: Makes the first callers wait for a configuration.
+        startup_gate: Makes the first callers wait for a configuration.
     """
 
     def __init__(
@@ -38,12 +38,12 @@
         deployment: Deployment,
         forwarder: Forwarder,
         exposition: Exposition,
-        cold_start: ColdStart,
+        startup_gate: StartupGate,
     ) -> None:
         self._deployment = deployment
         self._forwarder = forwarder
         self._exposition = exposition
-        self._cold_start = cold_start
+        self._startup_gate = startup_gate
         self._accepts_streams = True
 
     def refuse_streams(self) -> None:
@@ -73,7 +73,7 @@
         Raises:
             AttemptFailedError: A stream broke off after it had started.
         """
-        await self._cold_start.wait_for_configuration(request.budget_s)
+        await self._startup_gate.wait_for_configuration(request.budget_s)
         try:
             admitted = self._admit(request)
         except GatewayRefusalError as refusal:
--- a/src/lovagestage/gateway/wiring.py
+++ b/src/lovagestage/gateway/wiring.py
@@ -13,7 +13,7 @@
 from lovagestage.decisions.warmup import ZoneDealers
 from lovagestage.gateway.beliefs import OperatorBeliefs, UpstreamBeliefs
 from lovagestage.gateway.clocks import get_elapsed_s
-from lovagestage.gateway.cold_start import ColdStart
+from lovagestage.gateway.cold_start import StartupGate
 from lovagestage.gateway.connections import ConnectionPool
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.exposition import Exposition, Series
@@ -166,12 +166,12 @@
         rng,
         lambda: None if socket is None else len(socket.peers) + 1,
     )
-    cold_start = ColdStart(lambda: operator_feed.is_beginning)
+    startup_gate = StartupGate(lambda: operator_feed.is_beginning)
     store_return = StoreReturn()
     operator_state = OperatorBeliefs(
         deployment,
         rollouts.on_order,
-        _make_configuration_listener(socket, cold_start),
+        _make_configuration_listener(socket, startup_gate),
     )
     operator_feed = _make_operator_feed(
         make_store(), bounds, operator_state, rng, store_return, relay
@@ -203,17 +203,17 @@
         rollouts,
         forwarder,
         upstream_feed,
-        GatewayService(deployment, forwarder, exposition, cold_start),
+        GatewayService(deployment, forwarder, exposition, startup_gate),
         timers,
         services,
     )
 
 
 def _make_configuration_listener(
-    socket: PeerSocket | None, cold_start: ColdStart
+    socket: PeerSocket | None, startup_gate: StartupGate
 ) -> Callable[[int, bytes], None]:
     def on_configuration(version: int, configuration: bytes) -> None:
-        cold_start.set_configured()
+        startup_gate.set_configured()
         if socket is not None:
             socket.add_key(version, configuration)
 
@@ -255,7 +255,7 @@
         Series.EVACUATED_ZONES, lambda: len(deployment.evacuations)
     )
     exposition.add_gauge(
-        Series.PROOF_AGE_S,
+        Series.FRESHNESS_CHECK_AGE_S,
         lambda: deployment.trust.get_age_s(get_elapsed_s()),
     )
     exposition.add_gauge(
--- a/tests/gateway_stage.py
+++ b/tests/gateway_stage.py
@@ -1,4 +1,4 @@
-"""A gateway between a store and workers that tests script."""
+"""Test harness: a gateway with a metadata store and scripted workers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 }
 
 
-def make_route(name, kind="safe", **more):
+def make_route(name, kind="safe", **fields):
     return {
         "Name": f"r-{name}",
         "Hostname": HOST,
@@ -41,7 +41,7 @@
         "Service": "pool",
         "MaxAttempts": 1 if kind == "unsafe" else 3,
         "Public": False,
-        **more,
+        **fields,
     }
 
 
@@ -90,8 +90,8 @@
     return caller.make_request(path, key=key, **fields)
 
 
-class Stage:
-    """The running parts."""
+class GatewayHarness:
+    """A store, workers and a gateway that run in this process."""
 
     def __init__(self):
         self.store = MetadataStore()
@@ -154,35 +154,37 @@
 
 @contextlib.asynccontextmanager
 async def run_stage(workers=2, script=None, more="", **configuration):
-    """A stage whose gateway is ready, with workers `w1`, `w2` and so on."""
-    stage = Stage()
-    runner, store_port = await start_app(stage.store.make_app(), "127.0.0.1", 0)
-    stage.put_configuration(**configuration)
+    """Yields a harness with a ready gateway and workers `w1`, `w2` etc."""
+    harness = GatewayHarness()
+    runner, store_port = await start_app(
+        harness.store.make_app(), "127.0.0.1", 0
+    )
+    harness.put_configuration(**configuration)
     for number in range(workers):
-        await stage.add_worker(f"w{number + 1}", script)
+        await harness.add_worker(f"w{number + 1}", script)
     text = make_settings_text(
-        stage.client_port, stage.readiness_port, store_port
+        harness.client_port, harness.readiness_port, store_port
     )
     text += f"\nIp=127.0.0.1\nPortRange={get_free_port()},0\n{more}"
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "boot.conf"
         path.write_text(text)
         settings = decode_settings(text, str(path))
-        stage.gateway = Gateway(
+        harness.gateway = Gateway(
             settings,
             path,
             0,
             Exposition(),
             open_listener(settings.client_address),
         )
-        task = asyncio.ensure_future(stage.gateway.run())
+        task = asyncio.ensure_future(harness.gateway.run())
         try:
-            await stage.wait_until(stage.gateway.is_ready)
-            yield stage
+            await harness.wait_until(harness.gateway.is_ready)
+            yield harness
         finally:
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await task
-            for worker in stage.workers.values():
+            for worker in harness.workers.values():
                 await worker.stop()
             await runner.cleanup()
--- a/tests/test_gateway_callers.py
+++ b/tests/test_gateway_callers.py
@@ -1,4 +1,4 @@
-"""What callers send that must not be passed on, and how it is answered."""
+"""Caller requests that must not be forwarded, and the gateway's answers."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 HEAD = f"Host: {HOST}\r\nAttempt-Id: a1\r\nAuthorization: Token {KEY}\r\n"
 
 
-async def send_raw(stage, data):
-    reader, writer = await stage.connect()
+async def send_raw(harness, data):
+    reader, writer = await harness.connect()
     writer.write(data)
     try:
         reply = await asyncio.wait_for(read_reply(reader), 4.0)
@@ -29,8 +29,8 @@
         writer.close()
 
 
-def count_arrivals(stage):
-    return sum(len(w.arrivals) for w in stage.workers.values())
+def count_arrivals(harness):
+    return sum(len(w.arrivals) for w in harness.workers.values())
 
 
 @pytest.mark.parametrize(
@@ -56,44 +56,46 @@
     ],
 )  # fmt: skip
 async def test_refuses_what_is_no_proper_request(data, status):
-    # Not HTTP, no host, two lengths, a length and chunks, bad chunks, an
-    # unknown coding, two keys, a head or body that is too long, a head that
-    # does not end. An upstream must get none of it, and what follows on the
-    # connection belongs to no request.
-    async with run_stage(workers=1) as stage:
-        reply, rest = await send_raw(stage, data)
+    # The cases are: bytes that are not HTTP, a missing host, two lengths, a
+    # length together with chunks, invalid chunks, an unknown transfer coding,
+    # two keys, a head or body that is too long, and a head that does not end.
+    # An upstream must not receive any of these requests, and bytes that follow
+    # on the connection must not be read as a request.
+    async with run_stage(workers=1) as harness:
+        reply, rest = await send_raw(harness, data)
         assert reply.status == status
         assert reply.headers["connection"] == "close"
         assert rest == b""
-        assert count_arrivals(stage) == 0
+        assert count_arrivals(harness) == 0
 
 
 async def test_a_request_within_a_body_stays_in_it():
-    # The body holds a whole request. With the body's length honoured it
-    # reaches the upstream as a body and never as a request.
-    async with run_stage(workers=1) as stage:
+    # Guards against request smuggling: the body contains a complete request. If
+    # the body's length is honoured, it reaches the upstream as a body and never
+    # as a request of its own.
+    async with run_stage(workers=1) as harness:
         inner = make_request("/unsafe/y", request_id="inner")
-        reply = await stage.call("/safe/x", body=inner)
+        reply = await harness.call("/safe/x", body=inner)
         assert reply.status == 200
-        arrivals = stage.workers["w1"].arrivals
+        arrivals = harness.workers["w1"].arrivals
         assert [a.request_id for a in arrivals] == ["a1"]
         assert arrivals[0].body == inner
 
 
 async def test_chunked_bodies_arrive_whole():
-    async with run_stage(workers=1) as stage:
-        reader, writer = await stage.connect()
+    async with run_stage(workers=1) as harness:
+        reader, writer = await harness.connect()
         head = make_request("/safe/x", Transfer_Encoding="chunked")
         writer.write(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
         assert (await read_reply(reader)).status == 200
-        assert stage.workers["w1"].arrivals[0].body == b"abcde"
+        assert harness.workers["w1"].arrivals[0].body == b"abcde"
         writer.close()
 
 
 async def test_requests_follow_each_other_on_a_connection():
-    async with run_stage(workers=1) as stage:
-        reader, writer = await stage.connect()
-        # The second one is sent before the first one is answered.
+    async with run_stage(workers=1) as harness:
+        reader, writer = await harness.connect()
+        # The second request is sent before the first one is answered.
         writer.write(make_request("/safe/x", request_id="a1"))
         writer.write(make_request("/safe/x", request_id="a2"))
         for name in ("a1", "a2"):
@@ -103,10 +105,11 @@
 
 
 async def test_an_idle_connection_is_kept_for_the_time_that_callers_reuse_it():
-    # Callers reuse a connection that was idle for four fifths of the limit;
-    # a close at that moment would lose their request.
-    async with run_stage(workers=1) as stage:
-        reader, writer = await stage.connect()
+    # Callers reuse a connection that was idle for up to four fifths of the
+    # limit. If the gateway closed it at that moment, their request would be
+    # lost.
+    async with run_stage(workers=1) as harness:
+        reader, writer = await harness.connect()
         writer.write(make_request("/safe/x", request_id="a1"))
         await read_reply(reader)
         await asyncio.sleep(1.6)
@@ -118,26 +121,26 @@
 
 @pytest.mark.parametrize(("key", "status"), [("wrong", 401), (None, 401)])
 async def test_refuses_unknown_keys(key, status):
-    async with run_stage(workers=1) as stage:
-        assert (await stage.call("/safe/x", key=key)).status == status
-        assert count_arrivals(stage) == 0
+    async with run_stage(workers=1) as harness:
+        assert (await harness.call("/safe/x", key=key)).status == status
+        assert count_arrivals(harness) == 0
 
 
 async def test_public_routes_need_no_key():
-    async with run_stage(workers=1) as stage:
-        assert (await stage.call("/open/x", key=None)).status == 200
-        headers = stage.workers["w1"].arrivals[0].headers
+    async with run_stage(workers=1) as harness:
+        assert (await harness.call("/open/x", key=None)).status == 200
+        headers = harness.workers["w1"].arrivals[0].headers
         assert "tenant-id" not in headers
 
 
-async def send_slowly(stage, parts, pause_s):
-    """Sends a body in parts until there is an answer; returns its status."""
-    reader, writer = await stage.connect()
-    body = b"y" * 100 * parts
+async def send_slowly(harness, chunks, pause_s):
+    """Sends a body in chunks until there is an answer; returns its status."""
+    reader, writer = await harness.connect()
+    body = b"y" * 100 * chunks
     request = make_request("/safe/x", method="POST", body=body)
     writer.write(request[: -len(body)])
     answer = asyncio.ensure_future(read_reply(reader))
-    for _ in range(parts):
+    for _ in range(chunks):
         await asyncio.wait((answer,), timeout=pause_s)
         if answer.done():
             break
@@ -148,14 +151,15 @@
 
 
 async def test_caller_that_sends_slowly_has_its_time(monkeypatch):
-    # Guards against a caller on a narrow link whose body is refused for the
-    # time that it takes, again and again, though its deadline is not over.
+    # Guards against a caller on a narrow link whose body is refused again and
+    # again because it takes long, although the caller's deadline has not
+    # passed.
     monkeypatch.setattr(server, "BODY_INACTIVITY_TIMEOUT_S", 0.3)
-    async with run_stage() as stage:
-        assert await send_slowly(stage, 8, 0.1) == 200
+    async with run_stage() as harness:
+        assert await send_slowly(harness, 8, 0.1) == 200
 
 
 async def test_caller_that_stalls_within_its_body_is_refused(monkeypatch):
     monkeypatch.setattr(server, "BODY_INACTIVITY_TIMEOUT_S", 0.3)
-    async with run_stage() as stage:
-        assert await send_slowly(stage, 2, 0.6) == 408
+    async with run_stage() as harness:
+        assert await send_slowly(harness, 2, 0.6) == 408
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -1,4 +1,4 @@
-"""Plain requests through a gateway to workers that misbehave."""
+"""Plain requests through a gateway to faulty workers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lab import worker as lab
 from tests.gateway_stage import KEY, run_stage
 
-FORGED = {
+FORGED_HEADERS = {
     "Tenant_Id": "other",
     "Pin_Ms": "4000",
     "Kv_From": "1.2.3.4:5/x",
@@ -23,20 +23,20 @@
 }
 
 
-async def get_only_worker(stage):
-    ran = [w for w in stage.workers.values() if w.started]
-    assert len(ran) == 1
-    return ran[0]
+async def get_only_worker(harness):
+    started_workers = [w for w in harness.workers.values() if w.started]
+    assert len(started_workers) == 1
+    return started_workers[0]
 
 
-def count_runs(stage):
-    return sum(len(w.started) for w in stage.workers.values())
+def count_runs(harness):
+    return sum(len(w.started) for w in harness.workers.values())
 
 
 async def test_passes_an_answer_on_unchanged():
-    async with run_stage() as stage:
-        reply = await stage.call("/safe/x?y=1", body=b"text")
-        worker = await get_only_worker(stage)
+    async with run_stage() as harness:
+        reply = await harness.call("/safe/x?y=1", body=b"text")
+        worker = await get_only_worker(harness)
         arrival = worker.arrivals[0]
         assert (reply.status, reply.body) == (200, b"done")
         assert reply.headers["response-signature"] == lab.SIGNATURE
@@ -49,11 +49,11 @@
 
 async def test_sets_its_own_headers_whatever_the_caller_sends():
     # A caller forges headers that only the system may set. The upstream must
-    # get the workspace of the key, never the key, and none of the forged
-    # values: they would reserve or copy other requests' memory.
-    async with run_stage(workers=1) as stage:
-        await stage.call("/safe/x", body=b"t", **FORGED)
-        headers = stage.workers["w1"].arrivals[0].headers
+    # get the workspace of the key, but neither the key nor any forged value:
+    # forged values would reserve or copy the memory of other requests.
+    async with run_stage(workers=1) as harness:
+        await harness.call("/safe/x", body=b"t", **FORGED_HEADERS)
+        headers = harness.workers["w1"].arrivals[0].headers
         assert headers["tenant-id"] == "clinic"
         assert headers["request-priority"] == "2"
         assert headers["expected-instance"] == "w1"
@@ -66,30 +66,30 @@
 
 @pytest.mark.parametrize("script", [lab.reset, lab.fail, lab.hang])
 async def test_repeats_a_safe_request_elsewhere(script):
-    # The first upstream resets, fails or says nothing. The request may run
-    # again, so the caller gets the other upstream's answer.
-    async with run_stage(workers=0) as stage:
+    # The first upstream resets the connection, fails or sends nothing. The
+    # request may run again, so the caller must get the other upstream's answer.
+    async with run_stage(workers=0) as harness:
         scripts = [script]
 
-        async def run(arrival, writer):
+        async def respond(arrival, writer):
             await (scripts.pop() if scripts else lab.answer_plain)(
                 arrival, writer
             )
 
-        await stage.add_worker("w1", run)
-        await stage.add_worker("w2", run)
-        await stage.wait_until(
-            lambda: len(stage.gateway.deployment.rotation) == 2
+        await harness.add_worker("w1", respond)
+        await harness.add_worker("w2", respond)
+        await harness.wait_until(
+            lambda: len(harness.gateway.deployment.rotation) == 2
         )
-        reply = await stage.call("/safe/x")
-        assert (reply.status, count_runs(stage)) == (200, 2)
+        reply = await harness.call("/safe/x")
+        assert (reply.status, count_runs(harness)) == (200, 2)
 
 
 async def test_tells_each_answer_that_failed_and_what_came_next(caplog):
-    # Both upstreams answer with a failure: the first answer is followed by
-    # another attempt, the second is passed on. Each has its line.
-    async with run_stage(workers=2, script=lab.fail) as stage:
-        reply = await stage.call("/safe/x")
+    # Both upstreams answer with a failure. The first answer is followed by a
+    # retry and the second one is forwarded; each must have its own log line.
+    async with run_stage(workers=2, script=lab.fail) as harness:
+        reply = await harness.call("/safe/x")
         assert reply.status == 500
     lines = [r for r in caplog.records if r.message == "answer_failed"]
     assert [r.next for r in lines] == ["repeat", "pass_on"]
@@ -101,70 +101,74 @@
     ("script", "status"), [(lab.reset, 502), (lab.fail, 500)]
 )
 async def test_never_repeats_an_unsafe_request(script, status):
-    # The upstream resets the connection after it got the request, or fails.
-    # The request may have run, so it is sent nowhere else, and the answer
-    # does not say that it has not run.
-    async with run_stage(script=script) as stage:
-        reply = await stage.call("/unsafe/x", body=b"pay")
-        assert (reply.status, count_runs(stage)) == (status, 1)
+    # The upstream resets the connection after it received the request, or it
+    # fails. The request may have run, so it must not be sent to another
+    # upstream, and the answer must not state that it has not run.
+    async with run_stage(script=script) as harness:
+        reply = await harness.call("/unsafe/x", body=b"pay")
+        assert (reply.status, count_runs(harness)) == (status, 1)
 
 
 async def test_an_unsafe_request_never_meets_a_dropped_connection():
-    # The upstream drops idle connections without notice and resets what comes
-    # on them. A request that must not run twice could then be neither
-    # repeated nor called not run, so it gets a connection of its own.
-    async with run_stage(workers=1) as stage:
-        worker = stage.workers["w1"]
-        await stage.call("/safe/x", request_id="a0")
+    # The upstream drops idle connections without notice and resets them when
+    # data arrives. A request that must not run twice could then neither be
+    # retried nor be reported as not run, so it must get a new connection.
+    async with run_stage(workers=1) as harness:
+        worker = harness.workers["w1"]
+        await harness.call("/safe/x", request_id="a0")
         for number in range(3):
             await worker.drop_connections()
-            reply = await stage.call("/unsafe/x", request_id=f"a{number + 1}")
+            reply = await harness.call("/unsafe/x", request_id=f"a{number + 1}")
             assert reply.status == 200
-        before = worker.connections
-        await stage.call("/unsafe/x", request_id="a9")
-        assert worker.connections == before + 1
+        connections_before = worker.connections
+        await harness.call("/unsafe/x", request_id="a9")
+        assert worker.connections == connections_before + 1
 
 
 async def test_sends_an_unsafe_request_on_after_proof_that_it_has_not_run():
-    # One upstream refuses with a proof, the other takes it: one run.
-    async with run_stage(workers=0) as stage:
-        refusals = [lab.refuse]
-
-        async def run(arrival, writer):
-            script = refusals.pop() if refusals else lab.answer_plain
+    # One upstream refuses the request and proves that it has not run, the other
+    # one accepts it: the request runs once.
+    async with run_stage(workers=0) as harness:
+        refusing_scripts = [lab.refuse]
+
+        async def respond(arrival, writer):
+            script = (
+                refusing_scripts.pop() if refusing_scripts else lab.answer_plain
+            )
             await script(arrival, writer)
 
-        await stage.add_worker("w1", run)
-        await stage.add_worker("w2", run)
-        await stage.wait_until(
-            lambda: len(stage.gateway.deployment.rotation) == 2
+        await harness.add_worker("w1", respond)
+        await harness.add_worker("w2", respond)
+        await harness.wait_until(
+            lambda: len(harness.gateway.deployment.rotation) == 2
         )
-        reply = await stage.call("/unsafe/x", body=b"pay")
+        reply = await harness.call("/unsafe/x", body=b"pay")
         assert reply.status == 200
 
 
 async def test_says_when_to_come_back_where_all_refuse():
-    async with run_stage(script=lab.refuse) as stage:
-        reply = await stage.call("/unsafe/x", body=b"pay")
+    async with run_stage(script=lab.refuse) as harness:
+        reply = await harness.call("/unsafe/x", body=b"pay")
         assert reply.status == 503
         assert 0 < float(reply.headers["retry-after"]) < 1.4
 
 
 async def test_passes_over_an_upstream_that_is_not_there():
-    # An upstream has crashed: connections to its address are refused. Nothing
-    # was sent, so even an unsafe request goes to the other one.
-    async with run_stage() as stage:
-        await stage.workers["w1"].stop()
-        replies = [await stage.call("/unsafe/x") for _ in range(4)]
+    # An upstream has crashed, so that connections to its address are refused.
+    # Nothing was sent, so even an unsafe request may go to the other upstream.
+    async with run_stage() as harness:
+        await harness.workers["w1"].stop()
+        replies = [await harness.call("/unsafe/x") for _ in range(4)]
         assert [reply.status for reply in replies] == [200] * 4
 
 
 async def test_passes_over_an_address_that_another_incarnation_has():
-    # The upstream restarted under another id before the store's entry ended.
-    # It refuses by the expected id; the other one answers.
-    async with run_stage() as stage:
-        stage.workers["w1"].instance = "w1-reborn"
-        replies = [await stage.call("/unsafe/x") for _ in range(4)]
+    # The upstream restarted under another id before its entry in the store
+    # ended. It refuses requests for the expected id, and the other upstream
+    # answers.
+    async with run_stage() as harness:
+        harness.workers["w1"].instance = "w1-reborn"
+        replies = [await harness.call("/unsafe/x") for _ in range(4)]
         assert [reply.status for reply in replies] == [200] * 4
 
 
@@ -174,56 +178,57 @@
 
 
 async def test_gives_no_caller_a_second_answer():
-    # The upstream answers each request twice. The second answer comes where
-    # the next request's is expected on a kept connection; it must reach
-    # nobody.
-    async with run_stage(workers=1, script=answer_twice) as stage:
+    # The upstream answers each request twice. On a kept-alive connection the
+    # second answer arrives where the answer to the next request is expected; no
+    # caller may get it.
+    async with run_stage(workers=1, script=answer_twice) as harness:
         for number in range(4):
-            reply = await stage.call("/safe/x", request_id=f"a{number}")
+            reply = await harness.call("/safe/x", request_id=f"a{number}")
             assert reply.body == b"first"
             assert reply.headers["attempt-id"] == f"a{number}"
 
 
 async def test_reads_past_a_late_answer_to_an_earlier_request():
-    # The second answer to the first request arrives after the next request
-    # was sent on the connection. It bears the first one's id, so the real
-    # answer that follows is the one to pass on.
-    late = []
-
-    async def run(arrival, writer):
-        if late:
-            await lab.send(writer, 200, late[0], b"late")
-        late.append(arrival)
+    # The second answer to the first request arrives after the next request was
+    # sent on the connection. It carries the first request's id, so the answer
+    # that follows it must be forwarded.
+    previous_arrivals = []
+
+    async def respond(arrival, writer):
+        if previous_arrivals:
+            await lab.send(writer, 200, previous_arrivals[0], b"late")
+        previous_arrivals.append(arrival)
         await lab.send(writer, 200, arrival, arrival.request_id.encode())
 
-    async with run_stage(workers=1, script=run) as stage:
-        await stage.call("/safe/x", request_id="a1")
-        reply = await stage.call("/safe/x", request_id="a2")
+    async with run_stage(workers=1, script=respond) as harness:
+        await harness.call("/safe/x", request_id="a1")
+        reply = await harness.call("/safe/x", request_id="a2")
         assert reply.body == b"a2"
 
 
 async def test_takes_an_answer_that_ends_with_its_connection():
-    async def run(arrival, writer):
+    async def respond(arrival, writer):
         writer.write(lab.make_head(200, arrival) + b"unframed")
         await writer.drain()
         writer.close()
 
-    async with run_stage(workers=1, script=run) as stage:
-        reply = await stage.call("/unsafe/x")
+    async with run_stage(workers=1, script=respond) as harness:
+        reply = await harness.call("/unsafe/x")
         assert (reply.status, reply.body) == (200, b"unframed")
 
 
 async def test_refuses_an_answer_without_length_that_is_reset():
-    # The answer has no length and its connection is reset within it. Passed
-    # on, the part that came would look like the whole.
-    async def run(arrival, writer):
+    # The answer has no length, and its connection is reset before it is
+    # complete. If the received part were forwarded, it would look like the
+    # whole answer.
+    async def respond(arrival, writer):
         writer.write(lab.make_head(200, arrival) + b"unfr")
         await writer.drain()
         await asyncio.sleep(0.05)
         lab.reset_connection(writer)
 
-    async with run_stage(workers=1, script=run) as stage:
-        assert (await stage.call("/unsafe/x")).status == 502
+    async with run_stage(workers=1, script=respond) as harness:
+        assert (await harness.call("/unsafe/x")).status == 502
 
 
 @pytest.mark.parametrize(
@@ -236,51 +241,54 @@
     ],
 )
 async def test_passes_no_answer_on_that_is_not_the_upstreams(head):
-    # Bytes that are no HTTP, wrong chunks, no signature, a short body.
-    async def run(_arrival, writer):
+    # The cases are: bytes that are not HTTP, invalid chunks, a missing
+    # signature and a body that is too short.
+    async def respond(_arrival, writer):
         writer.write(head)
         await writer.drain()
         writer.close()
 
-    async with run_stage(workers=1, script=run) as stage:
-        assert (await stage.call("/unsafe/x")).status == 502
+    async with run_stage(workers=1, script=respond) as harness:
+        assert (await harness.call("/unsafe/x")).status == 502
 
 
 async def test_an_early_answer_leaves_no_body_for_the_next_request():
-    # The upstream answers before it has read the body and keeps the
-    # connection. Each request must arrive whole and alone.
-    async with run_stage(workers=1) as stage:
+    # The upstream answers before it has read the body and keeps the connection
+    # open. Each request must arrive complete and separate from the others.
+    async with run_stage(workers=1) as harness:
         body = b"x" * 60_000
         for number in range(3):
-            await stage.call("/safe/x", body=body, request_id=f"a{number}")
-        arrivals = stage.workers["w1"].arrivals
+            await harness.call("/safe/x", body=body, request_id=f"a{number}")
+        arrivals = harness.workers["w1"].arrivals
         assert [a.body for a in arrivals] == [body] * 3
         assert [a.request_id for a in arrivals] == ["a0", "a1", "a2"]
 
 
 async def test_answers_at_the_routes_time_limit():
-    # The upstream never answers an unsafe request. At the route's limit the
-    # caller is told, and not that it has not run.
+    # The upstream never answers an unsafe request. At the route's time limit
+    # the caller must get an answer, which must not state that the request has
+    # not run.
     from tests.gateway_stage import make_route
 
     routes = [make_route("slow", "unsafe", TimeoutMs=400)]
-    async with run_stage(script=lab.hang, routes=routes) as stage:
+    async with run_stage(script=lab.hang, routes=routes) as harness:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        reply = await stage.call("/slow/x")
+        reply = await harness.call("/slow/x")
         assert reply.status == 504
         assert 0.3 < loop.time() - started_s < 0.8
 
 
 async def test_a_caller_that_leaves_frees_its_upstream():
-    # The caller closes its connection while the upstream works. The work is
-    # for nobody, so its connection is closed at once.
-    async with run_stage(workers=1, script=lab.hang) as stage:
+    # The caller closes its connection while the upstream works. The answer is
+    # no longer needed, so the connection to the upstream must be closed
+    # immediately.
+    async with run_stage(workers=1, script=lab.hang) as harness:
         from tests.gateway_stage import make_request
 
-        _, writer = await stage.connect()
+        _, writer = await harness.connect()
         writer.write(make_request("/safe/x"))
-        worker = stage.workers["w1"]
-        await stage.wait_until(lambda: worker.started)
+        worker = harness.workers["w1"]
+        await harness.wait_until(lambda: worker.started)
         writer.close()
-        await stage.wait_until(lambda: worker.cancelled, 0.4)
+        await harness.wait_until(lambda: worker.cancelled, 0.4)
--- a/tests/test_gateway_lag.py
+++ b/tests/test_gateway_lag.py
@@ -1,4 +1,4 @@
-"""How a gateway tells that it is behind a topic of the store."""
+"""Reports of how far a gateway is behind a topic of the store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     lag.note_end(4, 3, 12.0)
     lag.note_end(6, 3, 13.0)
     assert lag.get_age_s(14.0) == 2.0
-    # Catching up with a part of it ends nothing.
+    # Reading a part of the missing records does not end the lag.
     assert lag.note_known(5, 14.5) is None
     assert lag.get_age_s(15.0) == 3.0
     lag.note_known(6, 15.0)
@@ -46,20 +46,22 @@
             with caplog.at_level(logging.WARNING):
                 store.faults.break_after_bytes = 5000
                 store.put(TOPIC, "config", b"x" * 9000)
-                await wait_until(lambda: len(get_lost(caplog)) >= 3, 6.0)
-    lost = get_lost(caplog)
-    assert [line.failures for line in lost[:3]] == [1, 2, 4]
-    assert lost[0].received_bytes == 5000
-    assert lost[0].expected_bytes > 9000
+                await wait_until(
+                    lambda: len(get_lost_records(caplog)) >= 3, 6.0
+                )
+    lost_records = get_lost_records(caplog)
+    assert [line.failures for line in lost_records[:3]] == [1, 2, 4]
+    assert lost_records[0].received_bytes == 5000
+    assert lost_records[0].expected_bytes > 9000
 
 
-def get_lost(caplog):
+def get_lost_records(caplog):
     return [r for r in caplog.records if r.message == "store_lost"]
 
 
 def test_page_of_metrics_begins_with_what_is_short():
     exposition = Exposition()
     exposition.observe(Series.ANSWER_S, 'kind="safe"', 0.1)
-    exposition.add_gauge(Series.PROOF_AGE_S, lambda: 1.0)
+    exposition.add_gauge(Series.FRESHNESS_CHECK_AGE_S, lambda: 1.0)
     text = exposition.format_text()
     assert text.index("proof_age_seconds 1") < text.index("answer_seconds_")
--- a/tests/test_gateway_loglines.py
+++ b/tests/test_gateway_loglines.py
@@ -1,4 +1,4 @@
-"""Log lines: one per event, bounded, and never a reason to wait."""
+"""Log output: one line per event, rate-limited and non-blocking."""
 
 from __future__ import annotations
 
@@ -52,8 +52,9 @@
 
 
 def test_bounds_the_lines_of_an_event_and_says_how_many_are_missing(pipe):
-    # Thousands of requests fail in a second. Lines of that event beyond its
-    # allowance are counted; those of other events are still written.
+    # Thousands of requests fail within a second. Lines of that event beyond the
+    # rate limit are counted as dropped, and lines of other events are still
+    # written.
     exposition = Exposition()
     handler = make_handler(pipe[1], exposition)
     for _ in range(5000):
@@ -69,8 +70,9 @@
 
 
 async def test_a_reader_that_stops_reading_costs_lines_not_time(pipe):
-    # Whoever reads standard output has stopped; the pipe is full. Logging
-    # must not wait, and what fits in memory is written when reading goes on.
+    # The process that reads standard output has stopped, and the pipe is full.
+    # Logging must not block, and lines that fit into the buffer are written
+    # when the reader continues.
     reader, writer = pipe
     handler = make_handler(writer)
     loop = asyncio.get_running_loop()
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms that a gateway serves."""
+"""Counters, gauges and histograms that a gateway exposes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 from lovagestage.gateway.peers import PeerSocket
 from tests.gateway_stage import get_free_port
-from tests.test_gateway_process import run_process
+from tests.test_gateway_process import run_gateway_process
 
 SAMPLE = re.compile(r"^([a-z_]+)(?:\{(.*)\})? (-?[0-9.e+-]+|\+Inf)$")
 LABEL = re.compile(r'([a-z]+)="([^"]*)"')
@@ -21,7 +21,7 @@
 
 
 def parse(text):
-    """Samples by name and labels; fails where the text breaks the format."""
+    """Returns samples by name and labels; fails if the text is malformed."""
     kinds, samples = {}, {}
     for line in text.splitlines():
         if line.startswith("# HELP "):
@@ -39,8 +39,8 @@
         samples[name, pairs] = float(value)
         base = re.sub("_(bucket|sum|count)$", "", name)
         assert kinds.get(name) or kinds.get(base) == "histogram", line
-        own = LABELS.get(name) or LABELS.get(base, set())
-        assert {label for label, _ in pairs} - {"le"} == own, line
+        expected_labels = LABELS.get(name) or LABELS.get(base, set())
+        assert {label for label, _ in pairs} - {"le"} == expected_labels, line
     return samples
 
 
@@ -59,16 +59,17 @@
             case SeriesKind.GAUGE:
                 exposition.add_gauge(series, lambda: 2.0)
     samples = parse(exposition.format_text())
-    found = {name.removeprefix(PREFIX) for name, _ in samples}
+    names = {name.removeprefix(PREFIX) for name, _ in samples}
     for series in Series:
         spec = series.value
         is_histogram = spec.kind is SeriesKind.HISTOGRAM
-        assert (f"{spec.name}_count" if is_histogram else spec.name) in found
+        assert (f"{spec.name}_count" if is_histogram else spec.name) in names
 
 
 def test_large_counters_lose_no_digits():
-    # A counter that is rounded stands still and then jumps: rates worked out
-    # from it are nothing, and then far too high.
+    # Guards against rounding large counters. A rounded counter stands still and
+    # then jumps, so that rates computed from it are zero first and far too high
+    # later.
     exposition = Exposition()
     exposition.count(Series.ATTEMPTS, amount=123_456_789)
     samples = parse(exposition.format_text())
@@ -77,17 +78,18 @@
 
 def test_a_gauge_without_a_value_is_left_out():
     exposition = Exposition()
-    exposition.add_gauge(Series.PROOF_AGE_S, lambda: None)
-    name = f"{PREFIX}{Series.PROOF_AGE_S.value.name}"
+    exposition.add_gauge(Series.FRESHNESS_CHECK_AGE_S, lambda: None)
+    name = f"{PREFIX}{Series.FRESHNESS_CHECK_AGE_S.value.name}"
     assert (name, ()) not in parse(exposition.format_text())
 
 
 async def test_tells_calls_to_the_store_and_the_age_of_its_proof(tmp_path):
-    # The store stops answering: the counter of calls that were refused or
-    # lost grows, and the proof gets older, before any caller is refused.
-    async with run_process(tmp_path) as stage:
-        await stage.call("/safe/x")
-        samples = parse(await stage.read_metrics())
+    # The store stops answering. The counter of refused or lost calls must grow,
+    # and the age of the last freshness check must rise, so that the outage
+    # shows in the metrics before any caller is refused.
+    async with run_gateway_process(tmp_path) as harness:
+        await harness.call("/safe/x")
+        samples = parse(await harness.read_metrics())
         calls = f"{PREFIX}store_calls_total"
         newest = (("call", "newest"), ("outcome", "answered"))
         assert samples[calls, newest] >= 2
@@ -97,16 +99,16 @@
         assert samples[f"{PREFIX}open_requests", ()] == 0
         age = (f"{PREFIX}proof_age_seconds", ())
         assert 0 <= samples[age] < 5
-        stage.store.faults.outage = "503"
+        harness.store.faults.outage = "503"
         async with asyncio.timeout(10.0):
             while True:
-                later = parse(await stage.read_metrics())
+                new_samples = parse(await harness.read_metrics())
                 failed = [
                     value
-                    for (name, labels), value in later.items()
+                    for (name, labels), value in new_samples.items()
                     if name == calls and ("outcome", "answered") not in labels
                 ]
-                if sum(failed) and later[age] > 1.0:
+                if sum(failed) and new_samples[age] > 1.0:
                     break
                 await asyncio.sleep(0.1)
 
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams through a gateway: whole events, resumption, cascades."""
+"""Streams through a gateway: complete events, resumption, cascades."""
 
 from __future__ import annotations
 
@@ -19,67 +19,68 @@
 
 
 async def test_passes_all_events_on():
-    async with run_stage(script=lab.make_stream(6)) as stage:
-        reply = await stage.call("/stream/x", body=b"p", Model_Name="m")
+    async with run_stage(script=lab.make_stream(6)) as harness:
+        reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
         assert (reply.status, reply.whole) == (200, True)
         assert get_ids(reply) == [1, 2, 3, 4, 5, 6]
         assert reply.headers["response-signature"] == lab.SIGNATURE
 
 
 async def test_goes_on_at_another_upstream_after_the_last_whole_event():
-    # The first upstream resets in the middle of event 3. The caller must see
-    # each event once: the next run is asked for what follows event 2, and
-    # the part of event 3 that came is dropped.
-    async with run_stage(workers=0) as stage:
+    # The first upstream resets the connection in the middle of event 3. The
+    # caller must receive each event once: the next run is asked for the events
+    # after event 2, and the received part of event 3 is dropped.
+    async with run_stage(workers=0) as harness:
         scripts = [lab.make_stream(6, break_after=2)]
 
-        async def run(arrival, writer):
+        async def respond(arrival, writer):
             script = scripts.pop() if scripts else lab.make_stream(6)
             await script(arrival, writer)
 
-        await stage.add_worker("w1", run)
-        await stage.add_worker("w2", run)
-        await stage.wait_until(
-            lambda: len(stage.gateway.deployment.rotation) == 2
+        await harness.add_worker("w1", respond)
+        await harness.add_worker("w2", respond)
+        await harness.wait_until(
+            lambda: len(harness.gateway.deployment.rotation) == 2
         )
-        reply = await stage.call("/stream/x", body=b"p", Model_Name="m")
+        reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
         assert get_ids(reply) == [1, 2, 3, 4, 5, 6]
         assert reply.whole
-        resumed = [
+        resume_ids = [
             arrival.headers.get("last-event-id")
-            for worker in stage.workers.values()
+            for worker in harness.workers.values()
             for arrival in worker.arrivals
         ]
-        assert sorted(resumed, key=str) == ["2", None]
+        assert sorted(resume_ids, key=str) == ["2", None]
 
 
 async def test_a_stream_that_nobody_can_finish_does_not_look_complete():
     # Every upstream breaks off after event 2 and never gets further.
     script = lab.make_stream(6, break_after=2)
-    async with run_stage(script=script) as stage:
-        reply = await stage.call("/stream/x", body=b"p", Model_Name="m")
+    async with run_stage(script=script) as harness:
+        reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
         assert get_ids(reply) == [1, 2]
         assert not reply.whole
 
 
 async def test_a_stream_that_may_not_be_resumed_is_not_repeated():
-    # Without the route's leave to resume, a stream may run once: it breaks
-    # off, and no second upstream gets it.
+    # If the route does not allow resumption, a stream may run only once. It
+    # breaks off, and no second upstream may receive it.
     from tests.gateway_stage import make_route
 
     routes = [make_route("once", "streaming")]
     script = lab.make_stream(6, break_after=2)
-    async with run_stage(script=script, routes=routes) as stage:
-        reply = await stage.call("/once/x", body=b"p")
+    async with run_stage(script=script, routes=routes) as harness:
+        reply = await harness.call("/once/x", body=b"p")
         assert not reply.whole
-        assert sum(len(w.started) for w in stage.workers.values()) == 1
+        assert sum(len(w.started) for w in harness.workers.values()) == 1
 
 
 async def test_goes_on_elsewhere_when_an_upstream_falls_silent():
-    # The first upstream sends two events and then nothing, with its
-    # connection open. After the pause that callers bear the stream goes on at
-    # the other one, and the first one's work is ended.
-    async def stall(arrival, writer):
+    # The first upstream sends two events and then nothing, with its connection
+    # open. After the longest interval that the route allows between events, the
+    # stream must continue at the other upstream, and the first upstream's work
+    # must be cancelled.
+    async def send_two_events_and_stall(arrival, writer):
         writer.write(lab.make_head(200, arrival, Transfer_Encoding="chunked"))
         for number in (1, 2):
             event = f"id: {number}\ndata: x\n\n".encode()
@@ -87,45 +88,45 @@
         await writer.drain()
         await asyncio.sleep(60)
 
-    async with run_stage(workers=0) as stage:
-        scripts = [stall]
+    async with run_stage(workers=0) as harness:
+        scripts = [send_two_events_and_stall]
 
-        async def run(arrival, writer):
+        async def respond(arrival, writer):
             script = scripts.pop() if scripts else lab.make_stream(4)
             await script(arrival, writer)
 
         for name in ("w1", "w2"):
-            await stage.add_worker(name, run)
-        await stage.wait_until(
-            lambda: len(stage.gateway.deployment.rotation) == 2
+            await harness.add_worker(name, respond)
+        await harness.wait_until(
+            lambda: len(harness.gateway.deployment.rotation) == 2
         )
-        reply = await stage.call("/stream/x", body=b"p")
+        reply = await harness.call("/stream/x", body=b"p")
         assert get_ids(reply) == [1, 2, 3, 4]
-        await stage.wait_until(
-            lambda: any(w.cancelled for w in stage.workers.values())
+        await harness.wait_until(
+            lambda: any(w.cancelled for w in harness.workers.values())
         )
 
 
 async def test_asks_the_largest_model_where_the_smallest_doubts():
-    # The small model doubts its answer before any of it is passed on; the
-    # caller gets the large model's answer alone.
+    # The small model has low confidence in its answer before any of it is
+    # forwarded. The caller must receive the large model's answer only.
     script = lab.make_stream(3, confidence={"small": 10, "large": 90})
-    async with run_stage(script=script) as stage:
-        reply = await stage.call("/sized/x", body=b"p", Model_Name="*")
+    async with run_stage(script=script) as harness:
+        reply = await harness.call("/sized/x", body=b"p", Model_Name="*")
         assert get_texts(reply) == {"large"}
         assert get_ids(reply) == [1, 2, 3]
 
 
 async def test_keeps_the_smallest_models_answer_where_it_is_sure():
     script = lab.make_stream(3, confidence={"small": 90})
-    async with run_stage(script=script) as stage:
-        reply = await stage.call("/sized/x", body=b"p", Model_Name="*")
+    async with run_stage(script=script) as harness:
+        reply = await harness.call("/sized/x", body=b"p", Model_Name="*")
         assert get_texts(reply) == {"small"}
 
 
 async def test_an_event_is_passed_on_before_the_next_is_made():
-    async with run_stage(script=lab.make_stream(4, pause_s=0.2)) as stage:
-        reader, writer = await stage.connect()
+    async with run_stage(script=lab.make_stream(4, pause_s=0.2)) as harness:
+        reader, writer = await harness.connect()
         writer.write(make_request("/stream/x", body=b"p"))
         loop = asyncio.get_running_loop()
         await reader.readuntil(b"id: 1")
@@ -137,10 +138,10 @@
 
 async def test_a_caller_that_leaves_a_stream_frees_its_upstream():
     script = lab.make_stream(100, pause_s=0.05)
-    async with run_stage(workers=1, script=script) as stage:
-        reader, writer = await stage.connect()
+    async with run_stage(workers=1, script=script) as harness:
+        reader, writer = await harness.connect()
         writer.write(make_request("/stream/x", body=b"p"))
         await reader.readuntil(b"id: 2")
         writer.close()
-        worker = stage.workers["w1"]
-        await stage.wait_until(lambda: worker.cancelled, 0.4)
+        worker = harness.workers["w1"]
+        await harness.wait_until(lambda: worker.cancelled, 0.4)
