--- a/src/lovagestage/gateway/connections.py
+++ b/src/lovagestage/gateway/connections.py
@@ -9,9 +9,9 @@
 from lovagestage.gateway.upstream import Upstream
 
 CONNECT_TIMEOUT_S = 0.4
-"""Timeout in seconds for opening a connection. It covers two lost SYN packets
-to a near zone, or a VM that does not respond: another upstream answers sooner
-than a third SYN would arrive."""
+"""Timeout in seconds for opening a connection. If it takes longer, two opening
+packets to a near zone were lost or the VM does not respond: another upstream
+answers sooner than a third packet would arrive."""
 IDLE_LIMIT_S = 3.0
 """Time in seconds after which an idle connection is no longer reused, unless
 the upstream announces a shorter one. Common servers close idle connections
@@ -21,7 +21,7 @@
 request must arrive before the upstream closes the connection."""
 MAX_IDLE_CONNECTIONS = 6
 """Idle connections pooled for one upstream. An upstream's connection limit
-applies to all gateways together."""
+applies to all gateways together, so each gateway may keep only a few open."""
 
 
 class ConnectionPool:
--- a/src/lovagestage/gateway/exchange.py
+++ b/src/lovagestage/gateway/exchange.py
@@ -21,9 +21,9 @@
 from lovagestage.types import RunState
 
 MAX_HEADS_READ = 2
-"""Heads that are read while looking for the answer to a request. A late second
-answer to an earlier request may come first; an upstream sends at most one
-second answer to a request."""
+"""Number of answer heads that are read to find the answer to a request; if none
+belongs to it, the attempt fails. A late second answer to an earlier request may
+come first, and an upstream sends at most one second answer to a request."""
 _BAD_GATEWAY_CODES = (502, 503, 504)
 
 
--- a/src/lovagestage/gateway/stream_runs.py
+++ b/src/lovagestage/gateway/stream_runs.py
@@ -49,7 +49,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class _NextRun:
-    """The run that follows one whose answer is not forwarded."""
+    """The run that follows one whose answer is not forwarded.
+
+    Attributes:
+        model: Model that is to answer it; None if none is named.
+    """
 
     model: str | None
 
