--- a/src/lovagestage/decisions/__init__.py
+++ b/src/lovagestage/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What is decided, without a clock or a socket."""
+"""Pure decisions, which read no clock and open no socket."""
--- a/src/lovagestage/decisions/admission.py
+++ b/src/lovagestage/decisions/admission.py
@@ -1,7 +1,8 @@
-"""Which version of a roll-out a request may be assigned to: pure decisions.
+"""Decides which version of a roll-out a request may be assigned to.
 
-The allowed versions come first: a roll-out only chooses between two versions
-that the workspace may use anyway.
+The set of allowed versions has precedence: a roll-out only chooses between two
+versions that the workspace may use anyway. The decisions are pure: they read no
+clock and open no socket.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Trial:
-    """A request's part in a roll-out.
+    """Participation of a request in a roll-out.
 
     Attributes:
-        key: The roll-out.
-        assignment: How the gate assigned it.
+        key: Key of the roll-out.
+        assignment: Assignment of the request by the exposure gate.
     """
 
     key: RolloutKey
@@ -37,12 +38,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Choice:
-    """The version of a request.
+    """Version that was chosen for a request.
 
     Attributes:
-        version: Where it runs.
-        trial: Its part in a roll-out; None where it has none.
-        arm: What its answer counts for; None where it follows no plan.
+        version: Version on which the request runs.
+        trial: Participation of the request in a roll-out; None if it does not
+            take part in one.
+        arm: Arm in whose counters the answer is counted; None if the request
+            follows no plan.
     """
 
     version: ModelVersion
@@ -56,18 +59,18 @@
     spec: RolloutSpec,
     allowed: Collection[ModelVersion],
 ) -> bool:
-    """Whether a roll-out decides between old and new for a request.
+    """Returns whether a roll-out chooses the version of a request.
 
     Args:
-        name: What the request names: a service, a model or a version.
-        resolved: The version that it gets without the roll-out.
+        name: Name in the request: a service, a model or a version.
+        resolved: Version on which the request runs without the roll-out.
         spec: The roll-out of that version's model.
-        allowed: Versions that the workspace may use for new work.
+        allowed: Versions that the workspace may use for new requests.
     """
     if name == str(resolved):
         return False
-    names = {str(version) for version in allowed}
-    if spec.old not in names or spec.new not in names:
+    allowed_names = {str(version) for version in allowed}
+    if spec.old not in allowed_names or spec.new not in allowed_names:
         return False
     return name == resolved.model or str(resolved) in (spec.old, spec.new)
 
@@ -75,12 +78,12 @@
 def withdraw_stopped(
     document: ServiceDocument, stopped: Collection[str]
 ) -> ServiceDocument:
-    """The document with stopped versions withdrawn.
+    """Returns the document with stopped versions marked as withdrawn.
 
-    A version stopped on evidence is bad for every caller alike, also for
-    those who name it and for open sessions. Seen as withdrawn, it is left
-    out by the same rules as one that the operator has withdrawn, and no path
-    of admission can forget it.
+    A version that was stopped on evidence is bad for all callers, including
+    those that request it by name and those with open sessions. If it is marked
+    as withdrawn, the rules that exclude a version which the operator has
+    withdrawn exclude it too, so that no path of admission can miss it.
     """
     if not stopped:
         return document
--- a/src/lovagestage/decisions/answers.py
+++ b/src/lovagestage/decisions/answers.py
@@ -1,4 +1,4 @@
-"""What an answer in OpenAI's form says of itself."""
+"""Parses complete answers in the format of OpenAI's chat completions."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """An answer as a rater and the routing see it.
+    """Parts of an answer that the rater and the routing use.
 
     Attributes:
-        text: Its text.
-        finish_reason: Why it ended; empty where it does not say.
-        is_refusal: The model has refused to answer.
-        has_tool_calls: It calls tools, and needs no text.
+        text: Text of the answer.
+        finish_reason: Reason for which the answer ended; empty if it names
+            none.
+        is_refusal: Whether the model has refused to answer.
+        has_tool_calls: Whether the answer calls tools, so that it needs no
+            text.
     """
 
     text: str = ""
@@ -28,43 +30,43 @@
 
     @property
     def is_failure(self) -> bool:
-        """Whether a caller has nothing from it."""
+        """Whether the answer is of no use to the caller."""
         if self.is_refusal or self.finish_reason == FILTERED:
             return True
         return not self.text.strip() and not self.has_tool_calls
 
 
-class _Content(msgspec.Struct):
+class _Message(msgspec.Struct):
     content: str | list[object] | None = None
     refusal: str | None = None
     tool_calls: list[object] | None = None
 
 
 class _Choice(msgspec.Struct):
-    message: _Content | None = None
-    delta: _Content | None = None
+    message: _Message | None = None
+    delta: _Message | None = None
     finish_reason: str | None = None
 
 
-class _Form(msgspec.Struct):
+class _Body(msgspec.Struct):
     choices: list[_Choice] = []
 
 
-_decoder = msgspec.json.Decoder(_Form)
+_decoder = msgspec.json.Decoder(_Body)
 
 
 def parse_answer(body: bytes, stream: bool) -> Answer | None:
-    """Reads a whole answer.
+    """Parses a complete answer.
 
     Args:
-        body: JSON, or server-sent events where it was streamed.
-        stream: Whether it was.
+        body: JSON, or server-sent events if the answer was streamed.
+        stream: Whether the answer was streamed.
 
     Returns:
-        None where it has another form.
+        The answer, or None if the body has another format.
     """
     try:
-        return _join(_get_choices(body, stream))
+        return _merge_choices(_get_choices(body, stream))
     except msgspec.MsgspecError:
         return None
 
@@ -85,13 +87,13 @@
     ]
 
 
-def _join(choices: list[_Choice]) -> Answer:
-    contents = [c.message or c.delta or _Content() for c in choices]
+def _merge_choices(choices: list[_Choice]) -> Answer:
+    messages = [c.message or c.delta or _Message() for c in choices]
     reasons = [c.finish_reason for c in choices if c.finish_reason]
     reason = reasons[-1] if reasons else ""
     return Answer(
-        "".join(c.content for c in contents if isinstance(c.content, str)),
+        "".join(c.content for c in messages if isinstance(c.content, str)),
         reason,
-        any(c.refusal for c in contents),
-        reason == CALLS_TOOLS or any(c.tool_calls for c in contents),
+        any(c.refusal for c in messages),
+        reason == CALLS_TOOLS or any(c.tool_calls for c in messages),
     )
--- a/src/lovagestage/decisions/billing.py
+++ b/src/lovagestage/decisions/billing.py
@@ -1,9 +1,11 @@
-"""Billing records on their way into the log: pure state and decisions.
+"""State and decisions for billing records that the log has not stored yet.
 
 Each entry owns the records of the requests that it answered until the log has
-them, and holds copies of the records of other entries. A record's id is the
-request id, so a record that is appended twice counts once; every unclear case
-is therefore settled by appending again.
+stored them, and holds copies of the records of other entries. The id of a
+record is the request id, so a record that is appended twice counts once. Every
+unclear case is therefore resolved by appending the record again.
+
+The decisions are pure: they read no clock and open no socket.
 """
 
 from __future__ import annotations
@@ -24,33 +26,40 @@
 FORMAT_MAJOR = 1
 FORMAT_MINOR = 0
 MAX_BILL_BYTES = 1024
-"""Room that is set aside for each open request; see `BillingLedger.reserve`."""
+"""Number of bytes that are reserved for each open request; see
+`BillingLedger.reserve`."""
 MAX_COPY_RECORDS = 500
 HOLD_TIMEOUT_S = 5.0
-"""Copies whose owner has not renewed them for so long are taken over. The
-owner renews every second; an owner that was only slow makes duplicates."""
+"""Seconds after which the holder takes copies over if their owner has not
+renewed them. The owner renews its copies every second; an owner that was only
+slow causes duplicates."""
 
 
 class BillOutcome(enum.Enum):
-    """How a billed request ended."""
+    """Outcome of a billed request."""
 
     FINISHED = "f"
     CANCELLED = "c"
-    """The caller left; tokens are those that had reached the entry."""
+    """The caller disconnected; the bill counts the tokens that had reached the
+    entry."""
 
 
 class Bill(msgspec.Struct, frozen=True, array_like=True):
-    """What one request used; fields may only be appended, with defaults.
+    """Usage of one request.
+
+    Fields may only be appended, and need defaults, so that older records
+    decode.
 
     Attributes:
-        request_id: The request; also the id of the bill.
-        workspace: Who pays.
+        request_id: Id of the request; also the id of the bill.
+        workspace: Workspace that is charged.
         service: The service.
-        version: `MODEL@VERSION` that answered.
-        at_s: Unix time of the answer's end.
-        prompt_tokens: As the engine counted; 0 where it did not say.
-        completion_tokens: As the engine counted.
-        outcome: How it ended.
+        version: Version that answered, `MODEL@VERSION`.
+        at_s: Unix time in seconds at which the answer ended.
+        prompt_tokens: Number of prompt tokens that the engine counted; 0 if it
+            reported none.
+        completion_tokens: Number of generated tokens that the engine counted.
+        outcome: Outcome of the request.
     """
 
     request_id: RequestId
@@ -65,30 +74,30 @@
 
 @dataclasses.dataclass(frozen=True)
 class Peer:
-    """Another entry that can hold copies."""
+    """Another entry that can hold copies of bills."""
 
     vm: VmId
     zone: ZoneId
 
 
 @dataclasses.dataclass(slots=True)
-class _Pending:
+class _PendingBill:
     bill: NumberedBill
     holder: VmId | None = None
 
 
 @dataclasses.dataclass
-class _Held:
+class _HeldCopies:
     renewed_s: float
     bills: dict[int, bytes] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True)
 class Batch:
-    """Bills that go into the log as one record.
+    """Bills that are appended to the log as one record.
 
     Attributes:
-        last_number: Number of the last bill in it.
+        last_number: Number of the last bill in the batch.
         bills: Encoded bills.
     """
 
@@ -97,14 +106,14 @@
 
 
 class BillingLedger:
-    """Bills of one entry, and copies that it holds for others.
+    """Bills of one entry, and copies of bills that it holds for others.
 
     Args:
-        vm: This entry.
-        zone: Its availability zone.
+        vm: VM of this entry.
+        zone: Availability zone of this entry.
         incarnation: Start time of this process.
-        limit_bytes: Most bytes of own bills, and as many of copies.
-        batch_bytes: Most bytes of one append.
+        limit_bytes: Maximum number of bytes of own bills, and of copies.
+        batch_bytes: Maximum number of bytes of one append.
     """
 
     def __init__(
@@ -122,37 +131,37 @@
         self._batch_bytes = batch_bytes
         self._reserved = 0
         self._last_number = 0
-        self._appended = 0
-        self._pending: collections.deque[_Pending] = collections.deque()
-        self._by_number: dict[int, _Pending] = {}
+        self._last_appended = 0
+        self._pending: collections.deque[_PendingBill] = collections.deque()
+        self._by_number: dict[int, _PendingBill] = {}
         self._pending_bytes = 0
-        self._held: dict[tuple[VmId, int], _Held] = {}
+        self._held: dict[tuple[VmId, int], _HeldCopies] = {}
         self._held_bytes = 0
 
     def reserve(self) -> bool:
-        """Sets room aside for the bill of a request; False where it is full.
+        """Reserves space for the bill of a request; False if none is left.
 
-        Room is taken before the request runs: a bill that found no room after
-        its answer would have to be dropped.
+        The space is reserved before the request runs. If it were missing after
+        the answer, the bill would have to be dropped.
         """
-        room_bytes = (self._reserved + 1) * MAX_BILL_BYTES
-        if self._pending_bytes + room_bytes > self._limit_bytes:
+        reserved_bytes = (self._reserved + 1) * MAX_BILL_BYTES
+        if self._pending_bytes + reserved_bytes > self._limit_bytes:
             return False
         self._reserved += 1
         return True
 
     def release(self) -> None:
-        """Gives the room of an ended request back."""
+        """Releases the space that was reserved for an ended request."""
         self._reserved -= 1
 
     def add(self, bill: Bill) -> int:
-        """Takes a bill; returns its number."""
+        """Adds a bill of this entry and returns its number."""
         return self._add(msgspec.msgpack.encode(bill))
 
     def make_copy(self, number: int, holder: VmId) -> BillCopy | None:
         """Makes the message that copies one bill; None once it is appended.
 
-        `on_copied` says that `holder` has it.
+        The caller reports with `on_copied` that `holder` has stored the copy.
         """
         pending = self._by_number.get(number)
         if pending is None:
@@ -160,35 +169,36 @@
         return BillCopy(self._vm, self._incarnation, [pending.bill])
 
     def make_missing_copy(self, holder: VmId) -> BillCopy | None:
-        """Makes the message that copies bills which `holder` lacks."""
+        """Makes the message that copies the bills that `holder` lacks."""
         missing = [p.bill for p in self._pending if p.holder != holder]
         if not missing:
             return None
         return BillCopy(self._vm, self._incarnation, missing[:MAX_COPY_RECORDS])
 
     def on_copied(self, copy: BillCopy, holder: VmId) -> None:
-        """Notes that `holder` has the bills of `copy`."""
+        """Records that `holder` has stored the bills of `copy`."""
         for bill in copy.bills:
             pending = self._by_number.get(bill.number)
             if pending is not None:
                 pending.holder = holder
 
     def choose_holder(self, peers: Iterable[Peer]) -> VmId | None:
-        """Chooses who holds copies: the same peer while it lives.
+        """Chooses the peer that holds copies: the same one while it is alive.
 
-        A peer in another availability zone goes before one in the same, so
-        that a lost zone does not take both. Rendezvous hashing spreads the
-        owners over the peers without any exchange.
+        A peer in another availability zone is preferred to one in the same
+        zone, so that the loss of a zone does not lose both the bill and its
+        copy. Rendezvous hashing distributes the owners among the peers without
+        any messages.
         """
-        best = min(peers, key=self._get_rank, default=None)
+        best = min(peers, key=self._get_holder_rank, default=None)
         return best.vm if best else None
 
     def make_release(self) -> BillRelease:
-        """Makes the message that renews copies and drops those appended."""
-        return BillRelease(self._vm, self._incarnation, self._appended)
+        """Makes the message that renews copies and drops the appended ones."""
+        return BillRelease(self._vm, self._incarnation, self._last_appended)
 
     def make_batch(self) -> Batch | None:
-        """The oldest bills, as many as one append may hold."""
+        """Returns the oldest bills, as many as one append may contain."""
         bills: list[bytes] = []
         size_bytes = 0
         last_number = 0
@@ -201,7 +211,7 @@
         return Batch(last_number, bills) if bills else None
 
     def on_appended(self, batch: Batch) -> None:
-        """Forgets the bills of a batch that is in the log for certain."""
+        """Removes the bills of a batch that the log has certainly stored."""
         while self._pending:
             bill = self._pending[0].bill
             if bill.number > batch.last_number:
@@ -209,10 +219,10 @@
             self._pending.popleft()
             del self._by_number[bill.number]
             self._pending_bytes -= len(bill.data)
-        self._appended = max(self._appended, batch.last_number)
+        self._last_appended = max(self._last_appended, batch.last_number)
 
     def hold(self, copy: BillCopy, now_s: float) -> bool:
-        """Keeps copies for their owner; False where there is no room."""
+        """Stores copies for their owner; returns False if space is lacking."""
         size_bytes = sum(len(bill.data) for bill in copy.bills)
         if self._held_bytes + size_bytes > self._limit_bytes:
             return False
@@ -224,25 +234,25 @@
         return True
 
     def on_release(self, release: BillRelease, now_s: float) -> None:
-        """Drops the copies that their owner has appended."""
+        """Drops the copies of bills that their owner has appended."""
         held = self._get_held(release.owner, release.incarnation, now_s)
         for number in [n for n in held.bills if n <= release.last_number]:
             self._held_bytes -= len(held.bills.pop(number))
 
     def take_over(self, now_s: float) -> int:
-        """Makes copies whose owner is gone this entry's own bills.
+        """Turns copies of an owner that is gone into bills of this entry.
 
         Returns:
-            The number of bills taken over.
+            Number of bills that were taken over.
         """
-        gone = [
+        orphaned_keys = [
             key
             for key, held in self._held.items()
             if now_s - held.renewed_s > HOLD_TIMEOUT_S
             or self._has_later_incarnation(*key)
         ]
         count = 0
-        for key in gone:
+        for key in orphaned_keys:
             for data in self._held.pop(key).bills.values():
                 self._held_bytes -= len(data)
                 self._add(data)
@@ -250,7 +260,7 @@
         return count
 
     def get_sizes(self) -> dict[str, int]:
-        """Sizes of the tables, for the state dump."""
+        """Returns the sizes of the tables for the state dump."""
         return {
             "reserved": self._reserved,
             "pending": len(self._pending),
@@ -262,35 +272,38 @@
 
     def _add(self, data: bytes) -> int:
         self._last_number += 1
-        pending = _Pending(NumberedBill(self._last_number, data))
+        pending = _PendingBill(NumberedBill(self._last_number, data))
         self._pending.append(pending)
         self._by_number[self._last_number] = pending
         self._pending_bytes += len(data)
         return self._last_number
 
-    def _get_held(self, owner: VmId, incarnation: int, now_s: float) -> _Held:
-        held = self._held.setdefault((owner, incarnation), _Held(now_s))
+    def _get_held(
+        self, owner: VmId, incarnation: int, now_s: float
+    ) -> _HeldCopies:
+        held = self._held.setdefault((owner, incarnation), _HeldCopies(now_s))
         held.renewed_s = now_s
         return held
 
     def _has_later_incarnation(self, owner: VmId, incarnation: int) -> bool:
-        # An owner that was replaced under the same name renews only what it
-        # copied since: without this its earlier bills would wait for long.
+        # An owner that was replaced by a process with the same name renews only
+        # the bills that it has copied since its start. Without this check the
+        # bills of its predecessor would wait for the full timeout.
         return any(
-            other == owner and later > incarnation
-            for other, later in self._held
+            other_owner == owner and later > incarnation
+            for other_owner, later in self._held
         )
 
-    def _get_rank(self, peer: Peer) -> tuple[bool, bytes]:
+    def _get_holder_rank(self, peer: Peer) -> tuple[bool, bytes]:
         name = f"{self._vm} {peer.vm}".encode()
         return peer.zone == self._zone, hashlib.sha256(name).digest()
 
 
-class _BatchForm(msgspec.Struct, frozen=True, array_like=True):
+class _EncodedBatch(msgspec.Struct, frozen=True, array_like=True):
     bills: list[Bill]
 
 
-_decoder = msgspec.msgpack.Decoder(_BatchForm)
+_decoder = msgspec.msgpack.Decoder(_EncodedBatch)
 
 
 def encode_batch(batch: Batch) -> bytes:
@@ -303,7 +316,7 @@
     """Decodes a record of the billing stream.
 
     Raises:
-        CodecError: The bytes are no batch of this format.
+        CodecError: The bytes are not a batch in this format.
     """
     if len(data) < 2 or data[0] != FORMAT_MAJOR:
         raise CodecError(
--- a/src/lovagestage/decisions/cascade.py
+++ b/src/lovagestage/decisions/cascade.py
@@ -1,11 +1,14 @@
-"""Chooses the cheapest plan that holds a class's quality target.
-
-A plan is a version that answers, and perhaps a better one that is asked where
-the first answer is doubtful (Chen, Zaharia and Zou 2023, FrugalGPT; Ding et
-al. 2024, Hybrid LLM). Plans are chosen for each level of a cheap difficulty
-feature such that the lower confidence bound of the class's mean rating stays
-at the target: each switch to a cheaper plan is the one that saves most for
-the quality that it loses. Pure: counters in, plans out.
+"""Chooses the cheapest plan that meets the quality target of a class.
+
+A plan names a version that answers a request, and optionally a better version
+that is asked if the first answer is doubtful (Chen, Zaharia and Zou 2023,
+FrugalGPT; Ding et al. 2024, Hybrid LLM). Plans are chosen separately for each
+level of difficulty, which is a feature that is cheap to compute. The lower
+confidence bound of the class's mean rating has to stay at or above the target.
+The solver is greedy: each move to a cheaper plan is the one that saves most for
+the quality that it loses.
+
+The decisions are pure: they map counters to plans.
 """
 
 from __future__ import annotations
@@ -18,38 +21,48 @@
 from lovagestage.messages.counters import Arm, Counter, Plan
 
 Z_SCORE = 1.65
-"""One-sided 95%, for each solution on its own."""
+"""One-sided 95% quantile of the normal distribution, for each solution
+separately."""
 MIN_RATINGS = 8
-"""Ratings of a plan at a level before it may be used there."""
+"""Number of ratings that a plan needs at a level before it may be used
+there."""
 MAX_EXPLORE_RATIO = 0.12
-"""Most requests that go to a plan for the sake of its ratings alone."""
+"""Maximum fraction of requests that follow a plan only to obtain its
+ratings."""
 MIN_EXPLORE_RATIO = 0.01
-"""Exploration of a class without quality to spare, and at a cold start."""
+"""Fraction of requests that explore if the class has no quality to spare, and
+at a cold start."""
 EXPLORE_SLACK_RATIO = 0.9
-"""Part of the best version's lead over the target spent on exploration."""
+"""Fraction of the best version's lead over the target that exploration may
+cost."""
 UNKNOWN_SCORE = 0.5
-"""Mean rating assumed of a plan that is explored without ratings yet."""
-SETTLED_RATINGS = 40
-"""A plan with so many ratings at a level is explored no more."""
-FRACTIONS = (1.0, 0.75, 0.5, 0.25, 0.1)
-"""Parts of a level's requests that may move to a plan."""
+"""Mean rating that is assumed of an explored plan without ratings."""
+SUFFICIENT_RATINGS = 40
+"""Number of ratings at a level from which a plan is no longer explored
+there."""
+MOVE_FRACTIONS = (1.0, 0.75, 0.5, 0.25, 0.1)
+"""Fractions of a level's requests that one move may transfer to a plan."""
 MAX_SHARES = 3
-"""Plans that the requests of one level are divided among."""
+"""Maximum number of plans among which the requests of one level are divided."""
 BASE_PROMPT_BYTES = 128
 MAX_DIFFICULTY = 7
 MIN_LEFT_RATIO = 2.0
-"""A second answer is asked for where this many times the first one's time is
-left before the deadline."""
+"""A second answer is requested only if the time left before the deadline is at
+least this multiple of the time that the first answer took."""
 
 
 def get_difficulty(prompt_bytes: int) -> int:
-    """Difficulty level of a prompt: each doubling of its length is one."""
+    """Returns a prompt's difficulty level: one level per doubled length."""
     level = int(math.log2(max(1.0, prompt_bytes / BASE_PROMPT_BYTES)))
     return min(MAX_DIFFICULTY, level)
 
 
 def make_plans(versions: Sequence[str]) -> list[Plan]:
-    """All plans over versions in order from cheapest to best; best last."""
+    """Returns all plans over versions, with the best version alone last.
+
+    Args:
+        versions: The versions in order from cheapest to best.
+    """
     plans = []
     for index, start in enumerate(versions[:-1]):
         plans.append(Plan(start))
@@ -60,13 +73,13 @@
 def may_escalate(
     plan: Plan, is_doubtful: bool, spent_s: float, left_s: float
 ) -> bool:
-    """Whether a second answer is asked for.
+    """Returns whether a second answer is requested.
 
     Args:
-        plan: The request's plan.
-        is_doubtful: The first answer was cut off, empty or a refusal.
-        spent_s: Time that it took.
-        left_s: Time until the deadline.
+        plan: Plan of the request.
+        is_doubtful: Whether the first answer was cut off, empty or a refusal.
+        spent_s: Seconds that the first answer took.
+        left_s: Seconds until the deadline.
     """
     return (
         is_doubtful and bool(plan.then) and left_s >= MIN_LEFT_RATIO * spent_s
@@ -75,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Share:
-    """Part of a level's requests that follows a plan."""
+    """Fraction of a level's requests that follows a plan."""
 
     plan: Plan
     ratio: float
@@ -83,14 +96,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Move:
-    """A switch of part of a level to a cheaper plan.
+    """Transfer of a fraction of a level's requests to a cheaper plan.
 
     Attributes:
-        difficulty: The level.
-        plan: The plan to use.
-        ratio: Part of the level's requests.
-        saved: Cost saved if all of them moved, per request of the class.
-        lost: Mean rating lost if all of them moved, likewise.
+        difficulty: The difficulty level.
+        plan: The plan that the requests move to.
+        ratio: Fraction of the requests that move.
+        saved: Cost saved per request of the class if all of them moved.
+        lost: Mean rating lost per request of the class if all of them moved.
     """
 
     difficulty: int
@@ -100,9 +113,10 @@
     lost: float
 
     def get_rank(self) -> tuple[bool, float, float]:
-        """Higher is better: nothing lost first, then saved per lost.
+        """Returns a sort key; a higher key is a better move.
 
-        Parts of one move rank by their size alone.
+        Moves that lose no quality rank first, then moves by the cost saved per
+        quality lost. Fractions of the same move differ by their size alone.
         """
         free = self.lost <= 0.0
         value = self.saved if free else self.saved / self.lost
@@ -110,20 +124,21 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Part:
-    """What a level adds to the class's mean rating and its variance."""
+class _Contribution:
+    """Contribution of a level to the class's mean rating and its variance."""
 
     mean: float
     variance: float
 
 
 class CascadeTable:
-    """Plans of one class, by level, as solved from the counters.
+    """Plans of one class by difficulty level, solved from the counters.
 
     Args:
-        versions: Allowed `MODEL@VERSION` from cheapest to best; not empty.
+        versions: Allowed versions, `MODEL@VERSION`, in order from cheapest to
+            best; not empty.
         class_name: The request class.
-        quality_target: Mean rating to hold.
+        quality_target: Mean rating that the plans have to reach.
         counters: Sums by arm; arms of other classes are ignored.
     """
 
@@ -139,22 +154,26 @@
         self._class_name = class_name
         self._target = quality_target
         self._counters = counters
-        self._pooled: dict[tuple[int, Plan], Counter] = {}
+        self._pooled_counters: dict[tuple[int, Plan], Counter] = {}
         levels = range(MAX_DIFFICULTY + 1)
         self._weights = {d: float(self._count_requests(d)) for d in levels}
         total = sum(self._weights.values())
         self._weights = {d: w / total for d, w in self._weights.items() if w}
         self.shares = {d: [Share(self._best, 1.0)] for d in self._weights}
-        self._explored = {d: self._get_unsettled(d) for d in levels}
+        self._plans_to_explore = {
+            d: self._get_plans_to_explore(d) for d in levels
+        }
         self.explore_ratio = self._make_explore_ratio()
-        self._parts = {d: self._get_part(d, s) for d, s in self.shares.items()}
+        self._contributions = {
+            d: self._make_contribution(d, s) for d, s in self.shares.items()
+        }
         self._solve()
 
     def choose(self, difficulty: int, rng: random.Random) -> Plan:
         """Chooses the plan of one request."""
-        unsettled = self._explored.get(difficulty)
-        if unsettled and rng.random() < self.explore_ratio:
-            return rng.choice(unsettled)
+        plans_to_explore = self._plans_to_explore.get(difficulty)
+        if plans_to_explore and rng.random() < self.explore_ratio:
+            return rng.choice(plans_to_explore)
         draw = rng.random()
         for share in self.shares.get(difficulty, ()):
             draw -= share.ratio
@@ -163,73 +182,80 @@
         return self._best
 
     def get_bound(self) -> float:
-        """Lower confidence bound of the class's mean rating."""
-        return _get_bound(self._parts)
+        """Returns the lower confidence bound of the class's mean rating."""
+        return _get_bound(self._contributions)
 
     def _count_requests(self, difficulty: int) -> int:
-        return sum(self._get(difficulty, p).requests for p in self._plans)
+        return sum(
+            self._get_counter(difficulty, p).requests for p in self._plans
+        )
 
-    def _get(self, difficulty: int, plan: Plan) -> Counter:
+    def _get_counter(self, difficulty: int, plan: Plan) -> Counter:
         arm = Arm(self._class_name, difficulty, plan)
-        return self._counters.get(arm, _NOTHING)
+        return self._counters.get(arm, _EMPTY_COUNTER)
 
-    def _pool(self, difficulty: int, plan: Plan) -> Counter:
-        """Sums of a level, with harder levels where it has few ratings.
+    def _get_pooled_counter(self, difficulty: int, plan: Plan) -> Counter:
+        """Returns the sums of a level, pooled with harder levels if needed.
 
-        Harder requests are rated no better, so pooling errs on the safe side.
+        Harder levels are added until there are enough ratings. Requests of
+        harder levels are rated no better, so pooling errs on the safe side.
         """
         key = (difficulty, plan)
-        pooled = self._pooled.get(key)
+        pooled = self._pooled_counters.get(key)
         if pooled is None:
             pooled = Counter()
             for level in range(difficulty, MAX_DIFFICULTY + 1):
-                pooled.add(self._get(level, plan))
+                pooled.add(self._get_counter(level, plan))
                 if pooled.ratings >= MIN_RATINGS:
                     break
-            self._pooled[key] = pooled
+            self._pooled_counters[key] = pooled
         return pooled
 
-    def _get_unsettled(self, difficulty: int) -> list[Plan]:
+    def _get_plans_to_explore(self, difficulty: int) -> list[Plan]:
         return [
             plan
             for plan in self._plans[:-1]
-            if self._get(difficulty, plan).ratings < SETTLED_RATINGS
+            if self._get_counter(difficulty, plan).ratings < SUFFICIENT_RATINGS
         ]
 
     def _get_explored_mean(self, difficulty: int) -> float:
-        plans = self._explored[difficulty]
+        plans = self._plans_to_explore[difficulty]
         if not plans:
             return 0.0
-        counters = [self._get(difficulty, plan) for plan in plans]
+        counters = [self._get_counter(difficulty, plan) for plan in plans]
         means = [c.get_mean() if c.ratings else UNKNOWN_SCORE for c in counters]
         return sum(means) / len(means)
 
     def _make_explore_ratio(self) -> float:
-        """Exploration that the best version's lead over the target pays."""
+        """Returns the exploration that the best version's lead can pay for.
+
+        The lead is the margin of the best version's mean rating over the
+        target.
+        """
         lead, loss = -self._target, 0.0
         for difficulty, weight in self._weights.items():
-            best = self._pool(difficulty, self._best).get_mean()
+            best = self._get_pooled_counter(difficulty, self._best).get_mean()
             lead += weight * best
-            if self._explored[difficulty]:
-                worse = best - self._get_explored_mean(difficulty)
-                loss += weight * max(0.0, worse)
+            if self._plans_to_explore[difficulty]:
+                shortfall = best - self._get_explored_mean(difficulty)
+                loss += weight * max(0.0, shortfall)
         ratio = EXPLORE_SLACK_RATIO * lead / max(loss, 1e-3)
         return min(MAX_EXPLORE_RATIO, max(MIN_EXPLORE_RATIO, ratio))
 
     def _solve(self) -> None:
         while True:
             moves = sorted(self._get_moves(), key=_Move.get_rank, reverse=True)
-            if not any(self._try(move) for move in moves):
+            if not any(self._try_move(move) for move in moves):
                 return
 
-    def _try(self, move: _Move) -> bool:
+    def _try_move(self, move: _Move) -> bool:
         shares = self._make_shares(move)
-        part = self._get_part(move.difficulty, shares)
-        parts = self._parts | {move.difficulty: part}
-        if _get_bound(parts) < self._target:
+        contribution = self._make_contribution(move.difficulty, shares)
+        contributions = self._contributions | {move.difficulty: contribution}
+        if _get_bound(contributions) < self._target:
             return False
         self.shares[move.difficulty] = shares
-        self._parts = parts
+        self._contributions = contributions
         return True
 
     def _get_moves(self) -> list[_Move]:
@@ -243,47 +269,54 @@
     def _make_moves(
         self, difficulty: int, weight: float, plan: Plan
     ) -> list[_Move]:
-        after = self._pool(difficulty, plan)
-        if after.ratings < MIN_RATINGS:
+        candidate = self._get_pooled_counter(difficulty, plan)
+        if candidate.ratings < MIN_RATINGS:
             return []
         shares = self.shares[difficulty]
-        before = self._pool(difficulty, shares[-1].plan)
-        part = shares[-1].ratio * weight
-        saved = part * (before.get_cost() - after.get_cost())
-        lost = part * (before.get_mean() - after.get_mean())
+        current = self._get_pooled_counter(difficulty, shares[-1].plan)
+        request_share = shares[-1].ratio * weight
+        saved = request_share * (current.get_cost() - candidate.get_cost())
+        lost = request_share * (current.get_mean() - candidate.get_mean())
         if not saved > 0.0 or len(shares) >= MAX_SHARES:
             return []
         return [
-            _Move(difficulty, plan, ratio, saved, lost) for ratio in FRACTIONS
+            _Move(difficulty, plan, ratio, saved, lost)
+            for ratio in MOVE_FRACTIONS
         ]
 
     def _make_shares(self, move: _Move) -> list[Share]:
-        *kept, left = self.shares[move.difficulty]
-        kept.append(Share(move.plan, left.ratio * move.ratio))
+        *unchanged, last = self.shares[move.difficulty]
+        unchanged.append(Share(move.plan, last.ratio * move.ratio))
         if move.ratio < 1.0:
-            kept.append(Share(left.plan, left.ratio * (1.0 - move.ratio)))
-        return kept
+            unchanged.append(Share(last.plan, last.ratio * (1.0 - move.ratio)))
+        return unchanged
 
-    def _get_part(self, difficulty: int, shares: Sequence[Share]) -> _Part:
+    def _make_contribution(
+        self, difficulty: int, shares: Sequence[Share]
+    ) -> _Contribution:
         weight = self._weights[difficulty]
-        explored = self._explored[difficulty]
-        used = weight * (1.0 - self.explore_ratio) if explored else weight
+        explored = self._plans_to_explore[difficulty]
+        regular_weight = (
+            weight * (1.0 - self.explore_ratio) if explored else weight
+        )
         mean = variance = 0.0
         for share in shares:
-            counter = self._pool(difficulty, share.plan)
+            counter = self._get_pooled_counter(difficulty, share.plan)
             if not counter.ratings:
                 continue  # Counts as the worst score until there is one.
-            part = used * share.ratio
-            mean += part * counter.get_mean()
-            variance += (part * counter.get_error()) ** 2
-        mean += (weight - used) * self._get_explored_mean(difficulty)
-        return _Part(mean, variance)
+            weight_of_share = regular_weight * share.ratio
+            mean += weight_of_share * counter.get_mean()
+            variance += (weight_of_share * counter.get_error()) ** 2
+        mean += (weight - regular_weight) * self._get_explored_mean(difficulty)
+        return _Contribution(mean, variance)
 
 
-def _get_bound(parts: Mapping[int, _Part]) -> float:
-    mean = sum(part.mean for part in parts.values())
-    variance = sum(part.variance for part in parts.values())
+def _get_bound(contributions: Mapping[int, _Contribution]) -> float:
+    mean = sum(contribution.mean for contribution in contributions.values())
+    variance = sum(
+        contribution.variance for contribution in contributions.values()
+    )
     return mean - Z_SCORE * math.sqrt(variance)
 
 
-_NOTHING = Counter()
+_EMPTY_COUNTER = Counter()
--- a/src/lovagestage/decisions/crash_suspects.py
+++ b/src/lovagestage/decisions/crash_suspects.py
@@ -1,11 +1,14 @@
-"""Requests that crash each upstream that runs them: pure decisions.
-
-A request is known by its fingerprint, whatever its id and through whichever
-entry it comes. When an upstream dies, each request in flight there takes a
-strike. One strike is what an ordinary failure gives to all, so it changes
-nothing. A request with two runs only as a probe, apart from all other
-requests with strikes; if the upstream dies again, that one is convicted and
-refused. Entries tell one another each strike, probe and verdict.
+"""Detects requests that crash each upstream that runs them.
+
+A request is identified by its fingerprint, whatever its id and whichever entry
+receives it. When an upstream crashes, each request in flight there gets a
+strike. An ordinary failure gives one strike to all of these requests, so one
+strike changes nothing. A request with two strikes runs only as a probe,
+separately from all other requests with strikes. If the upstream crashes again,
+the probed request is convicted and refused from then on. Entries send one
+another a report of each strike, probe and verdict.
+
+The decisions are pure: they read no clock and open no socket.
 """
 
 from __future__ import annotations
@@ -20,21 +23,21 @@
 
 STRIKES_TO_PROBE = 2
 MAX_UPSTREAMS_LOST = STRIKES_TO_PROBE + 1
-"""Upstreams that one request sent again and again takes down, across all
-entries that hear each other."""
-SUSPECT_KEEP_S = 600.0
-CONVICTION_KEEP_S = 3_600.0
-PROBE_KEEP_S = 120.0
+"""Number of upstreams that one request crashes if it is sent repeatedly, over
+all entries that receive each other's reports."""
+SUSPECT_RETENTION_S = 600.0
+CONVICTION_RETENTION_S = 3_600.0
+PROBE_TIMEOUT_S = 120.0
 MAX_SUSPECTS = 10_000
 
 
 class Admission(enum.Enum):
-    """How a request may run."""
+    """Way in which a request may run."""
 
     FREE = "free"
     PROBE = "probe"
     WAIT = "wait"
-    """Another copy of it is being probed."""
+    """Another copy of the request is being probed."""
     REFUSE = "refuse"
 
 
@@ -48,17 +51,17 @@
 
 
 def get_fingerprint(workspace: WorkspaceId, body: bytes) -> Fingerprint:
-    """Names a request by its workspace and body."""
+    """Returns the hash that identifies a request by workspace and body."""
     digest = xxhash.xxh3_128(workspace.encode() + b"\0")
     digest.update(body)
     return Fingerprint(digest.hexdigest())
 
 
 class SuspectTable:
-    """What one entry knows of requests that were in flight at a crash.
+    """State, at one entry, of requests that were in flight at a crash.
 
-    Bounded: at the limit the suspect that expires first is dropped, convicted
-    ones last.
+    The table is bounded. At the limit it drops the suspect that expires first,
+    and convicted suspects only if there are no others.
     """
 
     def __init__(self) -> None:
@@ -68,12 +71,12 @@
         return len(self._suspects)
 
     def get_strikes(self, name: Fingerprint, now_s: float) -> int:
-        """Crashes at which the request was in flight."""
+        """Returns the number of crashes at which the request was in flight."""
         suspect = self._get(name, now_s)
         return len(suspect.strikes) if suspect else 0
 
     def admit(self, name: Fingerprint, now_s: float) -> Admission:
-        """How the request may run now."""
+        """Returns how the request may run now."""
         suspect = self._get(name, now_s)
         if suspect is None:
             return Admission.FREE
@@ -88,38 +91,53 @@
     def start_probe(
         self, name: Fingerprint, run: str, now_s: float
     ) -> CrashReport:
-        """Notes a probe; the report is for the other entries."""
-        return self._report(CrashReportKind.PROBE, name, run, now_s)
+        """Records a probe; returns the report for the other entries."""
+        return self._apply_own_report(CrashReportKind.PROBE, name, run, now_s)
 
     def add_crash(
         self, name: Fingerprint, run: str, probe: bool, now_s: float
     ) -> CrashReport:
-        """Notes that an upstream died while it ran the request.
+        """Records that an upstream crashed while it ran the request.
 
         Args:
-            name: The request.
-            run: Names the attempt, so that a report told twice counts once.
-            probe: Whether it ran as a probe.
-            now_s: Monotonic time.
+            name: Fingerprint of the request.
+            run: Id of the attempt, so that a report that arrives twice counts
+                once.
+            probe: Whether the request ran as a probe.
+            now_s: Monotonic time in seconds.
+
+        Returns:
+            The report for the other entries.
         """
         kind = CrashReportKind.CONVICTED if probe else CrashReportKind.STRIKE
-        return self._report(kind, name, run, now_s)
+        return self._apply_own_report(kind, name, run, now_s)
 
     def add_end(
         self, name: Fingerprint, run: str, answered: bool, now_s: float
     ) -> CrashReport | None:
-        """Notes the end of a run without a crash; clears what answered."""
+        """Records the end of a run without a crash.
+
+        An answer clears the request of its strikes unless it was convicted.
+
+        Returns:
+            The report for the other entries; None if the request is no suspect
+            or nothing changes.
+        """
         suspect = self._get(name, now_s)
         if suspect is None:
             return None
         if answered:
-            return self._report(CrashReportKind.CLEARED, name, run, now_s)
+            return self._apply_own_report(
+                CrashReportKind.CLEARED, name, run, now_s
+            )
         if suspect.probe == run:
-            return self._report(CrashReportKind.PROBE_ENDED, name, run, now_s)
+            return self._apply_own_report(
+                CrashReportKind.PROBE_ENDED, name, run, now_s
+            )
         return None
 
     def apply(self, report: CrashReport, now_s: float) -> None:
-        """Takes in a report, of this entry or another; repeats are harmless."""
+        """Applies a report of this or another entry; repeats have no effect."""
         name = report.fingerprint
         suspect = self._get(name, now_s)
         if report.kind is CrashReportKind.CLEARED:
@@ -128,22 +146,22 @@
             return
         if suspect is None:
             suspect = self._add(name, now_s)
-        suspect.expires_s = max(suspect.expires_s, now_s + SUSPECT_KEEP_S)
+        suspect.expires_s = max(suspect.expires_s, now_s + SUSPECT_RETENTION_S)
         match report.kind:
             case CrashReportKind.STRIKE:
                 suspect.strikes.add(report.run)
             case CrashReportKind.PROBE:
                 suspect.probe = report.run
-                suspect.probe_until_s = now_s + PROBE_KEEP_S
+                suspect.probe_until_s = now_s + PROBE_TIMEOUT_S
             case CrashReportKind.PROBE_ENDED:
                 if suspect.probe == report.run:
                     suspect.probe = ""
             case CrashReportKind.CONVICTED:
                 suspect.strikes.add(report.run)
                 suspect.convicted = True
-                suspect.expires_s = now_s + CONVICTION_KEEP_S
+                suspect.expires_s = now_s + CONVICTION_RETENTION_S
 
-    def _report(
+    def _apply_own_report(
         self, kind: CrashReportKind, name: Fingerprint, run: str, now_s: float
     ) -> CrashReport:
         report = CrashReport(kind, name, run)
@@ -159,13 +177,13 @@
 
     def _add(self, name: Fingerprint, now_s: float) -> _Suspect:
         if len(self._suspects) >= MAX_SUSPECTS:
-            first = min(
+            evicted = min(
                 self._suspects,
-                key=lambda known: (
-                    self._suspects[known].convicted,
-                    self._suspects[known].expires_s,
+                key=lambda candidate: (
+                    self._suspects[candidate].convicted,
+                    self._suspects[candidate].expires_s,
                 ),
             )
-            del self._suspects[first]
-        self._suspects[name] = _Suspect(expires_s=now_s + SUSPECT_KEEP_S)
+            del self._suspects[evicted]
+        self._suspects[name] = _Suspect(expires_s=now_s + SUSPECT_RETENTION_S)
         return self._suspects[name]
--- a/src/lovagestage/decisions/deadlines.py
+++ b/src/lovagestage/decisions/deadlines.py
@@ -1,10 +1,13 @@
-"""Deferrable requests by deadline: pure, no clock or socket.
+"""Admits deferrable requests by deadline and orders their runs.
 
-A queue of one entry: a request is taken only where it and all that were
-taken before it can be done in time, then started earliest deadline first in
-a few slots of the pool that are its own. The test is the demand bound of
-earliest-deadline-first scheduling (Liu and Layland 1973; Baruah 1990): up to
-each deadline, the work due by then fits in what the slots do until then.
+Each entry has one queue. The queue accepts a request only if this request and
+all requests that were accepted before it can finish in time. It then starts
+them earliest deadline first in a few slots of the pool that are reserved for
+deferrable requests. The test is the demand bound of earliest-deadline-first
+scheduling (Liu and Layland 1973; Baruah 1990): up to each deadline, the work
+due by then has to fit into the capacity of the slots until then.
+
+The decisions are pure: they read no clock and open no socket.
 """
 
 from __future__ import annotations
@@ -15,18 +18,19 @@
 from lovagestage.types import RequestId
 
 SAFETY_RATIO = 0.8
-"""Part of the slots' rate that is promised; the rest is for estimates that
-are too low and for a slot that ends late."""
+"""Fraction of the slots' rate that is promised. The rest covers estimates that
+are too low and slots that become free late."""
 
 
 @dataclasses.dataclass(frozen=True, order=True)
 class Deferred:
-    """A request that may wait.
+    """A request that may wait until its deadline.
 
     Attributes:
-        deadline_s: Monotonic time by which its answer is whole.
-        request_id: The request.
-        tokens: Upper estimate of its answer.
+        deadline_s: Monotonic time in seconds by which the answer has to be
+            complete.
+        request_id: Id of the request.
+        tokens: Upper estimate of the number of tokens of the answer.
     """
 
     deadline_s: float
@@ -36,12 +40,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class SlotSpec:
-    """What an entry may use of the pool for deferrable requests.
+    """Capacity of the pool that an entry may use for deferrable requests.
 
     Attributes:
-        slots: Runs at once, whatever the load of urgent requests is.
-        tokens_per_s: What one slot generates while the pool is full.
-        first_token_s: From the start of a run to its first token.
+        slots: Number of concurrent runs, regardless of the load of urgent
+            requests.
+        tokens_per_s: Tokens per second that one slot generates while the pool
+            is full.
+        first_token_s: Seconds from the start of a run to its first token.
     """
 
     slots: int
@@ -49,7 +55,7 @@
     first_token_s: float
 
     def get_run_s(self, tokens: float) -> float:
-        """Time of one run."""
+        """Returns the duration of one run in seconds."""
         return self.first_token_s + tokens / self.tokens_per_s
 
 
@@ -58,7 +64,7 @@
 
     Args:
         spec: The slots.
-        limit: Most requests that wait.
+        limit: Maximum number of requests that wait.
     """
 
     def __init__(self, spec: SlotSpec, limit: int) -> None:
@@ -71,19 +77,22 @@
         return len(self._waiting)
 
     def offer(self, request: Deferred, now_s: float) -> bool:
-        """Takes a request; False where it can't be promised in time."""
+        """Enqueues a request; returns False if it can't finish in time.
+
+        A request is also rejected if the queue is full.
+        """
         if len(self._waiting) >= self._limit:
             return False
-        place = bisect.bisect(self._waiting, request)
+        index = bisect.bisect(self._waiting, request)
         planned = [*self._waiting]
-        planned.insert(place, request)
+        planned.insert(index, request)
         if not self._is_feasible(planned, now_s):
             return False
         self._waiting = planned
         return True
 
     def take(self, now_s: float) -> Deferred | None:
-        """The request to start now; None where no slot is free."""
+        """Returns the request to start now; None if no slot is free."""
         if not self._waiting or len(self._running) >= self._spec.slots:
             return None
         request = self._waiting.pop(0)
@@ -91,10 +100,15 @@
         return request
 
     def end(self, request_id: RequestId) -> None:
-        """Frees the place of a request that has ended or was given up."""
+        """Frees the slot or queue position of a request.
+
+        The request has ended, or its caller has given it up.
+        """
         self._running.pop(request_id, None)
         self._waiting = [
-            each for each in self._waiting if each.request_id != request_id
+            waiting
+            for waiting in self._waiting
+            if waiting.request_id != request_id
         ]
 
     def _is_feasible(self, planned: list[Deferred], now_s: float) -> bool:
@@ -105,8 +119,8 @@
         )
         for request in planned:
             run_s = spec.get_run_s(request.tokens)
-            # Until it starts no slot is idle, and all are busy with what
-            # runs now or is due before it.
+            # Until this request starts, no slot is idle: all slots are busy
+            # with requests that run now or that are due before this one.
             start_s = work_s / (spec.slots * SAFETY_RATIO)
             if now_s + start_s + run_s / SAFETY_RATIO > request.deadline_s:
                 return False
--- a/src/lovagestage/decisions/evacuation.py
+++ b/src/lovagestage/decisions/evacuation.py
@@ -1,8 +1,11 @@
-"""Availability zones that operators want emptied: pure decisions.
+"""State of the availability zones that operators have evacuated.
 
-The load that this answers: a zone is to be shut down, or has trouble that the
-gateways can't see. Its upstreams answer as ever, so nothing but the order
-keeps requests away from them. What runs there may end; nothing new is sent.
+An operator evacuates a zone that is to be shut down or that has a fault which
+the gateways can't detect. The upstreams of such a zone answer as usual, so only
+the operator's order keeps requests away from them. Requests that already run
+there may finish; no new request is sent there.
+
+The decisions are pure: they read no clock and open no socket.
 """
 
 from __future__ import annotations
@@ -15,22 +18,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Order:
-    """The newest record on a zone.
+    """The newest record of one zone.
 
     Attributes:
-        offset: Its place in the store.
-        is_standing: Whether the zone is to be empty.
+        offset: Offset of the record in the store.
+        is_standing: Whether the zone is evacuated.
     """
 
     offset: Offset
-    is_standing: bool
+    is_evacuated: bool
 
 
 class Evacuations:
-    """Which zones are to be empty, by the order of the store's records.
+    """Set of the evacuated zones, in the order of the store's records.
 
-    Records may be read late, twice and out of order; the newest one of a zone
-    decides, also where a read shows the past.
+    Records may be read late, repeatedly and out of order, and a read may return
+    an older state of the store. In each case the newest record of a zone
+    decides.
     """
 
     def __init__(self) -> None:
@@ -38,40 +42,41 @@
 
     def __contains__(self, zone: ZoneId) -> bool:
         order = self._orders.get(zone)
-        return order is not None and order.is_standing
+        return order is not None and order.is_evacuated
 
     def __len__(self) -> int:
-        return sum(order.is_standing for order in self._orders.values())
+        return sum(order.is_evacuated for order in self._orders.values())
 
-    def apply(self, zone: ZoneId, offset: Offset, is_standing: bool) -> bool:
-        """Takes a record; returns whether it changes what is to be empty."""
-        known = self._orders.get(zone)
-        if known is not None and offset <= known.offset:
+    def apply(self, zone: ZoneId, offset: Offset, is_evacuated: bool) -> bool:
+        """Applies a record; returns whether the zone's state changes."""
+        existing = self._orders.get(zone)
+        if existing is not None and offset <= existing.offset:
             return False
-        was_standing = zone in self
-        self._orders[zone] = _Order(offset, is_standing)
-        return is_standing != was_standing
+        was_evacuated = zone in self
+        self._orders[zone] = _Order(offset, is_evacuated)
+        return is_evacuated != was_evacuated
 
     def replace_all(
-        self, standing: Mapping[ZoneId, Offset], end: Offset
+        self, evacuated: Mapping[ZoneId, Offset], end: Offset
     ) -> dict[ZoneId, bool]:
-        """Takes a list of all standing orders; others were taken back.
+        """Applies a list of all evacuated zones; restores all others.
 
         Args:
-            standing: Zones, with the offsets of their orders.
-            end: Offset that the list covers. What is known of later records
-                stays.
+            evacuated: Evacuated zones, with the offsets of their records.
+            end: Offset at which the list ends. State from later records is
+                retained.
 
         Returns:
-            Zones that changed, with whether they are to be empty now.
+            Zones that changed, each with whether it is evacuated now.
         """
         changes = {
             zone: True
-            for zone, offset in standing.items()
+            for zone, offset in evacuated.items()
             if self.apply(zone, offset, True)
         }
-        for zone in self._orders.keys() - standing.keys():
-            # The removal has no record any more; it is before the list's end.
+        for zone in self._orders.keys() - evacuated.keys():
+            # The store retains no record of the removal, which took place
+            # before the end of the list.
             if self.apply(zone, Offset(end - 1), False):
                 changes[zone] = False
         return changes
--- a/src/lovagestage/decisions/exposure.py
+++ b/src/lovagestage/decisions/exposure.py
@@ -1,10 +1,12 @@
-"""Limits how many requests a new version answers before it is proved.
-
-One gate per roll-out and entry; pure: outcomes in, shares out. The share
-grows only by evidence that the new version is no worse than the old one, and
-at each step at most the exposure budget is answered before that evidence. A
-stop is local, monotone and needs no log: no later evidence takes it back,
-only another epoch of the roll-out (an edit of the document) does.
+"""Limits the requests to a new version until evidence supports it.
+
+An `ExposureGate` exists for each roll-out at each entry. It is pure: it
+receives the outcomes of requests and returns the share of requests for the new
+version. The share grows only on evidence that the new version is no worse than
+the old one. Before that evidence exists, the new version answers no more
+requests at each step than the exposure budget allows. A stop is local and
+monotone and needs no log: no later evidence revokes it. Only another epoch of
+the roll-out, which an edit of the document starts, does.
 """
 
 from __future__ import annotations
@@ -20,27 +22,32 @@
 from lovagestage.types import VmId
 
 FALSE_STOP_ALPHA = 0.008
-"""Chance of stopping a good roll-out, over all looks, tests and entries."""
+"""Probability of stopping a good roll-out, over all looks at the evidence, all
+tests and all entries."""
 FALSE_PASS_ALPHA = 0.1
-"""Chance of passing a step with a bad version, over all steps."""
+"""Probability that a bad version passes a step, over all steps."""
 STOP_TESTS = 2
-"""Tests that can stop a roll-out: failures and ratings."""
+"""Number of tests that can stop a roll-out: one of failures and one of
+ratings."""
 TOLERATED_RISK = 1.5
-"""A new version that fails up to this much more often is not stopped."""
+"""Relative risk of failure up to which a new version is not stopped: it may
+fail this many times as often as the old version."""
 GOOD_DROP_RATIO = 0.25
-"""Part of the greatest drop up to which a version counts as good."""
+"""Fraction of the maximum quality drop up to which a version counts as good."""
 MAX_FAILURE_RISE = 0.05
-"""Rise of the failure rate that a step must rule out to be passed."""
+"""Rise of the failure rate that the evidence must rule out before a step
+passes."""
 HOLDBACK_SHARE = 0.25
-"""Part of the traffic that stays on the old version while the document has
-the roll-out: without it a version that turns bad at the last step has nothing
-of the same moment to be compared with."""
+"""Share of the requests that stays on the old version for as long as the
+document contains the roll-out. Without it, a version that degrades at the last
+step could not be compared with simultaneous results of the old version."""
 SCORE_LEVELS = 255
-"""Scores cross between entries in one byte."""
+"""Number of steps in the scale of scores; entries exchange a score as one
+byte."""
 
 
 class StopReason(enum.Enum):
-    """Why a roll-out was stopped."""
+    """Reason for which a roll-out was stopped."""
 
     FAILURES = "failures"
     RATINGS = "ratings"
@@ -49,11 +56,12 @@
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """How one request was assigned.
+    """Assignment of one request to the old or the new version.
 
     Attributes:
-        is_new: Whether it goes to the new version.
-        share: Chance that it had of going there.
+        is_new: Whether the request goes to the new version.
+        share: Probability with which the request was assigned to the new
+            version.
     """
 
     is_new: bool
@@ -61,7 +69,7 @@
 
 
 class _Batch:
-    """Own observations that the next message carries."""
+    """Observations of this entry that its next message will contain."""
 
     def __init__(self) -> None:
         self.scores: dict[bool, bytearray] = {False: bytearray()}
@@ -76,9 +84,9 @@
 
     Args:
         spec: The roll-out, from the document in force.
-        epoch: Revision of the document that last changed it.
-        entries: Entries that share the budget; at least one.
-        vm: This entry.
+        epoch: Revision of the document that last changed the roll-out.
+        entries: Number of entries that share the budget; at least one.
+        vm: VM of this entry.
         incarnation: Start time of this process.
     """
 
@@ -101,11 +109,12 @@
         self._incarnation = incarnation
         self._sequence = 0
         self._step_exposed = 0
-        self._heard: dict[VmId, tuple[int, int]] = {}
+        self._latest_evidence: dict[VmId, tuple[int, int]] = {}
         self._batch = _Batch()
         self._stop_failures = FailureTest(TOLERATED_RISK)
-        # Wald's two hypotheses, with room between them: were both tests at
-        # one margin, a version near it would neither pass nor stop for days.
+        # The stop tests and the pass tests use Wald's two hypotheses with a
+        # distance between them. If both used one margin, a version close to it
+        # would neither pass nor stop for days.
         self._stop_ratings = PairedTest(
             spec.max_quality_drop * GOOD_DROP_RATIO,
             Direction.ABOVE,
@@ -115,7 +124,7 @@
         self._start_pass_tests()
 
     def get_share(self) -> float:
-        """Share of requests that go to the new version now."""
+        """Returns the share of requests that go to the new version now."""
         if self.stop_reason is not None or self.is_held():
             return 0.0
         if self.spec.state is RolloutState.ABORTED:
@@ -124,14 +133,14 @@
         return min(share, self.ceiling, 1.0 - HOLDBACK_SHARE)
 
     def is_held(self) -> bool:
-        """Whether the step's budget is spent and evidence is awaited."""
+        """Returns whether the step's budget is spent and evidence is due."""
         if self.step >= len(self.spec.steps):
             return False
         budget = self.spec.exposure_budget // self._entries
         return self._step_exposed >= budget
 
     def assign(self, rng: random.Random) -> Assignment:
-        """Assigns one request and counts it against the budget."""
+        """Assigns one request to a version and counts it against the budget."""
         share = self.get_share()
         is_new = rng.random() < share
         if is_new:
@@ -140,37 +149,38 @@
         return Assignment(is_new, share)
 
     def add_outcome(self, assignment: Assignment, failed: bool) -> None:
-        """Takes the end of one of this entry's requests.
+        """Adds the outcome of one of this entry's requests.
 
         Args:
-            assignment: What `assign` said of it.
-            failed: It crashed, ended in an error or was refused by the model.
+            assignment: Result of `assign` for the request.
+            failed: Whether the request crashed, ended in an error or was
+                refused by the model.
         """
         is_new = assignment.is_new
         if failed:
             level = round(assignment.share * SCORE_LEVELS)
             self._batch.failures[is_new].append(level)
-            self._absorb_failure(is_new, level)
+            self._apply_failure(is_new, level)
         else:
             self._batch.successes[is_new] += 1
             self._pass_failures.add(is_new, 0.0)
         self._check_stop()
 
     def add_rating(self, is_new: bool, score: float) -> None:
-        """Takes the rating, from 0 to 1, of one of this entry's answers."""
+        """Adds the rating, from 0 to 1, of one of this entry's answers."""
         level = round(min(1.0, max(0.0, score)) * SCORE_LEVELS)
         self._batch.scores[is_new].append(level)
-        self._absorb_score(is_new, level)
+        self._apply_score(is_new, level)
         self._check_stop()
 
     def advance(self, now_s: float) -> bool:
-        """Moves to the next step where the evidence allows it.
+        """Moves to the next step if the evidence allows it.
 
         Args:
-            now_s: Monotonic time.
+            now_s: Monotonic time in seconds.
 
         Returns:
-            Whether a step was passed.
+            Whether the gate has moved to the next step.
         """
         if self._step_started_s is None:
             self._step_started_s = now_s
@@ -181,13 +191,14 @@
         return True
 
     def follow(self, step: int, ceiling: float) -> None:
-        """Takes the recorded step in place of what `advance` would decide.
+        """Applies the recorded step in place of the decision of `advance`.
 
-        All entries follow one record, so that the share is the same at each;
-        what a gate has seen can only hold back from it.
+        All entries apply the same record, so that the share is the same at each
+        of them. The observations of a gate can only reduce the share below the
+        recorded one.
 
         Args:
-            step: Index into the steps; their number where all are passed.
+            step: Index into the steps; the number of steps if all have passed.
             ceiling: Largest share that the record allows.
         """
         self.ceiling = ceiling
@@ -195,24 +206,25 @@
             self._enter_step(step)
 
     def raise_entries(self, entries: int) -> None:
-        """Takes a larger number of entries; a smaller one is ignored.
+        """Applies a larger number of entries; ignores a smaller one.
 
-        An entry that is only out of sight still spends its part.
+        An entry that this entry merely can't see still spends its part of the
+        budget.
         """
         self._entries = max(self._entries, entries)
 
     def has_proof(self) -> bool:
-        """Whether the evidence to pass the present step is there."""
+        """Returns whether the evidence suffices to pass the present step."""
         if self.stop_reason is not None:
             return False
         limit = len(self.spec.steps) / FALSE_PASS_ALPHA
-        proved = min(
+        wealth = min(
             self._pass_ratings.get_wealth(), self._pass_failures.get_wealth()
         )
-        return proved >= limit
+        return wealth >= limit
 
     def stop(self, reason: StopReason) -> None:
-        """Stops the roll-out for this epoch; the first reason is kept."""
+        """Stops the roll-out for this epoch; the first reason is retained."""
         if self.stop_reason is None:
             self.stop_reason = reason
 
@@ -237,46 +249,47 @@
         )
 
     def absorb(self, evidence: Evidence) -> None:
-        """Takes another entry's message; late and repeated ones are dropped.
+        """Applies another entry's message; drops late and repeated messages.
 
-        A stop of an older epoch says nothing of this one: the operator has
-        edited the roll-out since.
+        A stop of an older epoch does not apply to this epoch, because the
+        operator has edited the roll-out since.
         """
         if evidence.epoch != self.epoch or evidence.vm == self._vm:
             return
         if evidence.stopped:
             self.stop(StopReason.PEER)
         order = (evidence.incarnation, evidence.sequence)
-        if order <= self._heard.get(evidence.vm, (0, 0)):
+        if order <= self._latest_evidence.get(evidence.vm, (0, 0)):
             return
-        self._heard[evidence.vm] = order
-        self._absorb_scores(evidence.old_scores, evidence.new_scores)
-        self._absorb_outcomes(evidence)
+        self._latest_evidence[evidence.vm] = order
+        self._apply_scores(evidence.old_scores, evidence.new_scores)
+        self._apply_outcomes(evidence)
         self._check_stop()
 
-    def _absorb_scores(self, old: bytes, new: bytes) -> None:
-        # In turn, so that a pair has scores of the same moment.
+    def _apply_scores(self, old: bytes, new: bytes) -> None:
+        # Old and new scores are added alternately, so that a pair consists of
+        # scores of about the same time.
         for index in range(max(len(old), len(new))):
             if index < len(old):
-                self._absorb_score(False, old[index])
+                self._apply_score(False, old[index])
             if index < len(new):
-                self._absorb_score(True, new[index])
+                self._apply_score(True, new[index])
 
-    def _absorb_outcomes(self, evidence: Evidence) -> None:
+    def _apply_outcomes(self, evidence: Evidence) -> None:
         for level in evidence.old_failure_shares:
-            self._absorb_failure(False, level)
+            self._apply_failure(False, level)
         for level in evidence.new_failure_shares:
-            self._absorb_failure(True, level)
+            self._apply_failure(True, level)
         for _ in range(evidence.old_successes):
             self._pass_failures.add(False, 0.0)
         for _ in range(evidence.new_successes):
             self._pass_failures.add(True, 0.0)
 
-    def _absorb_failure(self, is_new: bool, level: int) -> None:
+    def _apply_failure(self, is_new: bool, level: int) -> None:
         self._stop_failures.add(is_new, level / SCORE_LEVELS)
         self._pass_failures.add(is_new, 1.0)
 
-    def _absorb_score(self, is_new: bool, level: int) -> None:
+    def _apply_score(self, is_new: bool, level: int) -> None:
         score = level / SCORE_LEVELS
         self._stop_ratings.add(is_new, score)
         self._pass_ratings.add(is_new, score)
@@ -304,12 +317,13 @@
         self._start_pass_tests()
 
     def _start_pass_tests(self) -> None:
-        # Anew at each step: evidence of an earlier step would hide a version
-        # that has turned bad since.
+        # The pass tests start again at each step. Evidence of an earlier step
+        # would hide a version that has degraded since.
         self._pass_ratings = PairedTest(
             self.spec.max_quality_drop, Direction.BELOW, restarts=False
         )
-        # Counts of failures, not scores: a rise is new above old.
+        # The observations are failures, 0 or 1, and not scores: a rise of the
+        # failure rate means that new is above old.
         self._pass_failures = PairedTest(
             -MAX_FAILURE_RISE, Direction.ABOVE, restarts=False
         )
--- a/src/lovagestage/decisions/homes.py
+++ b/src/lovagestage/decisions/homes.py
@@ -1,8 +1,11 @@
-"""Regions that requests may not leave: pure decisions.
+"""Decides in which regions a request may run.
 
-Routes and workspaces may each name regions where their requests may run. The
-load that this answers: upstreams at home are full or gone while others have
-room. A request is then refused; it never runs elsewhere.
+A route and a workspace may each name the regions in which their requests may
+run. The upstreams in the allowed regions may be full or unavailable while
+others have free capacity. The request is then refused; it never runs in another
+region.
+
+The decisions are pure: they read no clock and open no socket.
 """
 
 from __future__ import annotations
@@ -12,26 +15,28 @@
 Homes = frozenset[RegionId]
 
 
-def get_common_homes(*all_homes: Homes | None) -> Homes | None:
-    """Regions that all who name some agree on.
+def get_common_homes(*region_sets: Homes | None) -> Homes | None:
+    """Returns the regions that route and workspace both allow.
 
     Args:
-        *all_homes: What route and workspace name; None for anywhere.
+        *region_sets: Regions that the route and the workspace each allow; None
+            for any region.
 
     Returns:
-        The regions, which may be none at all; None for anywhere.
+        The common regions, which may be an empty set; None for any region.
     """
-    named = [homes for homes in all_homes if homes is not None]
-    if not named:
+    restricted = [regions for regions in region_sets if regions is not None]
+    if not restricted:
         return None
-    return named[0].intersection(*named[1:])
+    return restricted[0].intersection(*restricted[1:])
 
 
 def is_home(region: RegionId | None, homes: Homes | None) -> bool:
-    """Whether a request may run in a region.
+    """Returns whether a request may run in a region.
 
     Args:
-        region: The region; None where it is not known, which is no home.
-        homes: Where the request may run; None for anywhere.
+        region: The region; None if it is not known, which no set of allowed
+            regions contains.
+        homes: Regions in which the request may run; None for any region.
     """
     return homes is None or region in homes
--- a/src/lovagestage/decisions/learned.py
+++ b/src/lovagestage/decisions/learned.py
@@ -1,11 +1,11 @@
-"""What entries learn of versions from ratings, as counters that merge.
-
-Each entry counts only in its own counters, by time window; they grow, so the
-larger of two copies is the later one and merging is commutative, associative
-and idempotent (a state-based CRDT, Shapiro et al. 2011). No process holds
-anything that the others lack, and a lost message is made good by the next
-one that carries the same counter. Old windows are forgotten, which is how
-drift leaves the estimates.
+"""Counters of requests and ratings that entries merge with each other.
+
+Each entry increments only its own counters, one for each time window. Counters
+only grow, so the larger of two copies is the later one, and merging is
+commutative, associative and idempotent (a state-based CRDT, Shapiro et al.
+2011). No process holds a counter that the others can't have, and the next
+message with the same counter makes up for a lost one. Old windows are dropped,
+so that the estimates follow drift.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 )
 from lovagestage.types import VmId
 
-WINDOWS = 6
-"""Windows kept; an older one says little of the present."""
+RETAINED_WINDOWS = 6
+"""Number of retained time windows; older ones say little about the present."""
 
 _Owner = tuple[VmId, int]
 
@@ -28,7 +28,7 @@
     """All counters that an entry knows.
 
     Args:
-        vm: This entry.
+        vm: VM of this entry.
         incarnation: Start time of this process.
     """
 
@@ -39,22 +39,30 @@
         self._changed: set[tuple[int, Arm]] = set()
 
     def set_window(self, window: int) -> None:
-        """Moves to a time window, as wall clock over window length."""
+        """Moves to a time window and drops windows that are too old.
+
+        Args:
+            window: Wall-clock time divided by the length of a window.
+        """
         self._window = max(self._window, window)
-        for old in [w for w in self._counters if w <= self._window - WINDOWS]:
-            del self._counters[old]
-        self._changed = {k for k in self._changed if k[0] in self._counters}
+        for expired in [
+            w for w in self._counters if w <= self._window - RETAINED_WINDOWS
+        ]:
+            del self._counters[expired]
+        self._changed = {
+            changed for changed in self._changed if changed[0] in self._counters
+        }
 
     def add_request(self, arm: Arm, cost: float) -> None:
-        """Counts a request that was answered."""
-        self._add(arm, Counter(1, cost))
+        """Counts a request that was answered, with its cost."""
+        self._add_to_counter(arm, Counter(1, cost))
 
     def add_rating(self, arm: Arm, score: float) -> None:
         """Counts the rating, from 0 to 1, of an answer."""
-        self._add(arm, Counter(0, 0.0, 1, score, score * score))
+        self._add_to_counter(arm, Counter(0, 0.0, 1, score, score * score))
 
     def get_sums(self) -> dict[Arm, Counter]:
-        """Sums over all entries and windows."""
+        """Returns the sums over all entries and windows by arm."""
         sums: dict[Arm, Counter] = {}
         for arms in self._counters.values():
             for arm, owners in arms.items():
@@ -64,7 +72,7 @@
         return sums
 
     def make_delta(self) -> LearnedDelta:
-        """Builds the message of what changed and forgets that it did."""
+        """Builds the message of changed counters; clears the change marks."""
         entries = [
             CounterEntry(arm, window, self._counters[window][arm][self._owner])
             for window, arm in sorted(self._changed)
@@ -73,18 +81,21 @@
         return LearnedDelta(*self._owner, entries)
 
     def merge(self, delta: LearnedDelta) -> None:
-        """Takes another entry's counters; late and repeated ones are kept."""
+        """Merges another entry's counters.
+
+        Late and repeated messages are accepted, because merging is idempotent.
+        """
         owner = (delta.vm, delta.incarnation)
         if owner == self._owner:
             return
         for entry in delta.entries:
-            if entry.window <= self._window - WINDOWS:
+            if entry.window <= self._window - RETAINED_WINDOWS:
                 continue
             owners = self._get_owners(entry.window, entry.arm)
             if entry.counter.is_later(owners.get(owner, Counter())):
                 owners[owner] = entry.counter
 
-    def _add(self, arm: Arm, amount: Counter) -> None:
+    def _add_to_counter(self, arm: Arm, amount: Counter) -> None:
         owners = self._get_owners(self._window, arm)
         owners.setdefault(self._owner, Counter()).add(amount)
         self._changed.add((self._window, arm))
--- a/src/lovagestage/decisions/limits.py
+++ b/src/lovagestage/decisions/limits.py
@@ -1,12 +1,15 @@
-"""Token limits of workspaces over all entries: pure, no clock or socket.
-
-Each entry has a token bucket for each workspace. It is refilled with the
-entry's share of the limit, which follows the entry's part of the demand, and
-with a part of the balance of the whole fleet, which is what the limit has
-granted less what all entries have used. The shares may be wrong for a while
-after a change; the balance makes up for it. What others use and are asked
-for comes in `UsageReport` messages: cumulative counters of one process, so
+"""Token limits of workspaces that all entries enforce together.
+
+Each entry has a token bucket for each workspace. The bucket is refilled with
+the entry's share of the limit, which follows the entry's part of the demand. It
+is also refilled with a part of the balance of the whole fleet, which is the
+number of tokens that the limit has granted less the number that all entries
+have used. The shares may be wrong for some time after a change; the balance
+compensates for this. The use and the demand at other entries arrive in
+`UsageReport` messages. These contain cumulative counters of one process, so
 that a lost or repeated message does no harm.
+
+The decisions are pure: they read no clock and open no socket.
 """
 
 from __future__ import annotations
@@ -21,44 +24,53 @@
 from lovagestage.types import ServiceId, VmId, WorkspaceId, WorkspaceTag
 
 DEFAULT_TOKENS = 256.0
-"""Estimate for a request that names no maximum, before any was answered."""
+"""Estimate in tokens for a request that names no maximum, before this entry has
+answered any request of the workspace."""
 MEAN_WEIGHT = 0.05
-"""Weight of the latest answer in the mean number of tokens."""
-DEMAND_TIME_S = 3.0
+"""Weight of the latest answer in the mean number of tokens per answer."""
+DEMAND_TIME_CONSTANT_S = 3.0
 SHARE_TIME_CYCLES = 2.0
-"""An entry that hears of no other demand yet takes its share slowly. Where it
-took all at once, all entries would do so until the first reports."""
+"""Time constant, in report cycles, with which the share of an entry moves to
+its target. Without it, an entry that has not yet received a report of other
+demand would use the whole limit immediately, and all entries would do so until
+the first reports arrive."""
 BALANCE_TIME_CYCLES = 5.0
-"""Longer than reports take, or the corrections would overshoot."""
+"""Time, in report cycles, over which the balance is corrected. It is longer
+than the reports take; otherwise the corrections would overshoot."""
 MAX_CUT_RATIO = 0.5
 MAX_RAISE_RATIO = 1.0
 MAX_DEBT_S = 20.0
-"""A wrong count can hold a workspace back for no longer than this."""
+"""Maximum debt, in seconds of the limit. A wrong count can't hold a workspace
+back for longer than this."""
 STALE_CYCLES = 3.0
-KEEP_PEER_S = 600.0
+PEER_RETENTION_S = 600.0
 FLOOR_RATIO = 0.02
-"""Demand that each entry counts with at least, as a part of its even share."""
+"""Minimum demand that is assumed of each entry, as a fraction of its even
+share."""
 MIN_BURST_S = 1.0
 CLASS_RESERVE_RATIO = 0.15
-"""Part of the bucket that a class leaves to each more urgent one."""
+"""Fraction of the bucket that a class leaves to each class that is more
+urgent."""
 MAX_CLASS_STEPS = 3
-AMPLE_RATIO = 0.1
-"""Part of the whole bucket that must be there for an entry to borrow."""
-BORROW_PARTS = 4.0
-"""Most that an entry may borrow, in even parts of the bucket."""
+BORROW_THRESHOLD_RATIO = 0.1
+"""Minimum balance, as a fraction of the fleet's bucket, at which an entry may
+borrow."""
+MAX_BORROWED_PARTS = 4.0
+"""Maximum number of tokens that an entry may borrow, in even parts of the
+bucket."""
 REPORT_RATIO = 0.25
-"""Demand under this part of an even share is not reported: were all entries
-as low, the workspace would be far from its limit."""
+"""Demand below this fraction of an even share is not reported: if the demand at
+all entries were as low, the workspace would be far below its limit."""
 MAX_RETRY_AFTER_S = 60
 
 
 @dataclasses.dataclass(frozen=True)
 class Limit:
-    """A workspace's limit, as its document says.
+    """Limit of a workspace, from the document of the service.
 
     Attributes:
-        tokens_per_s: Generated tokens over all entries.
-        burst_tokens: How far it may go over the limit at once.
+        tokens_per_s: Generated tokens per second, summed over all entries.
+        burst_tokens: Number of tokens by which a burst may exceed the limit.
     """
 
     tokens_per_s: float
@@ -66,17 +78,18 @@
 
     @property
     def depth_tokens(self) -> float:
-        """Depth of the bucket of the whole fleet."""
+        """Depth in tokens of the bucket of the whole fleet."""
         return max(self.burst_tokens, self.tokens_per_s * MIN_BURST_S)
 
 
 @dataclasses.dataclass(frozen=True)
 class Charge:
-    """What admission said.
+    """Result of the admission of a request.
 
     Attributes:
-        tokens: Estimate that was charged; 0 where refused.
-        retry_after_s: Where refused, when a retry may help.
+        tokens: Estimated number of tokens that was charged; 0 if refused.
+        retry_after_s: Seconds after which a retry may succeed; None unless
+            refused.
     """
 
     tokens: float
@@ -88,11 +101,11 @@
     incarnation: int
     used_tokens: float
     demand_per_s: float
-    heard_s: float
+    received_s: float
 
 
 class _Usage:
-    """One workspace at one entry."""
+    """Usage of one workspace at one entry."""
 
     def __init__(
         self, limit: Limit, entries: int, balance_tokens: float, now_s: float
@@ -127,10 +140,11 @@
         steps = min(max(priority, 0), MAX_CLASS_STEPS)
         reserve = CLASS_RESERVE_RATIO * steps
         depth = self.limit.depth_tokens
-        if self.balance_tokens > (AMPLE_RATIO + reserve) * depth:
-            # An even part of a small bucket is less than one request: a
-            # workspace far below its limit would be refused now and then.
-            return -BORROW_PARTS * depth / entries
+        if self.balance_tokens > (BORROW_THRESHOLD_RATIO + reserve) * depth:
+            # An even part of a small bucket is less than one request. Without
+            # borrowing, a workspace far below its limit would occasionally be
+            # refused.
+            return -MAX_BORROWED_PARTS * depth / entries
         return self.get_depth_tokens(entries) * reserve
 
     def spend(self, tokens: float) -> None:
@@ -143,9 +157,9 @@
     """Usage of all workspaces, as one entry knows it.
 
     Args:
-        vm: The entry's VM.
+        vm: VM of the entry.
         incarnation: Start time of the process.
-        now_s: Monotonic time.
+        now_s: Monotonic time in seconds.
     """
 
     def __init__(self, vm: VmId, incarnation: int, now_s: float) -> None:
@@ -154,26 +168,29 @@
         self._started_s = now_s
         self._usages: dict[WorkspaceTag, _Usage] = {}
         self._limits: dict[WorkspaceTag, Limit] = {}
-        self._live: frozenset[VmId] = frozenset()
+        self._live_peers: frozenset[VmId] = frozenset()
         self._cycle_s = 1.0
 
     @property
     def entries(self) -> int:
-        """Entries that share the limits, with this one."""
-        return len(self._live) + 1
+        """Number of entries that share the limits, including this one."""
+        return len(self._live_peers) + 1
 
     def set_peers(self, live: Iterable[VmId], cycle_s: float) -> None:
-        """Says who shares the limits.
+        """Sets the other entries that share the limits.
 
         Args:
-            live: The other entries that are heard.
-            cycle_s: Time in which each entry reports to all others.
+            live: The other entries that are presumed alive.
+            cycle_s: Seconds in which each entry reports to all others.
         """
-        self._live = frozenset(live)
+        self._live_peers = frozenset(live)
         self._cycle_s = cycle_s
 
     def set_limit(self, tag: WorkspaceTag, limit: Limit) -> None:
-        """Sets a limit in force; reports of unknown workspaces are ignored."""
+        """Sets a limit in force.
+
+        Reports about workspaces for which no limit was set are ignored.
+        """
         self._limits[tag] = limit
         usage = self._usages.get(tag)
         if usage is not None:
@@ -186,15 +203,16 @@
         priority: int,
         now_s: float,
     ) -> Charge:
-        """Charges a request's estimate, or refuses it.
+        """Charges a request's estimate, or refuses the request.
 
-        A request is admitted while there is anything above its class's part
-        of the bucket, whatever its size: a debt holds back the next ones, and
-        no request is too large for ever.
+        A request is admitted while the bucket's level is above the part that is
+        reserved from its class, whatever the size of the request. The debt that
+        this may create holds back the following requests, and no request is too
+        large to be ever admitted.
         """
         usage = self._advance(tag, now_s)
         estimate = usage.get_estimate(max_tokens)
-        usage.demand_per_s += estimate / self._get_demand_time_s()
+        usage.demand_per_s += estimate / self._get_demand_time_constant_s()
         floor = usage.get_floor_tokens(priority, self.entries)
         if usage.level_tokens > floor:
             usage.spend(estimate)
@@ -210,7 +228,7 @@
         used_tokens: float,
         now_s: float,
     ) -> None:
-        """Replaces an estimate by what was used; 0 where nothing ran."""
+        """Replaces an estimate by the tokens used; 0 if nothing ran."""
         usage = self._advance(tag, now_s)
         usage.spend(used_tokens - charge.tokens)
         if used_tokens == 0:
@@ -221,12 +239,12 @@
         usage.mean_tokens += MEAN_WEIGHT * change
 
     def make_report(self, now_s: float) -> UsageReport | None:
-        """What the other entries are told; None where nothing matters."""
+        """Makes the report to the other entries; None if demand is low."""
         rows = []
         for tag in list(self._usages):
             usage = self._advance(tag, now_s)
-            even = usage.limit.tokens_per_s / self.entries
-            if usage.demand_per_s < REPORT_RATIO * even:
+            even_rate = usage.limit.tokens_per_s / self.entries
+            if usage.demand_per_s < REPORT_RATIO * even_rate:
                 continue
             used, demand = usage.used_tokens, usage.demand_per_s
             rows.append(UsageRow(tag, round(used), round(demand)))
@@ -235,14 +253,14 @@
         return UsageReport(self._vm, self._incarnation, rows)
 
     def apply_report(self, report: UsageReport, now_s: float) -> None:
-        """Takes what another entry tells."""
+        """Applies a report of another entry."""
         for row in report.rows:
             if row.tag in self._limits:
                 usage = self._advance(row.tag, now_s)
                 self._apply_row(usage, report, row, now_s)
 
     def get_dump(self) -> list[dict[str, object]]:
-        """Usage by workspace tag, for the state dump."""
+        """Returns the usage by workspace tag for the state dump."""
         return [
             {
                 "workspace": f"{tag:016x}",
@@ -259,22 +277,24 @@
     def _apply_row(
         self, usage: _Usage, report: UsageReport, row: UsageRow, now_s: float
     ) -> None:
-        known = usage.peers.get(report.entry)
-        if known is not None and report.incarnation < known.incarnation:
+        existing = usage.peers.get(report.entry)
+        if existing is not None and report.incarnation < existing.incarnation:
             return
-        most = usage.limit.tokens_per_s * self._cycle_s
-        if known is not None and report.incarnation == known.incarnation:
-            used = row.used_tokens - known.used_tokens
-            most *= 1.0 + (now_s - known.heard_s) / self._cycle_s
+        max_charge = usage.limit.tokens_per_s * self._cycle_s
+        if existing is not None and report.incarnation == existing.incarnation:
+            used = row.used_tokens - existing.used_tokens
+            max_charge *= 1.0 + (now_s - existing.received_s) / self._cycle_s
         elif now_s - self._started_s < 2.0 * self._cycle_s:
-            # This process is new: what the others have used before is no
-            # part of its balance, or it would serve nothing for long.
+            # This process has just started. If the earlier use of the other
+            # entries were subtracted from its balance, it would refuse requests
+            # for a long time.
             used = 0.0
         else:
             used = row.used_tokens
-        # Rows of low demand are not sent, so the first one after a long time
-        # may bring hours of use at once, which the limit has granted since.
-        usage.balance_tokens -= min(used, most + usage.limit.depth_tokens)
+        # Rows of low demand are not sent, so the first row after a long time
+        # may contain the use of hours, for which the limit has granted tokens
+        # meanwhile.
+        usage.balance_tokens -= min(used, max_charge + usage.limit.depth_tokens)
         usage.peers[report.entry] = _PeerUsage(
             report.incarnation, row.used_tokens, row.demand_per_s, now_s
         )
@@ -291,48 +311,55 @@
         return usage
 
     def _make_usage(self, limit: Limit, now_s: float) -> _Usage:
-        # A new process knows nothing of what was used before it. Were its
-        # balance full, each replaced entry would grant the burst once more.
+        # A new process does not know the use before its start. If its balance
+        # were full, each replaced entry would grant the burst once more.
         granted = limit.tokens_per_s * (now_s - self._started_s)
         balance = min(limit.depth_tokens, granted)
         return _Usage(limit, self.entries, balance, now_s)
 
     def _refill(self, usage: _Usage, elapsed_s: float, now_s: float) -> None:
-        usage.demand_per_s *= math.exp(-elapsed_s / self._get_demand_time_s())
+        usage.demand_per_s *= math.exp(
+            -elapsed_s / self._get_demand_time_constant_s()
+        )
         target = self._get_target_share(usage, now_s)
-        kept = math.exp(-elapsed_s / (SHARE_TIME_CYCLES * self._cycle_s))
-        usage.share = target + (usage.share - target) * kept
+        remaining = math.exp(-elapsed_s / (SHARE_TIME_CYCLES * self._cycle_s))
+        usage.share = target + (usage.share - target) * remaining
         limit = usage.limit
-        gained = usage.get_refill_per_s(self._cycle_s) * elapsed_s
+        refill_tokens = usage.get_refill_per_s(self._cycle_s) * elapsed_s
         depth = usage.get_depth_tokens(self.entries)
-        usage.level_tokens = min(depth, usage.level_tokens + gained)
+        usage.level_tokens = min(depth, usage.level_tokens + refill_tokens)
         balance = usage.balance_tokens + limit.tokens_per_s * elapsed_s
         balance = max(balance, -MAX_DEBT_S * limit.tokens_per_s)
         usage.balance_tokens = min(balance, limit.depth_tokens)
 
     def _get_target_share(self, usage: _Usage, now_s: float) -> float:
         floor = FLOOR_RATIO * usage.limit.tokens_per_s / self.entries
-        own = usage.demand_per_s + floor
-        others = self._get_others_demand(usage, now_s)
-        return own / (own + others + floor * len(self._live))
+        own_demand = usage.demand_per_s + floor
+        peer_demand = self._get_peer_demand(usage, now_s)
+        return own_demand / (
+            own_demand + peer_demand + floor * len(self._live_peers)
+        )
 
-    def _get_others_demand(self, usage: _Usage, now_s: float) -> float:
+    def _get_peer_demand(self, usage: _Usage, now_s: float) -> float:
         total = 0.0
         for vm, peer in list(usage.peers.items()):
-            silent_s = now_s - peer.heard_s
-            if silent_s > KEEP_PEER_S:
+            report_age_s = now_s - peer.received_s
+            if report_age_s > PEER_RETENTION_S:
                 del usage.peers[vm]
-            elif vm in self._live and silent_s < STALE_CYCLES * self._cycle_s:
+            elif (
+                vm in self._live_peers
+                and report_age_s < STALE_CYCLES * self._cycle_s
+            ):
                 total += peer.demand_per_s
         return total
 
-    def _get_demand_time_s(self) -> float:
-        return max(DEMAND_TIME_S, self._cycle_s)
+    def _get_demand_time_constant_s(self) -> float:
+        return max(DEMAND_TIME_CONSTANT_S, self._cycle_s)
 
 
 def get_workspace_tag(
     service: ServiceId, workspace: WorkspaceId
 ) -> WorkspaceTag:
-    """Short name of a service's workspace in reports."""
+    """Returns the short name of a service's workspace in reports."""
     name = f"{service}/{workspace}".encode()
     return WorkspaceTag(xxhash.xxh64_intdigest(name))
--- a/src/lovagestage/decisions/plain_calls.py
+++ b/src/lovagestage/decisions/plain_calls.py
@@ -1,7 +1,7 @@
-"""HTTP calls to plain services: how they are routed and what is passed on.
+"""Routing and header rules of HTTP calls to plain services.
 
-Pure: the entry's handlers are in `plain_api`, the sidecar's part is in
-`plain_stream`.
+The decisions are pure. The entry's handlers are in `plain_api`, and the
+sidecar's part is in `plain_stream`.
 """
 
 from __future__ import annotations
@@ -24,11 +24,12 @@
 HEADER_WORKSPACE = "X-Workspace"
 HEADER_REQUEST_ID = "X-Request-Id"
 POOL_MODEL = ModelId("pool:")
-"""Stands before a pool where requests are routed; no version has this name,
-since a model's name has no colon."""
+"""Prefix of a pool's name in the version under which calls are routed. No model
+version has this name, since the name of a model contains no colon."""
 
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-"""Methods without an effect (RFC 9110, 9.2.1), repeatable on any route."""
+"""Methods without side effects (RFC 9110, 9.2.1), which may be repeated on any
+route."""
 
 _HOP_BY_HOP = frozenset(
     {
@@ -53,8 +54,9 @@
         HEADER_WORKSPACE.lower(),
     }
 )
-"""Not passed on: the caller's API key is the system's secret and no business
-of a plain service; the rest is set anew."""
+"""Headers that are not forwarded to the upstream. The caller's API key is a
+secret of this system that a plain service must not learn; the other headers are
+set again."""
 _OWN_ANSWER_HEADERS = frozenset(
     {"content-length", HEADER_REQUEST_ID.lower(), "x-attempts", "x-run-state"}
 )
@@ -62,15 +64,15 @@
 
 
 def make_pool_version(pool: PoolId) -> ModelVersion:
-    """The name under which a pool's upstreams are chosen."""
+    """Returns the version under which the upstreams of a pool are chosen."""
     return ModelVersion(POOL_MODEL, VersionId(pool))
 
 
 def find_route(document: ServiceDocument, path: str) -> RouteSpec | None:
-    """Finds a path's route: the longest prefix, the first of equal ones.
+    """Finds the route of a path: the longest prefix, the first if equal.
 
-    Only the document that names the caller's key is searched, so one prefix
-    in the documents of two services is two routes.
+    Only the document that contains the caller's key is searched, so the same
+    prefix in the documents of two services belongs to two routes.
     """
     matching = [r for r in document.routes if path.startswith(r.prefix)]
     return max(matching, key=lambda r: len(r.prefix), default=None)
@@ -79,23 +81,26 @@
 def has_pool(
     document: ServiceDocument, workspace: WorkspaceId, pool: PoolId
 ) -> bool:
-    """Whether a workspace's calls may reach a pool: the sidecar's check."""
+    """Returns whether a workspace's calls may reach a pool.
+
+    The sidecar uses this check.
+    """
     return workspace in document.workspaces and any(
         route.pool == pool for route in document.routes
     )
 
 
 def is_repeatable(route: RouteSpec, method: str) -> bool:
-    """Whether a call may be sent to an upstream more than once."""
+    """Returns whether a call may be sent to an upstream more than once."""
     return route.repeatable is Repeatable.ALWAYS or method in SAFE_METHODS
 
 
 def make_target(route: RouteSpec, raw_target: str) -> str:
-    """Path and query at the upstream: without the prefix.
+    """Returns path and query for the upstream, without the route's prefix.
 
     Raises:
-        MalformedRequestError: The path has a dot segment. An upstream that
-            resolves it would serve a path outside of the route.
+        MalformedRequestError: The path contains a dot segment. An upstream that
+            resolves dot segments would serve a path outside the route.
     """
     path = raw_target.partition("?")[0]
     segments = path.lower().replace("%2e", ".").replace("%2f", "/").split("/")
@@ -107,22 +112,26 @@
 
 
 def make_request_headers(headers: Iterable[Header]) -> list[Header]:
-    """Headers of a call that the upstream gets."""
-    return _strip(headers, _OWN_REQUEST_HEADERS)
+    """Returns the headers of a call that are forwarded to the upstream."""
+    return _remove_headers(headers, _OWN_REQUEST_HEADERS)
 
 
 def make_answer_headers(headers: Iterable[Header]) -> list[Header]:
-    """Headers of an answer that the caller gets."""
-    return _strip(headers, _OWN_ANSWER_HEADERS)
+    """Returns the headers of an answer that are forwarded to the caller."""
+    return _remove_headers(headers, _OWN_ANSWER_HEADERS)
 
 
-def _strip(headers: Iterable[Header], own: frozenset[str]) -> list[Header]:
-    kept = list(headers)
+def _remove_headers(
+    headers: Iterable[Header], own_headers: frozenset[str]
+) -> list[Header]:
+    all_headers = list(headers)
     named = {
         name.strip().lower()
-        for header in kept
+        for header in all_headers
         if header.name.lower() == "connection"
         for name in header.value.split(",")
     }
-    dropped = _HOP_BY_HOP | own | named
-    return [header for header in kept if header.name.lower() not in dropped]
+    dropped = _HOP_BY_HOP | own_headers | named
+    return [
+        header for header in all_headers if header.name.lower() not in dropped
+    ]
--- a/src/lovagestage/decisions/request_keys.py
+++ b/src/lovagestage/decisions/request_keys.py
@@ -1,10 +1,13 @@
-"""Ledger of request keys at an entry: pure, no clock and no socket.
+"""Ledger in which an entry stores request keys.
 
 A claim names the one run that may execute a key. The owner of the key's slot
-grants it only after the copy has taken it in the same epoch, and both answer
-only for slots whose past they know whole. Therefore any one holder that lives
-on knows each grant, and a holder that has moved on to a later epoch stops all
-grants of the earlier ones.
+grants a claim only after the holder of the slot's copy has stored it in the
+same epoch. Owner and copy holder answer only for slots of which they know the
+complete history. Therefore any single holder that survives knows each grant,
+and a holder that has moved on to a later epoch stops all grants of earlier
+epochs.
+
+The decisions are pure: they read no clock and open no socket.
 """
 
 from __future__ import annotations
@@ -26,30 +29,31 @@
 from lovagestage.state.members import SLOTS, MemberId, MemberView, Period
 from lovagestage.types import Offset, WorkspaceId
 
-NEVER_WHOLE = Offset(-1)
-_UNSEEN = Offset(-2)
+NEVER_COMPLETE = Offset(-1)
+_PERIODS_MISSED = Offset(-2)
 CALLER_CLOCK_MARGIN_MS = 60_000
-"""How far a caller's clock may be wrong when its key carries a time."""
+"""Greatest error in milliseconds that is assumed of a caller's clock when its
+key contains a time."""
 
 EntryKey = tuple[WorkspaceId, str]
 
 
 @dataclasses.dataclass
 class Slot:
-    """What a holder knows of one slot.
+    """State of one slot at one of its holders.
 
     Attributes:
-        whole_start: Start of the latest period through which every grant of
-            the slot is in `entries`.
-        seen_start: Start of the latest period that was looked at.
-        lost_at_ms: Wall time at which older entries were found lost; 0
-            where none ever were.
-        lost_holders: Who knew the lost entries.
+        whole_start: Start of the latest period up to which, and including
+            which, `entries` contains every grant of the slot.
+        seen_start: Start of the latest period that the holder has processed.
+        lost_at_ms: Wall time in milliseconds at which the loss of older entries
+            was detected; 0 if no entries were ever lost.
+        lost_holders: Holders that knew the lost entries.
         entries: Claims by workspace and key.
     """
 
-    whole_start: Offset = NEVER_WHOLE
-    seen_start: Offset = NEVER_WHOLE
+    whole_start: Offset = NEVER_COMPLETE
+    processed_start: Offset = NEVER_COMPLETE
     lost_at_ms: int = 0
     lost_holders: tuple[MemberId, ...] = ()
     entries: dict[EntryKey, LedgerEntry] = dataclasses.field(
@@ -58,21 +62,22 @@
 
 
 class PullState(enum.Enum):
-    """What a holder that does not know its slot whole has to do."""
+    """Next action of a holder whose slot history is incomplete."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     ASK = "ask"
     LOST = "lost"
 
 
 @dataclasses.dataclass(frozen=True)
 class PullStep:
-    """Next step towards a whole slot.
+    """Next step towards the complete history of a slot.
 
     Attributes:
-        state: What to do.
-        sources: Whom to ask, any of them.
-        lost: Holders that took the slot's past with them.
+        state: The action to take.
+        sources: Holders that can be asked; an answer of any one of them is a
+            step forward.
+        lost: Holders that were lost together with the history of the slot.
     """
 
     state: PullState
@@ -81,13 +86,13 @@
 
 
 class Ledger:
-    """Keys held by one process.
+    """Stores the request keys of the slots that one process holds.
 
     Args:
-        own: This process.
-        max_entries: Most claims held; past it new keys are refused.
-        window_s: How long a claim is remembered.
-        slots: Number of slots; the view's.
+        own: The process that holds the keys.
+        max_entries: Maximum number of claims; beyond it new keys are refused.
+        window_s: Seconds for which a claim is retained.
+        slots: Number of slots; it must equal that of the member view.
     """
 
     def __init__(
@@ -104,18 +109,23 @@
         self._window_s = window_s
 
     def apply_view(self, view: MemberView) -> None:
-        """Moves on to a view; what is whole stays so while it is held."""
+        """Processes the periods of a newer member view.
+
+        A slot whose history is complete stays complete for as long as this
+        process holds the slot without interruption.
+        """
         for index, slot in enumerate(self.slots):
             periods = view.periods[index]
-            if periods and periods[0].start > slot.seen_start:
-                # Periods were dropped unseen: grants in them are not known.
-                slot.seen_start = _UNSEEN
+            if periods and periods[0].start > slot.processed_start:
+                # The view dropped periods before this process had seen them, so
+                # the grants of these periods are unknown.
+                slot.processed_start = _PERIODS_MISSED
             for period in periods:
-                if period.start > slot.seen_start:
-                    self._enter(slot, period)
+                if period.start > slot.processed_start:
+                    self._enter_period(slot, period)
 
     def is_whole(self, view: MemberView, slot: int) -> bool:
-        """Whether every claim of a slot that is held now is known."""
+        """Returns whether this process knows all claims of a slot it holds."""
         periods = view.periods[slot]
         return (
             bool(periods)
@@ -126,7 +136,18 @@
     def claim(
         self, view: MemberView, claim: Claim, now_s: float, now_ms: int
     ) -> ClaimAnswer | Copy:
-        """Decides a claim as owner; a `Copy` has to be confirmed first."""
+        """Decides a claim as the owner of its slot.
+
+        Args:
+            view: The member view in force.
+            claim: The claim to decide.
+            now_s: Monotonic time in seconds.
+            now_ms: Wall time in milliseconds.
+
+        Returns:
+            The answer, or a `Copy` that the holder of the slot's copy has to
+            confirm before the claim may be answered.
+        """
         index = view.get_slot(claim.workspace, claim.key)
         holders = view.get_holders(index)
         if claim.epoch != view.epoch or holders[:1] != (self.own,):
@@ -134,10 +155,10 @@
         if not self.is_whole(view, index):
             return ClaimAnswer(ClaimOutcome.BUSY)
         slot = self.slots[index]
-        known = slot.entries.get((claim.workspace, claim.key))
-        refusal = self._check(view, slot, known, claim, now_ms)
+        existing = slot.entries.get((claim.workspace, claim.key))
+        refusal = self._find_refusal(view, slot, existing, claim, now_ms)
         if refusal is not None:
-            return ClaimAnswer(refusal, known)
+            return ClaimAnswer(refusal, existing)
         if claim.run is None:
             return Copy(view.epoch, index, None)
         entry = LedgerEntry(
@@ -146,57 +167,65 @@
             claim.fingerprint,
             claim.run,
             claim.version,
-            (view.epoch, known.stamp[1] + 1 if known else 0),
+            (view.epoch, existing.stamp[1] + 1 if existing else 0),
             now_s,
         )
-        self._put(slot, entry)
+        self._store_entry(slot, entry)
         return Copy(view.epoch, index, entry)
 
     def confirm(
         self, view: MemberView, copy: Copy, answer: CopyAnswer | None
     ) -> ClaimAnswer:
-        """Answers a claim after its copy; None where no answer came.
+        """Answers a claim after its copy was sent.
 
-        A grant that the copy has not taken would be forgotten with this
-        process, and the key could run again: it is not given.
+        A grant that the copy holder has not stored would be forgotten if this
+        process ended, and the key could run again. Such a grant is therefore
+        not given.
+
+        Args:
+            view: The member view in force.
+            copy: The copy that was sent.
+            answer: Answer of the copy holder; None if no answer arrived.
         """
         if view.epoch != copy.epoch:
             return ClaimAnswer(ClaimOutcome.STALE_VIEW)
-        is_alone = len(view.get_holders(copy.slot)) == 1
-        if not is_alone and (answer is None or not answer.taken):
+        is_only_holder = len(view.get_holders(copy.slot)) == 1
+        if not is_only_holder and (answer is None or not answer.taken):
             return ClaimAnswer(ClaimOutcome.BUSY)
         entry = copy.entry
         if entry is None:
             return ClaimAnswer(ClaimOutcome.FREE)
-        known = self.slots[copy.slot].entries.get((entry.workspace, entry.key))
-        if known is None or known.run != entry.run:
+        existing = self.slots[copy.slot].entries.get(
+            (entry.workspace, entry.key)
+        )
+        if existing is None or existing.run != entry.run:
             return ClaimAnswer(ClaimOutcome.BUSY)
-        return ClaimAnswer(ClaimOutcome.GRANTED, known)
+        return ClaimAnswer(ClaimOutcome.GRANTED, existing)
 
     def take_copy(
         self, view: MemberView, copy: Copy, now_s: float
     ) -> CopyAnswer:
-        """Takes a claim as copy; refused in another epoch."""
+        """Stores a claim as copy holder; refuses it in another epoch."""
         if copy.epoch != view.epoch or not self.is_whole(view, copy.slot):
             return CopyAnswer(False)
         entry = copy.entry
         if entry is None:
             return CopyAnswer(True)
         slot = self.slots[copy.slot]
-        known = slot.entries.get((entry.workspace, entry.key))
-        if known is not None and known.stamp > entry.stamp:
+        existing = slot.entries.get((entry.workspace, entry.key))
+        if existing is not None and existing.stamp > entry.stamp:
             return CopyAnswer(False)
-        if known is None and self.size >= self._max_entries:
+        if existing is None and self.size >= self._max_entries:
             return CopyAnswer(False)
-        self._put(slot, entry.at(now_s))
+        self._store_entry(slot, entry.at(now_s))
         return CopyAnswer(True)
 
     def answer_pull(
         self, view: MemberView, pull: Pull, now_s: float
     ) -> PullAnswer:
-        """Tells what is known of a slot; only in the same epoch."""
+        """Returns the known claims of a slot; none in another epoch."""
         if pull.epoch != view.epoch:
-            return PullAnswer(view.epoch, NEVER_WHOLE, 0, (), [])
+            return PullAnswer(view.epoch, NEVER_COMPLETE, 0, (), [])
         slot = self.slots[pull.slot]
         return PullAnswer(
             view.epoch,
@@ -212,37 +241,39 @@
         index: int,
         answers: dict[MemberId, Offset],
     ) -> PullStep:
-        """Finds whom to ask for a slot's past, latest period first.
+        """Finds the holders to ask for a slot's history, latest period first.
 
         Args:
-            view: The view.
-            index: The slot.
-            answers: `whole_start` of those that answered in this epoch.
+            view: The member view in force.
+            index: Number of the slot.
+            answers: `whole_start` of each holder that has answered in this
+                epoch.
         """
         if self.is_whole(view, index):
-            return PullStep(PullState.WHOLE)
+            return PullStep(PullState.COMPLETE)
         periods = view.periods[index]
         for period in reversed(periods):
-            step = self._look_at(view, index, period, answers)
+            step = self._plan_period_pull(view, index, period, answers)
             if step is not None:
                 return step
         if periods and periods[0].is_first:
-            return PullStep(PullState.WHOLE)
-        # Nobody can tell who held the claims before; a member that lives
-        # stands for them, so that a key's time never proves it new.
+            return PullStep(PullState.COMPLETE)
+        # No record names the holders of the earlier claims. This process stands
+        # in for them: it is a live member, so the time in a key never proves
+        # that the key is new.
         return PullStep(PullState.LOST, lost=(self.own,))
 
     def finish_pull(self, view: MemberView, index: int) -> None:
-        """Marks a slot as whole after its sources have been read."""
+        """Marks a slot's history as complete after its sources were read."""
         self.slots[index].whole_start = view.periods[index][-1].start
 
     def merge(self, index: int, answer: PullAnswer, now_s: float) -> None:
-        """Takes entries from another holder; the later claim wins."""
+        """Adds entries of another holder; of two claims the later one wins."""
         slot = self.slots[index]
         for entry in answer.entries:
-            known = slot.entries.get((entry.workspace, entry.key))
-            if known is None or known.stamp < entry.stamp:
-                self._put(slot, entry.at(now_s - entry.put_at_s))
+            existing = slot.entries.get((entry.workspace, entry.key))
+            if existing is None or existing.stamp < entry.stamp:
+                self._store_entry(slot, entry.at(now_s - entry.put_at_s))
         if answer.lost_at_ms > slot.lost_at_ms:
             slot.lost_at_ms = answer.lost_at_ms
             slot.lost_holders = answer.lost_holders
@@ -250,13 +281,13 @@
     def mark_lost(
         self, index: int, lost: tuple[MemberId, ...], now_ms: int
     ) -> None:
-        """Notes that claims made before now may be forgotten."""
+        """Records that claims made before now may have been lost."""
         slot = self.slots[index]
         slot.lost_at_ms = now_ms
         slot.lost_holders = (*slot.lost_holders, *lost)
 
     def remove_expired(self, now_s: float, now_ms: int) -> None:
-        """Forgets claims, and losses, past the window."""
+        """Removes claims, and records of lost claims, older than the window."""
         horizon_s = now_s - self._window_s
         for slot in self.slots:
             for key, entry in list(slot.entries.items()):
@@ -268,59 +299,64 @@
                 slot.lost_at_ms = 0
                 slot.lost_holders = ()
 
-    def _enter(self, slot: Slot, period: Period) -> None:
-        was_whole = slot.whole_start == slot.seen_start
-        slot.seen_start = period.start
+    def _enter_period(self, slot: Slot, period: Period) -> None:
+        was_complete = slot.whole_start == slot.processed_start
+        slot.processed_start = period.start
         if self.own not in period.holders:
             return
-        if period.is_first or (was_whole and slot.whole_start >= 0):
+        if period.is_first or (was_complete and slot.whole_start >= 0):
             slot.whole_start = period.start
 
-    def _look_at(
+    def _plan_period_pull(
         self,
         view: MemberView,
         index: int,
         period: Period,
         answers: dict[MemberId, Offset],
     ) -> PullStep | None:
-        """None: nothing was granted in the period, look at the one before."""
+        """Returns the step for one period of a slot.
+
+        Returns:
+            The step, or None if nothing was granted in this period, so that the
+            period before it has to be examined.
+        """
         starts = [answers[m] for m in period.holders if m in answers]
         if self.own in period.holders:
             starts.append(self.slots[index].whole_start)
         if any(start >= period.start for start in starts):
-            return PullStep(PullState.WHOLE)
-        others = tuple(
+            return PullStep(PullState.COMPLETE)
+        other_holders = tuple(
             m
             for m in period.holders
             if m != self.own and m not in answers and view.has(m)
         )
-        # One holder that was not whole is enough to prove that nothing was
-        # granted; this process asks the other all the same, which may know
-        # the periods before.
-        if others and (not starts or self.own in period.holders):
-            return PullStep(PullState.ASK, others)
+        # One holder with an incomplete history is enough to prove that nothing
+        # was granted in the period. This process nevertheless asks the other
+        # holder, which may know the earlier periods.
+        if other_holders and (not starts or self.own in period.holders):
+            return PullStep(PullState.ASK, other_holders)
         if starts or not period.holders:
             return None
         return PullStep(PullState.LOST, lost=period.holders)
 
-    def _check(
+    def _find_refusal(
         self,
         view: MemberView,
         slot: Slot,
-        known: LedgerEntry | None,
+        existing: LedgerEntry | None,
         claim: Claim,
         now_ms: int,
     ) -> ClaimOutcome | None:
-        """Why the claim's run may not have the key; None where it may."""
-        if known is None:
-            return self._check_new(view, slot, claim, now_ms)
-        if known.fingerprint != claim.fingerprint:
+        """Returns why the claim's run can't have the key; None if it can."""
+        if existing is None:
+            return self._find_new_key_refusal(view, slot, claim, now_ms)
+        if existing.fingerprint != claim.fingerprint:
             return ClaimOutcome.OTHER_BODY
-        if claim.run is not None and known.run in (claim.run, claim.after):
+        if claim.run is not None and existing.run in (claim.run, claim.after):
             return None
         return ClaimOutcome.HELD
 
-    def _check_new(
+    def _find_new_key_refusal(
         self, view: MemberView, slot: Slot, claim: Claim, now_ms: int
     ) -> ClaimOutcome | None:
         if claim.after is not None:
@@ -329,24 +365,26 @@
             return ClaimOutcome.FULL
         if not slot.lost_at_ms or claim.repeatable:
             return None
-        # Those that held the lost claims may be paused and still grant; a
-        # time in the key proves nothing until they have certainly ended.
+        # The holders of the lost claims may only be paused and may still grant.
+        # A time in the key proves nothing until these holders have certainly
+        # ended.
         if all(view.has_certainly_ended(m) for m in slot.lost_holders):
-            minted_ms = get_minted_ms(claim.key)
+            key_time_ms = get_uuid7_time_ms(claim.key)
             earliest_ms = slot.lost_at_ms + CALLER_CLOCK_MARGIN_MS
-            if earliest_ms < minted_ms <= now_ms + CALLER_CLOCK_MARGIN_MS:
+            if earliest_ms < key_time_ms <= now_ms + CALLER_CLOCK_MARGIN_MS:
                 return None
         return ClaimOutcome.HISTORY_LOST
 
-    def _put(self, slot: Slot, entry: LedgerEntry) -> None:
+    def _store_entry(self, slot: Slot, entry: LedgerEntry) -> None:
         key = (entry.workspace, entry.key)
-        # Kept in the order of their time, so that expiry stops early.
+        # Entries are ordered by the time at which they were stored, so that the
+        # expiry loop can stop at the first entry that has not expired.
         self.size += slot.entries.pop(key, None) is None
         slot.entries[key] = entry
 
 
-def get_minted_ms(key: str) -> int:
-    """Wall time in a UUIDv7; 0 for any other key."""
+def get_uuid7_time_ms(key: str) -> int:
+    """Returns the time, in Unix ms, in a UUIDv7; 0 for any other key."""
     try:
         parsed = uuid.UUID(key)
     except ValueError:
--- a/src/lovagestage/decisions/retries.py
+++ b/src/lovagestage/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Whether and when a failed attempt is made again: pure decisions."""
+"""Pure decisions on whether and when a failed attempt is retried."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 MAX_ATTEMPTS = 4
 BACKOFF_BASE_S = 0.05
-BACKOFF_CAP_S = 1.0
+MAX_BACKOFF_S = 1.0
 BUDGET_RATIO = 0.1
 BUDGET_MINIMUM_PER_S = 5.0
 BUDGET_LIMIT = 128.0
-"""Retries that may be saved up: one upstream's loss fails all that it runs
-at once, and those are to be answered."""
+"""Maximum number of retries that may accumulate. The loss of one upstream fails
+all of its running requests simultaneously, and these are to be retried."""
 COME_BACK_S = 1
 PROBE_WAIT_S = 0.1
 
@@ -35,20 +35,21 @@
 
 
 class RetryBudget:
-    """Retries that an entry may make, as a share of its requests.
+    """Number of retries that an entry may make, as a fraction of its requests.
 
-    Where everything fails, each request would otherwise be sent
-    `MAX_ATTEMPTS` times, and the load that brought the upstreams down would
-    keep them down.
+    Without a budget, each request would be sent `MAX_ATTEMPTS` times if all
+    attempts fail, and the load that overloaded the upstreams would prevent
+    their recovery.
 
     Args:
-        now_s: Monotonic time.
-        ratio: Retries earned by each request.
-        minimum_per_s: Retries earned by time alone.
-        limit: Retries that may be saved up; it starts with as many.
+        now_s: Monotonic time in seconds.
+        ratio: Retries earned per request.
+        minimum_per_s: Retries earned per second regardless of requests.
+        limit: Maximum number of retries that may accumulate; also the initial
+            number.
 
     Attributes:
-        limit: Retries that may be saved up; it may change.
+        limit: Maximum number of retries that may accumulate; may be changed.
     """
 
     def __init__(
@@ -62,45 +63,45 @@
         self._minimum_per_s = minimum_per_s
         self.limit = limit
         self._tokens = limit
-        self._filled_s = now_s
+        self._refilled_s = now_s
 
     @property
     def tokens(self) -> float:
-        """Retries that are left."""
+        """Number of retries that are left."""
         return self._tokens
 
     def note_request(self, now_s: float) -> None:
-        """Adds a request's share."""
-        self._fill(now_s, self._ratio)
+        """Adds the retries that one request earns."""
+        self._refill(now_s, self._ratio)
 
     def take(self, now_s: float, reserve: float = 0.0) -> bool:
-        """Takes one retry; False where no more than the reserve is left."""
-        self._fill(now_s, 0.0)
+        """Acquires one retry; False if no more than the reserve is left."""
+        self._refill(now_s, 0.0)
         if self._tokens < 1.0 + reserve:
             return False
         self._tokens -= 1.0
         return True
 
     def give_back(self) -> None:
-        """Takes back a retry that was not made."""
+        """Releases an acquired retry that was not made."""
         self._tokens = min(self.limit, self._tokens + 1.0)
 
-    def _fill(self, now_s: float, share: float) -> None:
-        earned = (now_s - self._filled_s) * self._minimum_per_s + share
+    def _refill(self, now_s: float, share: float) -> None:
+        earned = (now_s - self._refilled_s) * self._minimum_per_s + share
         self._tokens = min(self.limit, self._tokens + earned)
-        self._filled_s = now_s
+        self._refilled_s = now_s
 
 
 @dataclasses.dataclass(frozen=True)
 class Failure:
-    """An attempt that failed.
+    """A failed attempt.
 
     Attributes:
-        error: How it failed, with what is known of its run.
-        attempts: Attempts made so far, with this one.
-        passed_on: Whether the caller has had a part of the answer.
+        error: The error, with the known state of the run.
+        attempts: Number of attempts so far, including this one.
+        passed_on: Whether a part of the answer was forwarded to the caller.
         repeatable: Whether the request may run more than once.
-        remaining_s: Time until the deadline.
+        remaining_s: Seconds until the deadline.
     """
 
     error: RequestRefusedError
@@ -111,22 +112,22 @@
 
 
 def get_backoff_s(attempts: int, jitter: float) -> float:
-    """Time to wait after so many attempts, with full jitter.
+    """Returns the wait in seconds after an attempt, with full jitter.
 
     Args:
-        attempts: Attempts made, from 1.
-        jitter: Uniform over 0 to 1.
+        attempts: Number of attempts so far, from 1.
+        jitter: Random number, uniform over 0 to 1.
     """
-    limit_s = min(BACKOFF_CAP_S, BACKOFF_BASE_S * 2.0 ** (attempts - 1))
+    limit_s = min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2.0 ** (attempts - 1))
     return limit_s * jitter
 
 
 def is_retryable(failure: Failure) -> bool:
-    """Whether another attempt would be safe and could help.
+    """Returns whether another attempt would be safe and could succeed.
 
-    Only a proof that the request was not run makes it safe to send one that
-    may run once. What the caller has had can't be taken back, and a second
-    run need not begin with the same words.
+    A request that may run only once may be sent again only if it is proved that
+    it was not run. A part of the answer that the caller has received can't be
+    revoked, and a second run may begin with other words.
     """
     if isinstance(failure.error, _FINAL) or failure.passed_on:
         return False
@@ -138,14 +139,14 @@
 def get_retry_delay_s(
     failure: Failure, budget: RetryBudget, now_s: float, jitter: float
 ) -> float | None:
-    """Time until the next attempt; None where the failure is final.
+    """Returns the time until the next attempt; None if the failure is final.
 
-    A request that would only be tried again after its deadline is given up
-    now: its caller can use the time.
+    A request whose next attempt would start after its deadline fails
+    immediately, so that its caller can use the remaining time.
     """
     if isinstance(failure.error, SuspectWaitingError):
-        # Probes run one at a time; the wait for a turn puts no load on the
-        # upstreams and takes nothing from the budget.
+        # Probes run one at a time. Waiting for a turn adds no load to the
+        # upstreams and uses no retry of the budget.
         delay_s = PROBE_WAIT_S * (0.5 + jitter)
         return delay_s if delay_s < failure.remaining_s else None
     if not is_retryable(failure):
@@ -157,17 +158,20 @@
 
 
 def is_upstream_at_fault(error: RequestRefusedError) -> bool:
-    """Whether the next attempt should go to another upstream."""
+    """Returns whether the next attempt should use another upstream."""
     return not isinstance(error, DispatchLostError | SuspectWaitingError)
 
 
 def make_final_error(
     failure: Failure,
 ) -> RequestRefusedError:
-    """The failure as its caller gets it, with when to come back."""
+    """Returns the error for the caller, with the time to retry after.
+
+    The time is set only if a retry by the caller is safe.
+    """
     error = failure.error
-    final = isinstance(error, _FINAL)
-    may_repeat = error.run is RunState.NOT_RUN or failure.repeatable
-    if error.retry_after_s is None and may_repeat and not final:
+    is_final = isinstance(error, _FINAL)
+    may_retry = error.run is RunState.NOT_RUN or failure.repeatable
+    if error.retry_after_s is None and may_retry and not is_final:
         error.retry_after_s = COME_BACK_S
     return error
--- a/src/lovagestage/decisions/routing.py
+++ b/src/lovagestage/decisions/routing.py
@@ -9,26 +9,31 @@
 from lovagestage.types import VmId, ZoneId
 
 FREE_BATCH_RATIO = 0.8
-"""An upstream is taken to have room up to this part of its batch. The rest
-covers requests of other entries that its last heartbeat did not know of."""
+"""Fraction of its batch up to which an upstream is assumed to have free slots.
+The rest covers requests of other entries that arrived after the upstream's last
+heartbeat."""
 
 
 @dataclasses.dataclass(frozen=True)
 class UpstreamView:
-    """What an entry knows of an upstream when it decides.
+    """State of an upstream as an entry knows it when it decides.
 
     Attributes:
-        vm: The upstream's VM.
-        zone: Its availability zone.
-        versions: Versions it has loaded, or its pool.
-        running: Requests there, as of the last heartbeat, corrected by those
-            that this entry has sent and seen ended since.
-        max_running: Requests that may be there at once.
-        max_batch: Requests that its engine works on at once; 0 if unknown.
-        token_interval_ms: Time between tokens of a stream; 0 if unknown.
-        last_sent: Grows with each request that this entry sends anywhere; the
-            value at the last one sent there.
-        is_engine: Whether it is a model engine.
+        vm: VM of the upstream.
+        zone: Availability zone of the upstream.
+        versions: Loaded versions, or the pool of the upstream.
+        running: Number of requests at the upstream: that of the last heartbeat,
+            corrected by the requests that this entry has since sent and seen
+            end.
+        max_running: Maximum number of requests that may be at the upstream
+            concurrently.
+        max_batch: Number of requests that the engine processes concurrently; 0
+            if unknown.
+        token_interval_ms: Milliseconds between two tokens of a stream; 0 if
+            unknown.
+        last_sent: Value of a counter, which grows with each request that this
+            entry sends to any upstream, at the last request sent to this one.
+        is_engine: Whether the upstream is a model engine.
     """
 
     vm: VmId
@@ -50,40 +55,41 @@
 ) -> VmId | None:
     """Chooses the next upstream in turn, or a random one that is better.
 
-    Where nothing waits, turns spread the requests most evenly. Where
-    something does, one random alternative is enough (Mitzenmacher 2001), and
-    more than one makes entries that share an old heartbeat run to the same
-    upstream. Figures are in docs/design/load.md.
+    While no requests wait, turns distribute the requests most evenly. When
+    requests wait, one random alternative is enough (Mitzenmacher 2001). With
+    more than one alternative, entries that share an old heartbeat would send to
+    the same upstream. Measurements are in docs/design/load.md.
 
     Args:
-        views: All upstreams that take new work.
-        version: `MODEL@VERSION` that must be loaded.
-        excluded: Upstreams that already refused this request.
+        views: All upstreams that accept new requests.
+        version: Version that must be loaded, `MODEL@VERSION`.
+        excluded: Upstreams that have already refused this request.
         rng: Source of randomness.
 
     Returns:
-        The chosen VM, or None where no upstream can take the request.
+        The VM of the chosen upstream, or None if no upstream can accept the
+        request.
     """
-    able = [
+    eligible = [
         view
         for view in views
         if version in view.versions
         and view.vm not in excluded
         and view.running < view.max_running
     ]
-    if not able:
+    if not eligible:
         return None
-    in_turn = min(able, key=lambda view: view.last_sent)
-    other = rng.choice(able)
-    return min((in_turn, other), key=get_wait_ms).vm
+    in_turn = min(eligible, key=lambda view: view.last_sent)
+    candidate = rng.choice(eligible)
+    return min((in_turn, candidate), key=get_wait_ms).vm
 
 
 def get_wait_ms(view: UpstreamView) -> float:
-    """Expected wait for a place in the batch, up to a common factor.
+    """Returns the expected wait for a batch slot, up to a common factor.
 
-    Requests over the batch take their turn at the upstream's own pace, so the
-    wait grows with their number and with the time between its tokens.
+    Requests that exceed the batch wait at the pace of the upstream, so the wait
+    grows with their number and with the time between the upstream's tokens.
     """
-    room = FREE_BATCH_RATIO * (view.max_batch or view.max_running)
-    waiting = max(0.0, view.running + 1 - room)
+    free_slots = FREE_BATCH_RATIO * (view.max_batch or view.max_running)
+    waiting = max(0.0, view.running + 1 - free_slots)
     return waiting * (view.token_interval_ms or 1.0)
--- a/src/lovagestage/decisions/run_gate.py
+++ b/src/lovagestage/decisions/run_gate.py
@@ -1,11 +1,14 @@
-"""A sidecar's last check of keyed runs: pure, times are the sidecar's own.
-
-A request key is given to another run only after this process has forbidden
-the earlier one. The earlier dispatch may still be on its way, or its sender
-paused; it would execute the request a second time. Each keyed run therefore
-carries the sidecar's clock from when it was chosen, its permit: a dispatch
-with an old permit is refused, so a forbidden run has to be remembered no
-longer than a permit is good for.
+"""Last check of keyed runs, at the sidecar that executes them.
+
+A request key is granted to another run only after this process has forbidden
+the earlier run. The dispatch of the earlier run may still be in transit, or its
+sender may be paused; if it executed, the request would run twice. Each keyed
+run therefore carries a permit, which is the time of the sidecar's clock at
+which the run was chosen. The sidecar refuses a dispatch whose permit has
+expired, so a forbidden run has to be remembered only for the lifetime of a
+permit.
+
+The decisions are pure; all times are those of the sidecar's own clock.
 """
 
 from __future__ import annotations
@@ -15,20 +18,23 @@
 from lovagestage.messages.keys import RunKnown
 from lovagestage.types import RequestId
 
-PERMIT_MS = 30_000
-"""A dispatch that is older by the sidecar's clock is refused."""
+PERMIT_LIFETIME_MS = 30_000
+"""Lifetime of a permit in milliseconds of the sidecar's clock; a dispatch with
+an older permit is refused."""
 
-MAX_ENDED = 50_000
-"""Runs whose ids are kept after their answers; about 10 MB at most."""
+MAX_ENDED_RUNS = 50_000
+"""Maximum number of runs whose ids are retained after their answers; about 10
+MB at most."""
 
 RunKey = tuple[RequestId, int]
 
 
 class RunGate:
-    """Decides whether a keyed run may start and what is known of it.
+    """Decides whether a keyed run may start and what is known of a run.
 
     Args:
-        incarnation: Of this process; runs of another one are refused.
+        incarnation: Incarnation of this process; runs of another incarnation
+            are refused.
     """
 
     def __init__(self, incarnation: int) -> None:
@@ -39,19 +45,21 @@
         self._ended: collections.OrderedDict[RunKey, int] = (
             collections.OrderedDict()
         )
-        self._forgotten_ms = -1
+        self._latest_forgotten_permit_ms = -1
 
     def may_start(
         self, run: RunKey, incarnation: int, permit_ms: int, now_ms: int
     ) -> bool:
-        """Whether a dispatch may execute; if not, it never will."""
+        """Returns whether a dispatch may execute; if not, it never will."""
         if incarnation != self.incarnation:
             return False
         if run in self._forbidden or run in self._ended:
             return False
-        # A run that was forgotten had its permit before this point; one with
-        # a later permit is certainly no repetition.
-        return permit_ms > max(now_ms - PERMIT_MS, self._forgotten_ms)
+        # A run that was forgotten had a permit from before this time. A run
+        # with a later permit is therefore certainly no repetition of it.
+        return permit_ms > max(
+            now_ms - PERMIT_LIFETIME_MS, self._latest_forgotten_permit_ms
+        )
 
     def inquire(
         self,
@@ -61,7 +69,16 @@
         forbid: bool,
         now_ms: int,
     ) -> RunKnown:
-        """What is known of a run that the table does not have."""
+        """Returns what is known of a run that the table of runs lacks.
+
+        Args:
+            run: Request id and attempt number.
+            incarnation: Incarnation of the sidecar for which the run was
+                chosen.
+            permit_ms: Permit of the run.
+            forbid: Whether to forbid the run if it never arrived.
+            now_ms: Time of the sidecar's clock in milliseconds.
+        """
         if incarnation != self.incarnation:
             return RunKnown.FORGOTTEN
         if run in self._forbidden:
@@ -74,30 +91,34 @@
         return RunKnown.FORBIDDEN
 
     def may_have_ended(self, run: RunKey, permit_ms: int) -> bool:
-        """Whether a run of this process may have ended and been forgotten."""
-        return run in self._ended or permit_ms <= self._forgotten_ms
+        """Returns whether a run here may have ended and been forgotten."""
+        return (
+            run in self._ended or permit_ms <= self._latest_forgotten_permit_ms
+        )
 
     def forbid(self, run: RunKey, now_ms: int) -> None:
-        """Refuses a run that has not started, from now on."""
+        """Refuses, from now on, a run that has not started."""
         self._forbidden[run] = now_ms
 
     def forget(self, run: RunKey, permit_ms: int) -> None:
-        """Notes that a run's answer is no longer kept."""
+        """Records that the answer of a run is no longer retained."""
         self._ended[run] = permit_ms
-        while len(self._ended) > MAX_ENDED:
+        while len(self._ended) > MAX_ENDED_RUNS:
             _, oldest_ms = self._ended.popitem(last=False)
-            self._forgotten_ms = max(self._forgotten_ms, oldest_ms)
+            self._latest_forgotten_permit_ms = max(
+                self._latest_forgotten_permit_ms, oldest_ms
+            )
 
     def remove_expired(self, now_ms: int) -> None:
-        """Forgets forbidden runs whose permits have all run out."""
+        """Removes forbidden runs whose permits have certainly expired."""
         while self._forbidden:
             run, forbidden_ms = next(iter(self._forbidden.items()))
-            if forbidden_ms > now_ms - 2 * PERMIT_MS:
+            if forbidden_ms > now_ms - 2 * PERMIT_LIFETIME_MS:
                 return
             del self._forbidden[run]
 
     def get_sizes(self) -> dict[str, int]:
-        """Sizes of the tables, for the state dump."""
+        """Returns the sizes of the tables for the state dump."""
         return {
             "forbidden": len(self._forbidden),
             "ended": len(self._ended),
--- a/src/lovagestage/decisions/sessions.py
+++ b/src/lovagestage/decisions/sessions.py
@@ -1,8 +1,8 @@
 """Sessions: signed tokens that pin a conversation to its version.
 
-The token is all there is of a session: no process remembers one, so any entry
-can go on with it and none of them is lost with a VM. The decisions here are
-pure; the caller of this module brings the clock and the randomness.
+A session consists of its token alone. No process stores sessions, so any entry
+can continue a session and none is lost with a VM. The decisions in this module
+are pure; the caller passes the time and the random ids.
 """
 
 from __future__ import annotations
@@ -41,19 +41,24 @@
 METADATA_SESSION = "session"
 MAX_TOKEN_CHARS = 1024
 _SALT = "lovagestage.session.1"
-"""Keeps signatures apart from any other use of the same keys."""
+"""Separates these signatures from signatures by the same keys for other
+uses."""
 
 
 class Session(msgspec.Struct, frozen=True, array_like=True):
-    """What a token says; fields may only be appended, with defaults.
+    """Content of a session token.
+
+    Fields may only be appended, and need defaults, so that older tokens decode.
 
     Attributes:
-        session_id: Same over all tokens of a session; for logs.
-        workspace: Whose session it is.
+        session_id: Id that all tokens of a session share; used in logs.
+        workspace: Workspace that owns the session.
         service: The service.
-        version: `MODEL@VERSION` that all its requests run on.
-        started_at_s: Unix time of the first answer.
-        expires_at_s: Unix time at which it ends unless it is used before.
+        version: Version on which all requests of the session run,
+            `MODEL@VERSION`.
+        started_at_s: Unix time in seconds of the first answer.
+        expires_at_s: Unix time in seconds at which the session expires unless
+            it is used before.
     """
 
     session_id: str
@@ -65,11 +70,12 @@
 
 
 class SessionSigner:
-    """Makes and reads tokens.
+    """Signs and verifies session tokens.
 
     Args:
-        keys: The first signs; each of them is accepted, so that a key can be
-            replaced while sessions are open. None at all: no sessions.
+        keys: Signing keys. The first one signs and each one is accepted, so
+            that a key can be replaced while sessions are open. Without any key
+            there are no sessions.
     """
 
     def __init__(self, keys: Sequence[str]) -> None:
@@ -83,17 +89,18 @@
             )
 
     def make_token(self, session: Session) -> str | None:
-        """Makes a token; None where no key is set."""
+        """Makes a token; returns None if no key is configured."""
         if self._signer is None:
             return None
         payload = base64.urlsafe_b64encode(msgspec.msgpack.encode(session))
         return self._signer.sign(payload).decode()
 
     def read_token(self, token: str) -> Session:
-        """Reads a token.
+        """Verifies and decodes a token.
 
         Raises:
-            SessionInvalidError: This system's keys did not sign it.
+            SessionInvalidError: None of this system's keys has signed the
+                token.
         """
         if self._signer is None or len(token) > MAX_TOKEN_CHARS:
             raise SessionInvalidError("The session is not one of this system.")
@@ -115,13 +122,15 @@
 
 
 def _check_canonical(token: str) -> None:
-    """Refuses another spelling of a right signature.
+    """Rejects a valid signature in a non-canonical encoding.
 
-    Base64 has several for the same bytes (unused bits, `/` for `_`). They
-    prove the same, but a token must have one spelling where it is compared.
+    Base64 has several encodings of the same bytes (unused bits, `/` for `_`).
+    All of them prove the same, but a token must have a single encoding where
+    tokens are compared.
 
     Raises:
-        itsdangerous.BadSignature: The signature is spelt another way.
+        itsdangerous.BadSignature: The encoding of the signature is not
+        canonical.
     """
     signature = token.rpartition(".")[2].encode()
     if (
@@ -134,7 +143,7 @@
 def get_token(
     headers: Mapping[str, str], metadata: Mapping[str, str] | None
 ) -> str | None:
-    """Finds the token of a request: the header goes before the metadata."""
+    """Finds a request's token; the header has precedence over the metadata."""
     return headers.get(HEADER_SESSION) or (metadata or {}).get(METADATA_SESSION)
 
 
@@ -144,15 +153,16 @@
     service: ServiceId,
     now_s: float,
 ) -> None:
-    """Checks that a session is the caller's own and still open.
+    """Checks that a session belongs to the caller and has not expired.
 
     Raises:
-        SessionInvalidError: It belongs to another workspace or service.
-        SessionExpiredError: It was not used for too long.
+        SessionInvalidError: The session belongs to another workspace or
+            service.
+        SessionExpiredError: The session was not used for too long.
     """
     if (session.workspace, session.service) != (workspace, service):
-        # Says no more than a forged token gets: whether another workspace's
-        # token is genuine is none of the caller's business.
+        # The error is the same as for a forged token, because a caller must not
+        # learn whether the token of another workspace is genuine.
         raise SessionInvalidError("The session is not one of this system.")
     if now_s >= session.expires_at_s:
         raise SessionExpiredError(
@@ -164,22 +174,22 @@
 def resolve_model(
     session: Session, name: str, document: ServiceDocument
 ) -> str | None:
-    """Decides where a session's request runs.
+    """Determines what a session's request runs on.
 
     Args:
-        session: A session that was checked.
-        name: The model that the request names.
+        session: A session that `check_session` has accepted.
+        name: Model that the request names.
         document: The document in force.
 
     Returns:
-        None where the request runs on the session's version; where the
-        session moves, the name to choose a version of.
+        None if the request runs on the session's version. If the session moves,
+        the name for which a version has to be chosen.
 
     Raises:
         SessionVersionConflictError: The request names another version.
-        SessionVersionWithdrawnError: The version is withdrawn and the
-            service's sessions end with it, or nothing is left to move to.
-        ModelNotAllowedError: The workspace has lost its right to the version.
+        SessionVersionWithdrawnError: The version is withdrawn, and either the
+            service ends its sessions with it or no version is left to move to.
+        ModelNotAllowedError: The workspace may no longer use the version.
     """
     version = parse_model_version(session.version)
     if version is None:
@@ -205,7 +215,7 @@
 
 
 def is_pinned(session: Session | None, version: ModelVersion) -> bool:
-    """Whether a request on `version` goes on with the session it came with."""
+    """Returns whether a request on `version` continues its session."""
     return session is not None and session.version == str(version)
 
 
@@ -217,19 +227,19 @@
     version: ModelVersion,
     now_s: float,
 ) -> Session:
-    """Makes the session that an answer hands to its caller.
+    """Makes the session that the caller receives with an answer.
 
     Args:
-        previous: The session that the request came with.
-        session_id: Unused id, taken where a session starts or moves.
-        workspace: Who asks.
+        previous: Session that the request came with; None if there was none.
+        session_id: Unused id for a session that starts or moves.
+        workspace: Workspace of the caller.
         document: The document in force.
         version: Version that answered.
-        now_s: Unix time.
+        now_s: Unix time in seconds.
     """
     expires_at_s = int(now_s + document.sessions.idle_timeout_s)
     if previous is not None and is_pinned(previous, version):
-        # Requests of one session may overlap; the end never moves back.
+        # Requests of one session may overlap; the expiry time never moves back.
         return msgspec.structs.replace(
             previous, expires_at_s=max(previous.expires_at_s, expires_at_s)
         )
@@ -249,6 +259,8 @@
     open_versions = get_open_versions(document, workspace)
     if not open_versions:
         return None
-    if any(other.model == version.model for other in open_versions):
+    if any(
+        open_version.model == version.model for open_version in open_versions
+    ):
         return version.model
     return document.service
--- a/src/lovagestage/decisions/subsets.py
+++ b/src/lovagestage/decisions/subsets.py
@@ -1,10 +1,13 @@
-"""Which processes an entry keeps a connection to: pure and without exchange.
+"""Chooses the processes to which an entry keeps connections.
 
-Each entry works out its own subset from the platform's list. Half of it lies
-in the entry's own availability zone where there are enough, the rest
-anywhere else. What an entry picks for itself is uneven: with rendezvous
-hashing some targets are picked by few or by none. Each target therefore also
-picks a few entries on a hash ring, and an entry keeps those that picked it.
+Each entry computes its own subset from the platform's VM list, without any
+messages. Half of the subset is in the entry's own availability zone, if there
+are enough processes; the rest is anywhere else. The subsets that entries choose
+for themselves are uneven: with rendezvous hashing, few or no entries choose
+some targets. Each target is therefore also assigned to a few entries on a hash
+ring, and an entry keeps connections to the targets that are assigned to it.
+
+The decisions are pure: they read no clock and open no socket.
 """
 
 from __future__ import annotations
@@ -19,18 +22,20 @@
 from lovagestage.types import VmId, ZoneId
 
 MIN_FOLLOWERS = 4
-"""Entries that keep a connection to each target, where there are so many."""
+"""Number of entries that keep a connection to each target, if there are that
+many."""
 RING_POINTS = 16
-"""Points of each entry on the ring: more even, and more work."""
+"""Number of points of each entry on the ring; more points distribute the
+targets more evenly and cost more computing time."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Place:
-    """A process and where it runs.
+    """A process and its location.
 
     Attributes:
-        vm: Its VM.
-        zone: Its availability zone.
+        vm: VM of the process.
+        zone: Availability zone of the VM.
     """
 
     vm: VmId
@@ -47,37 +52,42 @@
 
     Args:
         own: The entry that chooses.
-        entries: All entries, with this one or without.
-        targets: All processes to choose from; `own` is left out.
-        size: How many the entry picks for itself.
+        entries: All entries; may include or omit the entry that chooses.
+        targets: All processes to choose from; `own` is excluded.
+        size: Number of targets that the entry chooses for itself.
 
     Returns:
-        At least `size` targets, or all where there are no more.
+        At least `size` targets, or all targets if there are fewer.
     """
     others = [target for target in targets if target.vm != own.vm]
     if len(others) <= size:
         return frozenset(target.vm for target in others)
     ring = FollowerRing({*entries, own.vm})
-    picked_by = (
+    assigned = (
         target.vm
         for target in others
         if own.vm in ring.get_followers(target.vm)
     )
-    return frozenset(itertools.chain(_pick(own, others, size), picked_by))
+    return frozenset(
+        itertools.chain(_choose_own_targets(own, others, size), assigned)
+    )
 
 
-def _pick(own: Place, others: list[Place], size: int) -> list[VmId]:
-    # A rank changes only where a VM comes or goes: one VM moves one link.
+def _choose_own_targets(
+    own: Place, others: list[Place], size: int
+) -> list[VmId]:
+    # A rank changes only if a VM is added or removed, so that a change of one
+    # VM moves one connection.
     ranked = sorted(
         others,
         key=lambda target: _hash(f"{own.vm}\0{target.vm}"),
         reverse=True,
     )
-    near = [target.vm for target in ranked if target.zone == own.zone]
-    near = near[: size // 2]
-    taken = set(near)
-    rest = [target.vm for target in ranked if target.vm not in taken]
-    return near + rest[: size - len(near)]
+    same_zone = [target.vm for target in ranked if target.zone == own.zone]
+    same_zone = same_zone[: size // 2]
+    same_zone_set = set(same_zone)
+    rest = [target.vm for target in ranked if target.vm not in same_zone_set]
+    return same_zone + rest[: size - len(same_zone)]
 
 
 class FollowerRing:
@@ -98,12 +108,12 @@
         self._count = len(set(self._entries))
 
     def get_followers(self, target: VmId) -> set[VmId]:
-        """The entries after a target on the ring, but for itself."""
-        wanted = min(MIN_FOLLOWERS, self._count)
+        """Returns the entries after a target on the ring, except itself."""
+        count = min(MIN_FOLLOWERS, self._count)
         start = bisect.bisect(self._hashes, _hash(target))
         followers: set[VmId] = set()
         for step in range(len(self._entries)):
-            if len(followers) == wanted:
+            if len(followers) == count:
                 break
             entry = self._entries[(start + step) % len(self._entries)]
             if entry != target:
--- a/src/lovagestage/decisions/tombstones.py
+++ b/src/lovagestage/decisions/tombstones.py
@@ -1,7 +1,7 @@
-"""What a sidecar still knows of runs that it does not hold.
+"""Records of runs that a sidecar no longer holds or has refused for good.
 
-`not_run` may be said only where the run is barred from running later: the
-dispatch may still be under way on a connection that went silent, and may
+A sidecar may answer `not_run` only if the run can't start later. The dispatch
+may still be in transit on a connection that has become unresponsive, and may
 arrive after the entry has sent the request elsewhere.
 """
 
@@ -17,14 +17,14 @@
 
 
 class RunTrace(enum.Enum):
-    """What is known of a run that is not in the table of runs."""
+    """Knowledge about a run that is not in the table of runs."""
 
     BARRED = "barred"
-    """It never ran here and never will."""
+    """The run never ran on this sidecar and is refused for good."""
     FORGOTTEN = "forgotten"
-    """It ran here; its answer is no longer kept."""
+    """The run ran on this sidecar; its answer is no longer retained."""
     UNKNOWN = "unknown"
-    """Too much has been forgotten to say."""
+    """Too many records were dropped to tell whether the run ran."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -34,66 +34,69 @@
 
 
 class TombstoneTable:
-    """Barred and forgotten runs, bounded in number and in time.
+    """Refused and forgotten runs, bounded in number and in time.
 
-    At the bound nothing is dropped early: a run is not barred any more, and
-    its state is `UNKNOWN`, which is true.
+    At the limit no record is dropped early. Instead, no further run is refused
+    for good and the state of such a run is reported as `UNKNOWN`, which is
+    correct.
 
     Args:
-        limit: Most runs that are kept.
-        keep_s: How long each is kept; longer than any deadline.
+        limit: Maximum number of runs that are retained.
+        keep_s: Seconds for which each run is retained; longer than any
+            deadline.
     """
 
     def __init__(self, limit: int, keep_s: float) -> None:
         self._limit = limit
-        self._keep_s = keep_s
+        self._retention_s = keep_s
         self._traces: dict[RunKey, _Trace] = {}
-        self._unsure_until_s = 0.0
+        self._uncertain_until_s = 0.0
 
     def __len__(self) -> int:
         return len(self._traces)
 
     def add_forgotten(self, key: RunKey, now_s: float) -> None:
-        """Notes a run whose answer is dropped."""
+        """Records a run whose answer is no longer retained."""
         if not self._add(key, RunTrace.FORGOTTEN, now_s):
-            # From here on an unknown run may be this one. Nothing is called
-            # never seen until it would have expired.
-            self._unsure_until_s = now_s + self._keep_s
+            # From now on an unknown run may be this one. No run is reported as
+            # never seen until this run's record would have expired.
+            self._uncertain_until_s = now_s + self._retention_s
 
     def bar(self, key: RunKey, now_s: float) -> RunTrace:
-        """Bars a run that is not in the table of runs, where that is true.
+        """Refuses a run for good that is not in the table of runs, if possible.
 
         Returns:
-            `BARRED` only where it never ran here and never will.
+            `BARRED` only if the run never ran on this sidecar and never will.
         """
-        known = self.get(key)
-        if known is RunTrace.BARRED:
-            # Said again, it must hold as long again: the first bar alone may
-            # be about to expire, and the run could then start.
+        existing = self.get(key)
+        if existing is RunTrace.BARRED:
+            # The repeated refusal has to last for the full time again: the
+            # record of the first one may be about to expire, and the run could
+            # then start.
             del self._traces[key]
-            self._traces[key] = _Trace(known, now_s + self._keep_s)
-        if known is not None:
-            return known
-        if now_s < self._unsure_until_s:
+            self._traces[key] = _Trace(existing, now_s + self._retention_s)
+        if existing is not None:
+            return existing
+        if now_s < self._uncertain_until_s:
             return RunTrace.UNKNOWN
         if not self._add(key, RunTrace.BARRED, now_s):
             return RunTrace.UNKNOWN
         return RunTrace.BARRED
 
     def get(self, key: RunKey) -> RunTrace | None:
-        """What was noted of a run."""
-        known = self._traces.get(key)
-        return known.trace if known else None
+        """Returns what is recorded of a run; None if nothing is."""
+        existing = self._traces.get(key)
+        return existing.trace if existing else None
 
     def _add(self, key: RunKey, trace: RunTrace, now_s: float) -> bool:
         self._remove_expired(now_s)
         if len(self._traces) >= self._limit:
             return False
-        self._traces[key] = _Trace(trace, now_s + self._keep_s)
+        self._traces[key] = _Trace(trace, now_s + self._retention_s)
         return True
 
     def _remove_expired(self, now_s: float) -> None:
-        # Each is kept equally long, so that the oldest come first.
+        # All records are retained for equally long, so the oldest come first.
         while self._traces:
             key = next(iter(self._traces))
             if self._traces[key].expires_s > now_s:
--- a/src/lovagestage/decisions/warmup.py
+++ b/src/lovagestage/decisions/warmup.py
@@ -1,10 +1,13 @@
-"""How many requests a gateway sends to an upstream that is cold: pure.
+"""Limits the requests that gateways send to an upstream that is warming up.
 
-The load that this answers: upstreams start, or come back after an outage, and
-have nothing waiting, so every gateway prefers them. For some seconds they
-bear few requests, and a crowd fells them again. What they bear is a rate over
-all gateways, which cannot ask each other for every request: those who deal
-for an upstream are chosen by hash and each has a part of its rate.
+An upstream that has just started, or that restarts after an outage, has an
+empty queue, so every gateway prefers it. For some seconds after its start it
+can handle only a few requests, and without a limit the burst crashes it again.
+The limit is a rate over all gateways, which can't exchange messages for every
+request. A hash therefore chooses a few warm-up gateways for each upstream, and
+each of them may use an equal share of the rate.
+
+The decisions are pure: they read no clock and open no socket.
 """
 
 from __future__ import annotations
@@ -17,28 +20,32 @@
 
 from lovagestage.types import InstanceId, ZoneId
 
-DEALERS = 3
-"""Gateways that send to one cold upstream: one that is down or idle leaves
-most of the rate to use. Each has a third of it, so that the rule, which allows
-over half as much again, still holds while twice as many take themselves for
-one of them."""
-UNKNOWN_GATEWAYS = 32
-"""Gateways that are reckoned with where they can't hear of each other."""
-SECOND_S = 1.0
-"""The rate counts over any second."""
-KEEP_S = 100.0
-"""What was sent is remembered for so long: any span of a pace."""
-MAX_SENT = 256
-"""And so much of it: more than any pace lets one gateway send in its span."""
+WARMUP_GATEWAYS = 3
+"""Number of gateways that send to one upstream while it warms up. With several
+of them, one that is down or idle leaves most of the rate usable. Each has a
+third of the rate; since the rule allows over half as much again as the rate, it
+still holds while twice as many gateways consider themselves chosen."""
+ASSUMED_GATEWAYS = 32
+"""Number of gateways to divide the rate by where gateways can't learn of each
+other."""
+RATE_WINDOW_S = 1.0
+"""Length in seconds of the sliding window in which requests are counted."""
+SEND_TIME_RETENTION_S = 100.0
+"""Seconds for which send times are retained; it covers the span of any
+limit."""
+MAX_SEND_TIMES = 256
+"""Maximum number of retained send times. It is larger than the number of
+requests that any limit lets one gateway send in its span."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Warmup:
-    """What a service's upstreams bear after their start.
+    """Capacity of a service's upstreams after their start.
 
     Attributes:
-        duration_s: Time for which one is cold.
-        per_s: Requests in a second that a cold one bears, of all gateways.
+        duration_s: Seconds after its start for which an upstream is warming up.
+        per_s: Requests per second that an upstream can handle while it warms
+            up, summed over all gateways.
     """
 
     duration_s: float
@@ -47,15 +54,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pace:
-    """Most requests in any span of a length.
+    """Maximum number of requests in any time span of a given length.
 
     Attributes:
-        requests: The requests; 0 for none at any time.
-        span_s: The length.
+        requests: Maximum number of requests; 0 if none may be sent at any time.
+        span_s: Length of the span in seconds.
     """
 
     requests: int
-    span_s: float = SECOND_S
+    span_s: float = RATE_WINDOW_S
 
 
 NOTHING = Pace(0)
@@ -63,15 +70,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Gateways:
-    """The gateways as one of them knows them.
+    """The set of gateways as one gateway knows it.
 
     Attributes:
-        own: Its name.
-        zone: Its availability zone.
-        neighbours: Names of the others in that zone; None where gateways
-            can't hear of each other.
-        is_settled: Whether it has been there for long enough to have heard
-            of the others, and they of it.
+        own: Name of the gateway that decides.
+        zone: Availability zone of the gateway that decides.
+        neighbours: Names of the other gateways in the zone; None where gateways
+            can't learn of each other.
+        is_settled: Whether the gateway has run for long enough that it has
+            learnt of the other gateways and they have learnt of it.
     """
 
     own: str
@@ -81,7 +88,7 @@
 
 
 class WarmupPolicy(Protocol):
-    """How gateways share the rate of a cold upstream."""
+    """Divides the rate of an upstream that is warming up among the gateways."""
 
     def get_pace(
         self,
@@ -90,21 +97,23 @@
         zone: ZoneId,
         per_s: float,
     ) -> Pace:
-        """What the gateway may send to a cold upstream.
+        """Returns the limit for one gateway's requests to one upstream.
 
         Args:
-            gateways: The gateways as it knows them.
-            upstream: The upstream.
-            zone: The upstream's availability zone.
-            per_s: What the upstream bears of all gateways.
+            gateways: The set of gateways as the deciding gateway knows it.
+            upstream: The upstream that is warming up.
+            zone: Availability zone of the upstream.
+            per_s: Requests per second that the upstream can handle from all
+                gateways together.
         """
 
 
 class ZoneDealers:
-    """A few gateways of the upstream's availability zone send to it.
+    """Lets a few gateways of the upstream's availability zone send to it.
 
-    Gateways of a zone hear of each other several times a second, those of
-    different zones once a minute: within a zone they agree on who deals.
+    Gateways of one zone exchange their state several times per second, those of
+    different zones once per minute. Gateways of one zone therefore agree on
+    which of them are the warm-up gateways.
     """
 
     def get_pace(
@@ -114,9 +123,9 @@
         zone: ZoneId,
         per_s: float,
     ) -> Pace:
-        """What the gateway may send to a cold upstream."""
+        """Returns the limit for one gateway's requests to one upstream."""
         if gateways.neighbours is None:
-            return make_pace(per_s / UNKNOWN_GATEWAYS)
+            return make_pace(per_s / ASSUMED_GATEWAYS)
         if zone != gateways.zone or not gateways.is_settled:
             return NOTHING
         ranked = sorted(
@@ -125,72 +134,83 @@
                 f"{upstream}/{name}".encode()
             ),
         )
-        dealers = ranked[: min(DEALERS, max(1, int(per_s)))]
-        if gateways.own not in dealers:
+        chosen = ranked[: min(WARMUP_GATEWAYS, max(1, int(per_s)))]
+        if gateways.own not in chosen:
             return NOTHING
-        return make_pace(per_s / len(dealers))
+        return make_pace(per_s / len(chosen))
 
 
 def make_pace(per_s: float) -> Pace:
-    """What a rate allows, in whole requests."""
+    """Converts a rate in requests per second to a limit in whole requests."""
     if per_s <= 0.0:
         return NOTHING
     if per_s < 1.0:
-        return Pace(1, SECOND_S / per_s)
+        return Pace(1, RATE_WINDOW_S / per_s)
     return Pace(int(per_s))
 
 
 class WarmupLog:
-    """How cold an upstream may be, and what this gateway sent to it lately.
+    """Tracks one upstream's warm-up and this gateway's requests to it.
 
-    All that was sent counts, also before it was known to be cold. A request
-    counts from the time at which it is placed until so long after it was sent.
+    All requests to the upstream count, including those sent before the gateway
+    learnt that the upstream is warming up. A request counts from the moment at
+    which it is placed until its send time is older than the span of the limit.
     """
 
     def __init__(self) -> None:
         self._until_s = 0.0
-        self._placed = 0
-        self._sent_s: list[float] = []
+        self._placed_count = 0
+        self._send_times_s: list[float] = []
 
     def note_left(self, left_s: float, now_s: float) -> bool:
-        """Takes that the upstream stays cold for so long.
+        """Records the remaining warm-up time that was reported.
+
+        An earlier report of a later end stays in force, because a report that
+        arrives late may describe the time before the warm-up began.
 
-        An earlier word that it stays cold for longer holds: what is told
-        late may be of before it became cold.
+        Args:
+            left_s: Seconds until the warm-up ends.
+            now_s: Monotonic time in seconds.
 
         Returns:
-            Whether it was not known to be cold.
+            Whether the upstream is warming up and was not known to be.
         """
         was_cold = self.is_cold(now_s)
         self._until_s = max(self._until_s, now_s + left_s)
         return not was_cold and self.is_cold(now_s)
 
     def is_cold(self, now_s: float) -> bool:
-        """Whether it may be cold."""
+        """Returns whether the upstream may still be warming up."""
         return now_s < self._until_s
 
     def has_room(self, pace: Pace, now_s: float) -> bool:
-        """Whether one more request keeps within a pace."""
-        first_s = now_s - pace.span_s
-        recent = sum(sent_s > first_s for sent_s in self._sent_s)
-        return self._placed + recent < pace.requests
+        """Returns whether one more request stays within a limit."""
+        span_start_s = now_s - pace.span_s
+        recent_count = sum(
+            sent_s > span_start_s for sent_s in self._send_times_s
+        )
+        return self._placed_count + recent_count < pace.requests
 
     def note_placed(self) -> None:
-        """Counts a request that will be sent, or is withdrawn."""
-        self._placed += 1
+        """Counts a request that will either be sent or be withdrawn."""
+        self._placed_count += 1
 
     def note_withdrawn(self) -> None:
-        """Uncounts one that was placed and not sent."""
-        self._placed -= 1
+        """Removes a request from the count that was placed but not sent."""
+        self._placed_count -= 1
 
     def note_sent(self, now_s: float) -> None:
-        """Counts a request that is being sent."""
-        self._placed -= 1
-        self._sent_s.append(now_s)
+        """Moves a placed request to the sent ones and stores its send time."""
+        self._placed_count -= 1
+        self._send_times_s.append(now_s)
         if (
-            self._sent_s[0] < now_s - KEEP_S
-            or len(self._sent_s) >= 2 * MAX_SENT
+            self._send_times_s[0] < now_s - SEND_TIME_RETENTION_S
+            or len(self._send_times_s) >= 2 * MAX_SEND_TIMES
         ):
-            first_s = now_s - KEEP_S
-            kept = [sent_s for sent_s in self._sent_s if sent_s >= first_s]
-            self._sent_s = kept[-MAX_SENT:]
+            retention_start_s = now_s - SEND_TIME_RETENTION_S
+            retained = [
+                sent_s
+                for sent_s in self._send_times_s
+                if sent_s >= retention_start_s
+            ]
+            self._send_times_s = retained[-MAX_SEND_TIMES:]
