--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""The failover experiment's audit: each broken promise is found."""
+"""The audit of the failover experiment finds each broken guarantee."""
 
 from __future__ import annotations
 
@@ -13,15 +13,17 @@
 from lab.traffic import Kind, Send
 from lovagestage.decisions.billing import Bill, BillOutcome
 
-ANSWERED = Send("r1", Kind.KEYED, "entry-0", 10.0, 11.0, 200, tokens=6)
-ANSWERED.request_id = "a"
-REFUSED = Send("r1", Kind.KEYED, "entry-1", 12.0, 13.0, 503, "not_run", "x")
-BROKEN = Send("r1", Kind.ONCE, "entry-0", 10.0, 12.0, 0)
-WRONG = dataclasses.replace(ANSWERED, is_wrong=True)
-CUT = Send("r1", Kind.STREAM, "entry-0", 10.0, 12.0, 200, "ran", "x")
+ANSWERED_SEND = Send("r1", Kind.KEYED, "entry-0", 10.0, 11.0, 200, tokens=6)
+ANSWERED_SEND.request_id = "a"
+REFUSED_SEND = Send(
+    "r1", Kind.KEYED, "entry-1", 12.0, 13.0, 503, "not_run", "x"
+)
+BROKEN_SEND = Send("r1", Kind.ONCE, "entry-0", 10.0, 12.0, 0)
+WRONG_SEND = dataclasses.replace(ANSWERED_SEND, is_wrong=True)
+CUT_SEND = Send("r1", Kind.STREAM, "entry-0", 10.0, 12.0, 200, "ran", "x")
 RUN = RecordedRun(10.5, "a", "large@1", "user: r1 why\n")
-LATE = RecordedRun(10.5, "a", "large@2", "user: r1 why\n")
-AGAIN = RecordedRun(11.5, "b", "large@1", "user: r1 why\n")
+LATE_RUN = RecordedRun(10.5, "a", "large@2", "user: r1 why\n")
+SECOND_RUN = RecordedRun(11.5, "b", "large@1", "user: r1 why\n")
 BILL = Bill("a", "audit", "vault", "large@1", 11, 3, 6)
 
 
@@ -40,39 +42,39 @@
 @pytest.mark.parametrize(
     ("sends", "runs", "bills", "applied", "found"),
     [
-        ([ANSWERED], [RUN], [BILL], [], []),
+        ([ANSWERED_SEND], [RUN], [BILL], [], []),
         (
-            [WRONG],
+            [WRONG_SEND],
             [RUN],
             [BILL],
             [],
             ["wrong_bytes"],
         ),
-        ([ANSWERED], [RUN, AGAIN], [BILL], [], ["doubled_runs"]),
-        ([ANSWERED], [RUN], [], [], ["missing_bills"]),
+        ([ANSWERED_SEND], [RUN, SECOND_RUN], [BILL], [], ["doubled_runs"]),
+        ([ANSWERED_SEND], [RUN], [], [], ["missing_bills"]),
         (
-            [ANSWERED],
+            [ANSWERED_SEND],
             [RUN],
             [make_bill("a", BillOutcome.CANCELLED)],
             [],
             ["missing_bills"],
         ),
         (
-            [dataclasses.replace(ANSWERED, kind=Kind.PLAIN)],
-            [RUN, AGAIN],
+            [dataclasses.replace(ANSWERED_SEND, kind=Kind.PLAIN)],
+            [RUN, SECOND_RUN],
             [BILL, make_bill("b")],
             [],
             ["doubled_bills"],
         ),
-        ([REFUSED], [], [], [], []),
-        ([REFUSED], [RUN], [], [], ["false_refusals"]),
-        ([ANSWERED, REFUSED], [RUN], [BILL], [], ["false_refusals"]),
-        ([BROKEN], [], [], [], ["lost_answers"]),
-        ([BROKEN], [], [], [KILL], []),
-        ([BROKEN], [], [], [STOP], ["cut_by_planned_stop"]),
-        ([CUT], [], [], [STOP], ["cut_by_planned_stop"]),
-        ([CUT], [], [], [STOP, KILL], []),
-        ([ANSWERED], [LATE], [BILL], [], ["work_on_withdrawn"]),
+        ([REFUSED_SEND], [], [], [], []),
+        ([REFUSED_SEND], [RUN], [], [], ["false_refusals"]),
+        ([ANSWERED_SEND, REFUSED_SEND], [RUN], [BILL], [], ["false_refusals"]),
+        ([BROKEN_SEND], [], [], [], ["lost_answers"]),
+        ([BROKEN_SEND], [], [], [KILL], []),
+        ([BROKEN_SEND], [], [], [STOP], ["cut_by_planned_stop"]),
+        ([CUT_SEND], [], [], [STOP], ["cut_by_planned_stop"]),
+        ([CUT_SEND], [], [], [STOP, KILL], []),
+        ([ANSWERED_SEND], [LATE_RUN], [BILL], [], ["work_on_withdrawn"]),
     ],
 )
 def test_audit_finds_each_broken_promise(sends, runs, bills, applied, found):
--- a/tests/test_billing.py
+++ b/tests/test_billing.py
@@ -1,4 +1,4 @@
-"""Bills reach the log, each request's once, whatever is lost on the way."""
+"""The log gets each request's bill and counts it once, despite losses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 ZONES = {"entry-0": "a", "entry-1": "b", "entry-2": "a"}
 LIMIT_BYTES = 6 * billing.MAX_BILL_BYTES
 BATCH_BYTES = 70
-"""Room for two bills."""
+"""Size of two bills."""
 vms = st.sampled_from(VMS)
 
 
@@ -50,7 +50,8 @@
         self.count = 0
         self.incarnation = 1
         self.log: list[bytes] = []
-        # The log starts away, so that bills pile up before the first kill.
+        # The log starts unavailable, so that bills accumulate before the first
+        # kill.
         self.log_up = False
         self.killed_since_settled = False
         self.answered: set[str] = set()
@@ -82,9 +83,10 @@
             self.serve_one(vm, network)
 
     def serve_one(self, vm, network):
-        # Reserve, run, bill, copy, and only then answer. Without a peer's
-        # word the answer goes out all the same: that is the window in which
-        # the loss of this one VM loses the bill.
+        # The entry reserves space, runs the request, bills it, copies the bill
+        # and only then answers. If no peer acknowledges the copy, the answer is
+        # sent nevertheless; during that time the loss of this single VM loses
+        # the bill.
         if vm in self.gone:
             return
         ledger = self.ledgers[vm]
@@ -135,8 +137,8 @@
     @precondition(lambda self: not self.killed_since_settled)
     @rule(vm=vms, replaced=st.booleans())
     def kill(self, vm, replaced):
-        # At most one of the VMs that know of a bill is lost: another kill
-        # waits until the log has all that this one made known.
+        # At most one of the VMs that have a bill is lost: the next kill waits
+        # until `settle` has appended all bills that the remaining VMs have.
         self.killed_since_settled = True
         self.answered -= self.uncopied[vm]
         self.uncopied[vm] = set()
@@ -176,7 +178,7 @@
         }
         assert self.answered <= in_log
         assert not self.refused & in_log
-        total = sum(each.requests for each in totals.sums.values())
+        total = sum(usage_sum.requests for usage_sum in totals.sums.values())
         assert total == len(in_log)
 
     @invariant()
@@ -184,7 +186,8 @@
         for ledger in getattr(self, "ledgers", {}).values():
             sizes = ledger.get_sizes()
             assert sizes["held_bytes"] <= LIMIT_BYTES
-            # Bills taken over come on top; their room was that of the copies.
+            # Bills that were taken over are pending in addition; the space that
+            # they need is that of the copies.
             assert sizes["pending_bytes"] <= 2 * LIMIT_BYTES
 
     def teardown(self):
@@ -199,8 +202,9 @@
 
 
 async def test_end_of_a_stream_waits_for_its_bill():
-    # An entry that is lost right after the end was given must already have
-    # handed the bill over: the last event is kept back until it has.
+    # An entry that is lost immediately after the end of an answer must already
+    # have copied the bill. The last event is therefore withheld until the bill
+    # has been added.
     steps: list[object] = []
 
     class Service:
@@ -258,9 +262,10 @@
 
 
 def test_restarted_owner_leaves_its_bills_to_the_holder():
-    # An entry dies and is replaced under its name so fast that its heartbeat
-    # never lapses. Its successor knows nothing of the bills, so that the
-    # holder must not wait for it to renew or drop them.
+    # Guards against bills that wait for a process that no longer exists. An
+    # entry is replaced under the same name so fast that its heartbeat never
+    # expires. The new process does not know the bills of its predecessor, so
+    # the holder must not wait until it renews or drops them.
     owner, holder = make_ledger(), make_ledger("entry-1")
     number = owner.add(make_bill())
     holder.hold(owner.make_copy(number, "entry-1"), 0.0)
@@ -348,13 +353,13 @@
 @pytest.mark.parametrize("order", [1, -1])
 @pytest.mark.parametrize("day", [None, "1970-01-01", "1970-01-02"])
 def test_whole_answer_is_billed_over_what_a_leaving_caller_had(order, day):
-    # A caller leaves in the middle of a stream and is billed for 3 tokens.
-    # Its retry with the same key, after midnight, gets the whole answer under
-    # the same id. The two bills come from two entries, in either order.
+    # A caller disconnects in the middle of a stream and is billed for 3 tokens.
+    # Its retry with the same key, after midnight, gets the complete answer
+    # under the same id. The two bills come from two entries, in either order.
     cancelled = make_bill("r", 0, 3, outcome=billing.BillOutcome.CANCELLED)
-    whole = make_bill("r", 24 * 3600, 30)
+    complete = make_bill("r", 24 * 3600, 30)
     ledger = make_ledger()
-    for bill in [cancelled, whole, cancelled][::order]:
+    for bill in [cancelled, complete, cancelled][::order]:
         ledger.add(bill)
     totals = usage.Totals()
     counter = usage.UsageCounter(usage.Filter(None, day), 1, totals)
--- a/tests/test_cascade.py
+++ b/tests/test_cascade.py
@@ -17,7 +17,7 @@
     make_plans,
     may_escalate,
 )
-from lovagestage.decisions.learned import WINDOWS, Learned
+from lovagestage.decisions.learned import RETAINED_WINDOWS, Learned
 from lovagestage.messages.counters import Arm, Counter, Plan
 from lovagestage.types import VmId
 
@@ -51,31 +51,34 @@
 def test_cold_start_uses_the_best_version():
     table = make_table({}, 0.8)
     rng = random.Random(1)
-    picks = [table.choose(0, rng) for _ in range(4000)]
-    others = sum(plan != LARGE for plan in picks) / len(picks)
+    plans = [table.choose(0, rng) for _ in range(4000)]
+    others = sum(plan != LARGE for plan in plans) / len(plans)
     assert others < 2 * MIN_EXPLORE_RATIO
 
 
 def test_few_ratings_are_not_trusted():
-    # The cheap version looks perfect on a handful of ratings.
+    # The cheap version has perfect ratings, but only a handful of them.
     counters = make_counters({LARGE: 0.9}, [10.0])
-    lucky = make_counters({SMALL: 1.0}, [1.0], ratings=3, requests=20)
-    table = make_table(counters | lucky, 0.85)
+    cheap_counters = make_counters({SMALL: 1.0}, [1.0], ratings=3, requests=20)
+    table = make_table(counters | cheap_counters, 0.85)
     assert get_ratio(table, 0, SMALL) == 0.0
 
 
 def test_target_is_held_with_confidence_not_on_average():
-    # On average both would do; the cheap one's ratings are too few to tell.
-    both = Plan("s@1", "l@1")
-    counters = make_counters({LARGE: 0.95, both: 0.95}, [10.0, 10.5])
-    unsure = make_counters({SMALL: 0.81}, [1.0], ratings=15)
-    sure = make_counters({SMALL: 0.81}, [1.0], ratings=40_000)
+    # Both plans reach the target on average, but the cheap plan has too few
+    # ratings for a conclusion.
+    escalating = Plan("s@1", "l@1")
+    counters = make_counters({LARGE: 0.95, escalating: 0.95}, [10.0, 10.5])
+    few_ratings = make_counters({SMALL: 0.81}, [1.0], ratings=15)
+    many_ratings = make_counters({SMALL: 0.81}, [1.0], ratings=40_000)
     ratios = [
         sum(
-            get_ratio(make_table(counters | more, 0.8, SHORT), d, SMALL)
+            get_ratio(
+                make_table(counters | cheap_counters, 0.8, SHORT), d, SMALL
+            )
             for d in (0, 1)
         )
-        for more in (unsure, sure)
+        for cheap_counters in (few_ratings, many_ratings)
     ]
     assert ratios[0] < ratios[1] == 2.0
 
@@ -96,12 +99,13 @@
 
 
 def test_most_saved_for_the_quality_lost_goes_first():
-    # Level 0 saves a little more but loses ten times the quality; taken
-    # first, it would leave nothing of the lead for level 1.
-    both = Plan("s@1", "l@1")
+    # Level 0 saves slightly more cost than level 1 but loses ten times as much
+    # quality. If level 0 moved first, it would use up the lead over the target
+    # and leave nothing for level 1.
+    escalating = Plan("s@1", "l@1")
     counters = {}
     for level, cheap in ((0, (0.80, 1.0)), (1, (0.89, 2.0))):
-        means = {LARGE: 0.9, both: 0.9, SMALL: cheap[0]}
+        means = {LARGE: 0.9, escalating: 0.9, SMALL: cheap[0]}
         costs = [10.0, 11.0, cheap[1]]
         counters |= make_counters(means, costs, [level], ratings=10**9)
     table = make_table(counters, 0.892, SHORT)
@@ -109,7 +113,7 @@
 
 
 def get_naive_cost(counters, target):
-    """Least cost of one plan for each level by trying every pair."""
+    """Returns the least cost of one plan per level by trying every pair."""
     best = float("inf")
     for plans in itertools.product((SMALL, LARGE), repeat=2):
         arms = [counters[Arm("c", d, p)] for d, p in enumerate(plans)]
@@ -124,21 +128,22 @@
     st.floats(0.2, 0.8),
 )
 def test_cost_is_no_worse_than_every_pair_of_plans(means, target):
-    # With certain ratings, and parts of a level as well as whole ones, the
-    # greedy choice may not cost more than the best of the four pairs.
+    # The ratings are certain, and the solver may move parts of a level as well
+    # as whole levels. The greedy choice may then not cost more than the best of
+    # the four pairs of plans.
     counters = {}
     for level in (0, 1):
         pair = {SMALL: means[level], LARGE: means[2 + level]}
         counters |= make_counters(pair, [1.0, 10.0], [level], ratings=10**9)
-    naive = get_naive_cost(counters, target + 0.02)
+    naive_cost = get_naive_cost(counters, target + 0.02)
     table = make_table(counters, target, SHORT)
     cost = sum(
         share.ratio * counters[Arm("c", level, share.plan)].get_cost() / 2
         for level in (0, 1)
         for share in table.shares[level]
     )
-    if naive < float("inf") and table.get_bound() >= target:
-        assert cost <= naive + 10.0 * MAX_EXPLORE_RATIO
+    if naive_cost < float("inf") and table.get_bound() >= target:
+        assert cost <= naive_cost + 10.0 * MAX_EXPLORE_RATIO
 
 
 @given(
@@ -147,7 +152,7 @@
     st.floats(0, 1),
 )
 def test_only_given_versions_are_ever_chosen(allowed, seed, target):
-    # The counters know of all versions; the workspace may use only some.
+    # The counters contain all versions, but the workspace may use only some.
     means = {plan: 0.9 for plan in make_plans(VERSIONS)}
     counters = make_counters(means, [1.0, 2.0, 3.0, 4.0, 10.0])
     table = make_table(counters, target, allowed)
@@ -197,25 +202,27 @@
     owners = [Learned(VmId(f"e{i}"), 1) for i in range(3)]
     deltas = []
     for _ in range(12):
-        one = rng.choice(owners)
+        learned = rng.choice(owners)
         arm = Arm("c", rng.randrange(2), SMALL)
-        one.add_request(arm, 1.0)
-        one.add_rating(arm, rng.random())
-        wire = msgspec.msgpack.encode(one.make_delta())
-        deltas.append(msgspec.msgpack.decode(wire, type=type(one.make_delta())))
+        learned.add_request(arm, 1.0)
+        learned.add_rating(arm, rng.random())
+        wire = msgspec.msgpack.encode(learned.make_delta())
+        deltas.append(
+            msgspec.msgpack.decode(wire, type=type(learned.make_delta()))
+        )
     return deltas
 
 
 @given(st.integers(0, 2**32), st.data())
 def test_merging_needs_no_order_and_takes_repeats(seed, data):
     deltas = make_deltas(random.Random(seed))
-    mixed = [*data.draw(st.permutations(deltas)), *deltas[:5]]
-    one, two = Learned(VmId("a"), 1), Learned(VmId("b"), 1)
+    shuffled = [*data.draw(st.permutations(deltas)), *deltas[:5]]
+    in_order, shuffled_order = Learned(VmId("a"), 1), Learned(VmId("b"), 1)
     for delta in deltas:
-        one.merge(delta)
-    for delta in mixed:
-        two.merge(delta)
-    first, second = one.get_sums(), two.get_sums()
+        in_order.merge(delta)
+    for delta in shuffled:
+        shuffled_order.merge(delta)
+    first, second = in_order.get_sums(), shuffled_order.get_sums()
     assert first.keys() == second.keys()
     for arm, counter in first.items():
         assert msgspec.structs.astuple(counter) == pytest.approx(
@@ -224,8 +231,9 @@
 
 
 def test_restarted_entry_does_not_lose_what_it_told():
-    # The entry restarts: its counters begin at nothing. Were they taken for
-    # a copy of the former ones, they would be dropped until they had grown.
+    # Guards against losing the ratings that an entry reported before its
+    # restart. Its new counters start at zero; taken as an older copy of the
+    # former counters, they would be dropped until they had grown larger.
     reader = Learned(VmId("a"), 1)
     for incarnation, count in ((1, 5), (2, 2)):
         entry = Learned(VmId("b"), incarnation)
@@ -238,9 +246,9 @@
 def test_old_windows_are_forgotten():
     learned = Learned(VmId("a"), 1)
     learned.add_rating(Arm("c", 0, SMALL), 1.0)
-    learned.set_window(WINDOWS - 1)
+    learned.set_window(RETAINED_WINDOWS - 1)
     assert learned.get_sums()
-    learned.set_window(WINDOWS)
+    learned.set_window(RETAINED_WINDOWS)
     assert not learned.get_sums()
 
 
--- a/tests/test_crash_suspects.py
+++ b/tests/test_crash_suspects.py
@@ -1,4 +1,4 @@
-"""One request that crashes each upstream takes down a bounded number."""
+"""A request that crashes every upstream crashes a bounded number of them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from lab.fleet import Fleet
 from lab.shapes import Shape
 from lovagestage.decisions.crash_suspects import (
-    CONVICTION_KEEP_S,
+    CONVICTION_RETENTION_S,
     MAX_UPSTREAMS_LOST,
     Admission,
     SuspectTable,
@@ -27,13 +27,17 @@
 )
 from tests.test_thin_path import MESSAGES, get_expected_text
 
-POISON = get_fingerprint("audit", b"poison")
-INNOCENTS = [get_fingerprint("audit", b"%d" % n) for n in range(4)]
+CRASHING = get_fingerprint("audit", b"poison")
+HARMLESS = [get_fingerprint("audit", b"%d" % n) for n in range(4)]
 UPSTREAMS = range(4)
 
 
 class CrashMachine(RuleBasedStateMachine):
-    """Entries that hear each other, over upstreams with the sidecars' rule."""
+    """Entries that exchange reports, over upstreams with the sidecars' rule.
+
+    The rule: a request with strikes does not run beside a probe, and a probe
+    does not run beside other requests with strikes.
+    """
 
     @initialize(entries=st.integers(1, 3))
     def start(self, entries):
@@ -42,14 +46,14 @@
         self.lost = 0
         self.most_copies = 0
         self.now_s = 0.0
-        self.names = 0
+        self.run_count = 0
 
-    def tell(self, report):
+    def apply_report(self, report):
         for table in self.tables:
             table.apply(report, self.now_s)
 
     @rule(
-        name=st.sampled_from([POISON, POISON, *INNOCENTS]),
+        name=st.sampled_from([CRASHING, CRASHING, *HARMLESS]),
         entry=st.integers(0, 2),
         vm=st.sampled_from(UPSTREAMS),
     )
@@ -60,39 +64,46 @@
             return
         probe = admission is Admission.PROBE
         strikes = table.get_strikes(name, self.now_s)
-        beside = [run for run in self.running if run[2] == vm and run[4]]
-        if strikes and any(probe or run[3] for run in beside):
+        concurrent_suspects = [
+            run for run in self.running if run[2] == vm and run[4]
+        ]
+        if strikes and any(probe or run[3] for run in concurrent_suspects):
             return
-        self.names += 1
-        run = f"run-{self.names}"
+        self.run_count += 1
+        run = f"run-{self.run_count}"
         if probe:
-            self.tell(table.start_probe(name, run, self.now_s))
+            self.apply_report(table.start_probe(name, run, self.now_s))
         self.running.append((name, run, vm, probe, strikes))
-        copies = sum(run[0] == POISON for run in self.running)
+        copies = sum(run[0] == CRASHING for run in self.running)
         self.most_copies = max(self.most_copies, copies)
 
-    @precondition(lambda self: any(r[0] == POISON for r in self.running))
+    @precondition(lambda self: any(r[0] == CRASHING for r in self.running))
     @rule(choice=st.integers(0, 9))
     def crash(self, choice):
-        poisons = [run for run in self.running if run[0] == POISON]
-        vm = poisons[choice % len(poisons)][2]
-        died = [run for run in self.running if run[2] == vm]
+        crashing_runs = [run for run in self.running if run[0] == CRASHING]
+        vm = crashing_runs[choice % len(crashing_runs)][2]
+        failed_runs = [run for run in self.running if run[2] == vm]
         self.running = [run for run in self.running if run[2] != vm]
         self.lost += 1
-        for name, run, _, probe, _ in died:
-            self.tell(self.tables[0].add_crash(name, run, probe, self.now_s))
+        for name, run, _, probe, _ in failed_runs:
+            self.apply_report(
+                self.tables[0].add_crash(name, run, probe, self.now_s)
+            )
 
-    @precondition(lambda self: any(r[0] != POISON for r in self.running))
+    @precondition(lambda self: any(r[0] != CRASHING for r in self.running))
     @rule(choice=st.integers(0, 9))
     def answer(self, choice):
-        innocent = [run for run in self.running if run[0] != POISON]
-        done = innocent[choice % len(innocent)]
-        self.running.remove(done)
-        report = self.tables[0].add_end(done[0], done[1], True, self.now_s)
+        harmless_runs = [run for run in self.running if run[0] != CRASHING]
+        answered = harmless_runs[choice % len(harmless_runs)]
+        self.running.remove(answered)
+        report = self.tables[0].add_end(
+            answered[0], answered[1], True, self.now_s
+        )
         if report is not None:
-            self.tell(report)
-        # Whatever was in flight beside the poison is free again at once.
-        assert self.tables[-1].admit(done[0], self.now_s) in (
+            self.apply_report(report)
+        # A request that was answered beside the crashing request may run freely
+        # again immediately, unless it was convicted.
+        assert self.tables[-1].admit(answered[0], self.now_s) in (
             Admission.FREE,
             Admission.REFUSE,
         )
@@ -103,7 +114,7 @@
 
     @invariant()
     def few_upstreams_are_lost(self):
-        if hasattr(self, "lost") and self.now_s < CONVICTION_KEEP_S:
+        if hasattr(self, "lost") and self.now_s < CONVICTION_RETENTION_S:
             others = max(0, self.most_copies - 1)
             assert self.lost <= MAX_UPSTREAMS_LOST + others
 
@@ -115,32 +126,33 @@
 
 
 def test_probed_innocent_is_not_convicted_by_a_suspect_beside_it():
-    # The sidecar keeps requests with strikes away from a probe, so that the
-    # only one that a crash can convict is the one that caused it.
+    # The sidecar never runs other requests with strikes beside a probe. A crash
+    # can therefore only convict the request that caused it.
     table = SuspectTable()
     for run in ("a", "b"):
-        table.add_crash(POISON, run, False, 0.0)
-        table.add_crash(INNOCENTS[0], run, False, 0.0)
-    assert table.admit(INNOCENTS[0], 0.0) is Admission.PROBE
-    table.start_probe(INNOCENTS[0], "c", 0.0)
-    table.add_end(INNOCENTS[0], "c", True, 1.0)
-    assert table.admit(INNOCENTS[0], 1.0) is Admission.FREE
-    table.add_crash(POISON, "d", True, 1.0)
-    assert table.admit(POISON, 1.0) is Admission.REFUSE
-    assert table.admit(POISON, 1.0 + CONVICTION_KEEP_S) is Admission.FREE
+        table.add_crash(CRASHING, run, False, 0.0)
+        table.add_crash(HARMLESS[0], run, False, 0.0)
+    assert table.admit(HARMLESS[0], 0.0) is Admission.PROBE
+    table.start_probe(HARMLESS[0], "c", 0.0)
+    table.add_end(HARMLESS[0], "c", True, 1.0)
+    assert table.admit(HARMLESS[0], 1.0) is Admission.FREE
+    table.add_crash(CRASHING, "d", True, 1.0)
+    assert table.admit(CRASHING, 1.0) is Admission.REFUSE
+    assert table.admit(CRASHING, 1.0 + CONVICTION_RETENTION_S) is Admission.FREE
 
 
 def test_poison_sent_again_and_again_takes_down_a_bounded_number():
-    # One caller's request kills each engine that runs it, and it sends it
-    # again through either entry. The requests in flight beside it are
-    # answered whole; the poison is refused by name after three engines.
+    # One caller repeatedly sends a request that crashes each engine which runs
+    # it, through either entry. All other requests in flight are answered
+    # completely, and the crashing request is refused after at most three
+    # engines.
     shape = Shape("vault", ("lhe-a", "lhe-b", "lhe-c"), 2, 6, 0)
     with Fleet(shape) as fleet:
         for engine in fleet.engines:
             fleet.set_fault(engine.name, crash_on="poison")
         texts, codes = [], []
 
-        def ask(entry: int) -> None:
+        def send_request(entry: int) -> None:
             client = make_client(fleet, "punjab-traders", entry)
             answer = client.chat.completions.create(
                 model="large@1", messages=MESSAGES, max_tokens=80
@@ -148,7 +160,8 @@
             texts.append(answer.choices[0].message.content)
 
         threads = [
-            threading.Thread(target=ask, args=(n % 2,)) for n in range(16)
+            threading.Thread(target=send_request, args=(n % 2,))
+            for n in range(16)
         ]
         for thread in threads:
             thread.start()
@@ -163,7 +176,9 @@
                 codes.append(error.code)
         for thread in threads:
             thread.join(30)
-        dead = [e.name for e in fleet.engines if e.process.poll() is not None]
+        crashed_engines = [
+            e.name for e in fleet.engines if e.process.poll() is not None
+        ]
         assert texts == [get_expected_text("large@1", 80)] * 16
-        assert len(dead) <= MAX_UPSTREAMS_LOST
+        assert len(crashed_engines) <= MAX_UPSTREAMS_LOST
         assert codes == ["request_crashes_upstreams"] * 6
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deferrable requests by deadline."""
+"""Deferrable requests that an entry promises to answer by a deadline."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 )
 
 
-def play(arrivals, spec=SPEC):
-    """Runs what is admitted; deadlines and ends of the admitted requests."""
+def simulate(arrivals, spec=SPEC):
+    """Simulates the runs; returns ends and deadlines of admitted requests."""
     queue = DeferralQueue(spec, 100)
     ends: list[tuple[float, str, float]] = []
     actual: dict[str, float] = {}
     done = []
 
-    def take(now_s):
+    def start_runs(now_s):
         while (job := queue.take(now_s)) is not None:
             run_s = spec.get_run_s(job.tokens) * actual[job.request_id]
             end = (now_s + run_s, job.request_id, job.deadline_s)
@@ -58,14 +58,16 @@
             end_s, name, deadline_s = heapq.heappop(ends)
             done.append((end_s, deadline_s))
             queue.end(RequestId(name))
-            take(end_s)
+            start_runs(end_s)
 
-    for index, (at_s, tokens, wait_s, part) in enumerate(sorted(arrivals)):
+    for index, (at_s, tokens, wait_s, duration_ratio) in enumerate(
+        sorted(arrivals)
+    ):
         run_until(at_s)
         name = RequestId(str(index))
-        actual[name] = part
+        actual[name] = duration_ratio
         queue.offer(Deferred(at_s + wait_s, name, tokens), at_s)
-        take(at_s)
+        start_runs(at_s)
     run_until(float("inf"))
     return done
 
@@ -73,14 +75,16 @@
 @settings(max_examples=150, deadline=None)
 @given(jobs)
 def test_all_that_is_admitted_is_done_in_time(arrivals):
-    # Requests come with deadlines in any order; some can't be done. None
-    # that was taken may be late because a later one was taken as well.
-    assert all(end_s <= deadline_s for end_s, deadline_s in play(arrivals))
+    # Requests arrive with deadlines in any order, and some can't finish in
+    # time. An admitted request may not become late because a later one was
+    # admitted as well.
+    assert all(end_s <= deadline_s for end_s, deadline_s in simulate(arrivals))
 
 
 def test_new_request_may_not_displace_an_admitted_one():
-    # The slot is booked until 10 s. A request that is due earlier would
-    # itself be in time, and make an admitted one late.
+    # With the safety ratio, the slot is booked until 10 s. A request with an
+    # earlier deadline would finish in time itself, but would delay an admitted
+    # one beyond its deadline.
     queue = DeferralQueue(SlotSpec(1, 10.0, 0.0), 10)
     assert queue.offer(Deferred(10.0, RequestId("a"), 40), 0.0)
     assert queue.offer(Deferred(12.0, RequestId("b"), 40), 0.0)
@@ -88,17 +92,18 @@
 
 
 def test_work_that_can_be_done_is_admitted():
-    # Both slots are free and there is plenty of time.
+    # Both slots are free and no deadline is close.
     queue = DeferralQueue(SPEC, 10)
-    taken = [
+    admitted = [
         queue.offer(Deferred(100.0, RequestId(str(i)), 40), 0.0)
         for i in range(10)
     ]
-    assert all(taken)
+    assert all(admitted)
 
 
 def test_earliest_deadline_starts_first():
-    # Ten requests that can wait are there before one that can't.
+    # Ten requests with a late deadline are queued before one with an early
+    # deadline.
     queue = DeferralQueue(SPEC, 20)
     for index in range(10):
         queue.offer(Deferred(100.0, RequestId(str(index)), 40), 0.0)
@@ -111,20 +116,20 @@
     for index in range(5):
         queue.offer(Deferred(100.0, RequestId(str(index)), 10), 0.0)
     started = [queue.take(0.0) for _ in range(3)]
-    assert [each is not None for each in started] == [True, True, False]
+    assert [request is not None for request in started] == [True, True, False]
     queue.end(RequestId("0"))
     assert queue.take(1.0) is not None
 
 
 def test_request_given_up_frees_its_place():
-    # A caller leaves while its request waits: the work it was booked for is
-    # there for the next one.
+    # A caller disconnects while its request waits. The capacity that was booked
+    # for the request has to become available to the next one.
     queue = DeferralQueue(SlotSpec(1, 10.0, 0.0), 10)
     assert queue.offer(Deferred(13.0, RequestId("a"), 100), 0.0)
-    late = Deferred(14.0, RequestId("b"), 100)
-    assert not queue.offer(late, 0.0)
+    later_request = Deferred(14.0, RequestId("b"), 100)
+    assert not queue.offer(later_request, 0.0)
     queue.end(RequestId("a"))
-    assert queue.offer(late, 0.0)
+    assert queue.offer(later_request, 0.0)
 
 
 def test_full_queue_refuses():
@@ -134,17 +139,18 @@
 
 
 def test_jobs_are_done_in_time_beside_till_lookups():
-    # Nightly jobs come at once while tills are served and a rush follows.
-    # All admitted jobs are in time and the tills are at most 10% slower.
+    # Nightly batch jobs arrive together while till lookups are served, and a
+    # rush of lookups follows. All admitted jobs finish in time and the lookups
+    # become at most 10% slower.
     result = experiment.run(11)
     assert result.ok, result
     assert result.lovagestage["jobs_done"] > experiment.JOBS / 3
 
 
 async def test_promised_request_outlasts_a_full_pool():
-    # The slot comes while urgent requests fill all upstreams, and the run is
-    # refused as not run. Passed on, that would break the promise; it is tried
-    # again and answered.
+    # The slot becomes free while urgent requests fill all upstreams, so the run
+    # is refused as not run. Forwarding the refusal to the caller would break
+    # the promise; the run is retried and answered instead.
     request = Request(
         RequestId("r"),
         WorkspaceId("w"),
@@ -159,14 +165,14 @@
     )
     refusals = [NoCapacityError("full", retry_after_s=1)]
 
-    async def make_parts():
+    async def stream_chunks():
         if refusals:
             raise refusals.pop()
         yield b"whole"
 
     service = DeferralService(DeferralQueue(SPEC, 1))
-    parts = service.run(request, 10, False, make_parts)
-    assert [part async for part in parts] == [b"whole"]
+    chunks = service.run(request, 10, False, stream_chunks)
+    assert [chunk async for chunk in chunks] == [b"whole"]
     assert service.get_sizes() == {"waiting": 0, "open": 0}
 
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Zones that operators want emptied, whatever the store shows of the order."""
+"""Zones that operators evacuate, whichever state of the store a read shows."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 
 
 def test_the_newest_record_of_a_zone_decides():
-    # A read that shows the past brings the order after it was taken back.
+    # A read of an older state of the store returns the order to evacuate the
+    # zone after the removal of that order.
     evacuations = Evacuations()
     assert evacuations.apply("a", 4, True)
     assert evacuations.apply("a", 6, False)
@@ -29,7 +30,8 @@
 
 
 def test_a_zone_missing_in_a_full_list_is_given_back():
-    # The store dropped its history, and with it the record of the removal.
+    # The store dropped its history, including the record that removed the
+    # order.
     evacuations = Evacuations()
     evacuations.apply("a", 4, True)
     evacuations.apply("b", 5, True)
@@ -53,83 +55,87 @@
     reads=st.lists(st.integers(0, 11), max_size=30),
 )
 def test_records_in_any_order_end_at_the_newest(written, reads):
-    # Orders and removals take turns for each zone; reads come in any order.
+    # Orders and removals alternate for each zone; reads arrive in any order.
     history = []
     for offset, zone in enumerate(written):
         earlier = sum(name == zone for name, _, _ in history)
         history.append((zone, offset, earlier % 2 == 0))
     evacuations = Evacuations()
-    seen = {}
+    newest = {}
     for read in reads:
-        zone, offset, is_standing = history[read % len(history)]
-        evacuations.apply(zone, offset, is_standing)
-        seen[zone] = max(seen.get(zone, (-1, False)), (offset, is_standing))
-    for zone, (_, is_standing) in seen.items():
-        assert (zone in evacuations) == is_standing
+        zone, offset, is_evacuated = history[read % len(history)]
+        evacuations.apply(zone, offset, is_evacuated)
+        newest[zone] = max(
+            newest.get(zone, (-1, False)), (offset, is_evacuated)
+        )
+    for zone, (_, is_evacuated) in newest.items():
+        assert (zone in evacuations) == is_evacuated
 
 
-def order(stage, zone, body=b"{}"):
+def put_evacuation(stage, zone, body=b"{}"):
     stage.store.put("keyed.op", f"evacuate/{zone}", body)
 
 
-async def call_some(stage, count=12):
+async def send_calls(stage, count=12):
     replies = [await stage.call("/safe/x") for _ in range(count)]
     return [reply.status for reply in replies]
 
 
-async def wait_evacuated(stage, zone, is_standing):
+async def wait_evacuated(stage, zone, is_evacuated):
     evacuations = stage.gateway.deployment.evacuations
-    await stage.wait_until(lambda: (zone in evacuations) == is_standing)
+    await stage.wait_until(lambda: (zone in evacuations) == is_evacuated)
 
 
 def test_an_emptied_zone_gets_nothing_until_it_is_given_back():
-    # Guards against requests that go on to upstreams of a zone that operators
-    # have asked to be empty, because these still answer.
+    # Guards against requests that are still sent to upstreams of a zone which
+    # operators have evacuated, because these upstreams still answer.
     async def run():
         async with run_stage(1) as stage:
             await stage.add_worker("w2", Zone="b")
             await stage.wait_until(
                 lambda: len(stage.gateway.deployment.rotation) == 2
             )
-            order(stage, "b")
+            put_evacuation(stage, "b")
             await wait_evacuated(stage, "b", True)
             before = len(stage.workers["w2"].arrivals)
-            assert set(await call_some(stage)) == {200}
+            assert set(await send_calls(stage)) == {200}
             assert len(stage.workers["w2"].arrivals) == before
-            order(stage, "b", b"")
+            put_evacuation(stage, "b", b"")
             await wait_evacuated(stage, "b", False)
             await stage.workers["w1"].stop()
             del stage.workers["w1"]
-            assert 200 in await call_some(stage)
+            assert 200 in await send_calls(stage)
             assert len(stage.workers["w2"].arrivals) > before
 
     asyncio.run(run())
 
 
 def test_a_request_is_refused_at_once_where_all_zones_are_emptied():
-    # Guards against requests that wait for upstreams which may get nothing.
+    # Guards against requests that wait for upstreams to which nothing may be
+    # sent.
     async def run():
         async with run_stage(1) as stage:
-            order(stage, "a")
+            put_evacuation(stage, "a")
             await wait_evacuated(stage, "a", True)
             loop = asyncio.get_running_loop()
-            began_s = loop.time()
+            started_s = loop.time()
             reply = await stage.call("/safe/x")
             assert reply.status == 503
             assert float(reply.headers["retry-after"]) > 0.0
             assert json.loads(reply.body)["error"] == "no_upstream"
-            assert loop.time() - began_s < 0.5
+            assert loop.time() - started_s < 0.5
             assert stage.workers["w1"].arrivals == []
 
     asyncio.run(run())
 
 
 def test_an_order_outlives_the_history_of_the_store():
-    # Guards against an order that is forgotten with the store's history, and
-    # against one that stays after its removal was forgotten.
+    # Guards against an order that is forgotten when the store drops its
+    # history, and against an order that remains in force after the record of
+    # its removal was dropped.
     async def run():
         async with run_stage(2) as stage:
-            order(stage, "b")
+            put_evacuation(stage, "b")
             await wait_evacuated(stage, "b", True)
             stage.store.faults.outage = "503"
             stage.put_configuration(version=2)
@@ -139,7 +145,7 @@
             await stage.wait_until(lambda: deployment.configuration.version > 1)
             assert "b" in deployment.evacuations
             stage.store.faults.outage = "503"
-            order(stage, "b", b"")
+            put_evacuation(stage, "b", b"")
             stage.store.get_topic("keyed.op").forget()
             stage.store.faults.outage = ""
             await wait_evacuated(stage, "b", False)
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -24,21 +24,21 @@
 from lovagestage.types import Offset, VmId
 
 BUDGET = 300
-CRASH = Assignment(True, 0.1)
+CRASH_ASSIGNMENT = Assignment(True, 0.1)
 
 
 def make_gate(name="e1", entries=1, epoch=1, **changes) -> ExposureGate:
-    given = {"steps": [0.1, 0.5, 1.0], "exposure_budget": BUDGET} | changes
-    spec = RolloutSpec("m@1", "m@2", step_min_s=10.0, **given)
+    fields = {"steps": [0.1, 0.5, 1.0], "exposure_budget": BUDGET} | changes
+    spec = RolloutSpec("m@1", "m@2", step_min_s=10.0, **fields)
     return ExposureGate(spec, Offset(epoch), entries, VmId(name), 1)
 
 
-def feed(gate, rng, count, new_mean, now_s=0.0):
+def send_requests(gate, rng, count, new_mean, now_s=0.0):
     for index in range(count):
-        how = gate.assign(rng)
-        gate.add_outcome(how, failed=False)
-        mean = new_mean if how.is_new else 0.8
-        gate.add_rating(how.is_new, mean + rng.uniform(-0.1, 0.1))
+        assignment = gate.assign(rng)
+        gate.add_outcome(assignment, failed=False)
+        mean = new_mean if assignment.is_new else 0.8
+        gate.add_rating(assignment.is_new, mean + rng.uniform(-0.1, 0.1))
         gate.advance(now_s + index)
 
 
@@ -49,9 +49,10 @@
 @pytest.mark.parametrize("direction", Direction)
 @pytest.mark.parametrize("new_part", [0.1, 0.5, 0.8])
 def test_wealth_rarely_grows_under_the_null(direction, new_part):
-    # The null hypothesis holds with equality: scores of 0 or 1, the noisiest
-    # there are. Ville's inequality allows 1 run in 20 above 20; a test that
-    # was only valid at a look fixed beforehand would pass it far more often.
+    # The null hypothesis holds with equality, and scores are 0 or 1, which has
+    # the largest variance. Ville's inequality allows 1 run in 20 above a wealth
+    # of 20. A test that is valid only at a look fixed beforehand would exceed
+    # it far more often.
     rng, runs, crossed = random.Random(4), 400, 0
     for _ in range(runs):
         test = PairedTest(0.1, direction, restarts=True)
@@ -68,12 +69,12 @@
     wealth = 0.0
     for bet in BETS:
         capital = 1.0
-        guess = 0.5
-        limit = 1.0 / max(1.0 - guess + margin, guess)
+        old_mean = 0.5
+        limit = 1.0 / max(1.0 - old_mean + margin, old_mean)
         for old, new in pairs:
-            gain = guess - margin - new
+            gain = old_mean - margin - new
             capital *= 1.0 + bet * limit * gain
-            capital *= 1.0 + bet * limit * (old - guess)
+            capital *= 1.0 + bet * limit * (old - old_mean)
         wealth += capital / len(BETS)
     return wealth
 
@@ -81,21 +82,22 @@
 @given(st.lists(st.tuples(st.floats(0, 1), st.floats(0, 1)), max_size=30))
 def test_wealth_equals_a_naive_product(pairs):
     test = PairedTest(0.1, Direction.ABOVE, restarts=False)
-    for _ in range(10):  # The first guess of the old mean; no bets yet.
+    for _ in range(10):  # Initialises the old mean; no bets yet.
         test.add(False, 0.5)
-    test._learn = lambda value: None  # The naive product keeps its guess.
-    test._get_sizes = lambda: (1, 1)
+    test._learn = lambda value: None  # The naive product fixes the mean.
+    test._get_bet_sizes = lambda: (1, 1)
     for old, new in pairs:
         test.add(False, old)
         test.add(True, new)
-    naive = get_naive_wealth(pairs, 0.1)
-    assert test.get_wealth() == pytest.approx(naive, rel=1e-9, abs=1e-12)
+    naive_wealth = get_naive_wealth(pairs, 0.1)
+    assert test.get_wealth() == pytest.approx(naive_wealth, rel=1e-9, abs=1e-12)
 
 
 @pytest.mark.parametrize("share", [0.05, 0.3, 0.75])
 def test_common_failures_are_no_evidence(share):
-    # A zone fails: callers see failures of either version, by their shares.
-    # A rule on the new version's own rate would roll back a good version.
+    # A zone fails, so callers see failures of both versions in proportion to
+    # their shares. A rule on the new version's own failure rate would roll back
+    # a good version.
     rng, crossed = random.Random(5), 0
     for _ in range(200):
         test = FailureTest(1.5)
@@ -112,22 +114,22 @@
     rng = random.Random(1)
     exposed = 0
     while gate.stop_reason is None:
-        how = gate.assign(rng)
-        exposed += how.is_new
-        gate.add_outcome(how, failed=how.is_new)
+        assignment = gate.assign(rng)
+        exposed += assignment.is_new
+        gate.add_outcome(assignment, failed=assignment.is_new)
     assert gate.stop_reason is StopReason.FAILURES
     assert exposed <= 8
 
 
 def test_version_that_turns_bad_late_is_stopped():
-    # The new version is good for a thousand ratings and then bad: its mean
-    # over the whole roll-out hardly moves, so a test that starts once would
-    # first have to lose what the good ratings gave.
+    # The new version is good for about a thousand ratings and bad after that.
+    # Its mean over the whole roll-out hardly changes, so a test that starts
+    # only once would first have to lose the wealth from the good ratings.
     gate = make_gate(exposure_budget=100_000)
     rng = random.Random(2)
-    feed(gate, rng, 4000, 0.8)
+    send_requests(gate, rng, 4000, 0.8)
     assert gate.stop_reason is None
-    feed(gate, rng, 1500, 0.55, 4000.0)
+    send_requests(gate, rng, 1500, 0.55, 4000.0)
     assert gate.stop_reason is StopReason.RATINGS
 
 
@@ -149,7 +151,7 @@
 
 def test_good_version_passes_all_steps():
     gate = make_gate(exposure_budget=100_000)
-    feed(gate, random.Random(3), 6000, 0.8)
+    send_requests(gate, random.Random(3), 6000, 0.8)
     assert gate.step == 3
     assert gate.get_share() == 1.0 - HOLDBACK_SHARE
 
@@ -187,17 +189,17 @@
 
 
 def test_stop_reaches_other_entries_and_lasts():
-    # One entry sees crashes and stops; another has seen nothing. The message
-    # comes twice and is followed by an endless row of good ratings: a stop
-    # that evidence could take back would start the bad version again.
+    # One entry observes crashes and stops; another has observed nothing. The
+    # message arrives twice, and many good ratings follow. If evidence could
+    # revoke a stop, the bad version would get requests again.
     first = make_gate("e1", 2, exposure_budget=100_000)
     second = make_gate("e2", 2, exposure_budget=100_000)
     for _ in range(40):
-        first.add_outcome(CRASH, failed=True)
+        first.add_outcome(CRASH_ASSIGNMENT, failed=True)
     message = first.make_evidence()
     second.absorb(message)
     second.absorb(message)
-    feed(second, random.Random(1), 2000, 1.0)
+    send_requests(second, random.Random(1), 2000, 1.0)
     assert second.stop_reason is StopReason.PEER
     assert second.get_share() == 0.0
 
@@ -210,22 +212,27 @@
 
 
 def test_repeated_message_counts_once():
-    one, two, other = (make_gate(name, 2) for name in ("e1", "e2", "e3"))
-    other.add_outcome(CRASH, failed=True)
+    gate_once, gate_repeated, other = (
+        make_gate(name, 2) for name in ("e1", "e2", "e3")
+    )
+    other.add_outcome(CRASH_ASSIGNMENT, failed=True)
     message = other.make_evidence()
-    one.absorb(message)
+    gate_once.absorb(message)
     for _ in range(50):
-        two.absorb(message)
-    assert two.stop_reason is None
-    assert two._stop_failures.get_wealth() == one._stop_failures.get_wealth()
+        gate_repeated.absorb(message)
+    assert gate_repeated.stop_reason is None
+    assert (
+        gate_repeated._stop_failures.get_wealth()
+        == gate_once._stop_failures.get_wealth()
+    )
 
 
 def test_entries_pool_their_evidence():
-    # Each entry alone sees too few crashes to stop.
+    # Each entry by itself sees too few crashes for a stop.
     gates = [make_gate(f"e{i}", 4) for i in range(4)]
     for gate in gates:
         for _ in range(2):
-            gate.add_outcome(CRASH, failed=True)
+            gate.add_outcome(CRASH_ASSIGNMENT, failed=True)
     assert all(gate.stop_reason is None for gate in gates)
     for gate in gates:
         message = gate.make_evidence()
@@ -240,13 +247,13 @@
 
 def test_paused_rollout_keeps_its_step():
     gate = make_gate(state=RolloutState.PAUSED, exposure_budget=100_000)
-    feed(gate, random.Random(3), 3000, 0.8)
+    send_requests(gate, random.Random(3), 3000, 0.8)
     assert (gate.step, gate.get_share()) == (0, 0.1)
 
 
 def test_recorded_step_is_the_ceiling_and_each_step_has_a_fresh_budget():
-    # The driver has recorded a step. The gate takes it, asks for evidence
-    # anew, and never goes over the share that the record allows.
+    # The driver has recorded a step. The gate applies it, requires new evidence
+    # for it, and never exceeds the share that the record allows.
     gate = make_gate()
     gate.follow(1, 0.05)
     assert gate.step == 1
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Requests that may not leave the regions named for them."""
+"""Requests that may not run outside the regions allowed for them."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 
 
 def test_a_request_runs_at_home_or_not_at_all():
-    # Guards against a request that leaves its regions because its upstreams
-    # at home failed, are gone or are to be left alone.
+    # Guards against a request that runs outside its allowed regions because the
+    # upstreams in these regions have failed, are gone or are evacuated.
     async def run():
         routes = [
             make_route("safe", AllowedRegions=["west"]),
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Token limits of workspaces over all entries."""
+"""Token limits of workspaces that all entries enforce together."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
     return table
 
 
-def fill(table, now_s, tokens=10):
-    """Admits and settles at once until refused; returns the tokens."""
+def use_up_limit(table, now_s, tokens=10):
+    """Admits and settles requests until one is refused; returns the tokens."""
     used = 0
     while True:
         charge = table.admit(TAG, tokens, 0, now_s)
@@ -59,33 +59,35 @@
 
 @pytest.mark.parametrize("seed", [11, 12])
 def test_limit_holds_over_entries_with_one_lost(seed):
-    # A workspace sends three times its limit through eight entries, crowded
-    # on some of them; one is killed and its VM comes back empty. Each minute
-    # it gets its limit within 5%, and a workspace under its limit is refused
-    # no more than one central bucket would refuse it, but for 1%.
+    # A workspace sends three times its limit through eight entries, most of it
+    # through some of them; one entry is killed and its VM restarts without
+    # state. In each minute the workspace gets its limit within 5%. A workspace
+    # below its limit is refused at most 1% more often than by one central
+    # bucket.
     result = experiment.run(seed)
     assert result.ok, result
 
 
 def test_replaced_entry_grants_no_second_burst():
-    # A VM is replaced while its workspace is over the limit. Were the new
-    # process's balance full, each replacement would give the burst again.
+    # A VM is replaced while its workspace exceeds the limit. If the new process
+    # started with a full balance, each replacement would grant the burst again.
     table = make_table(started_s=50.0, peers=[PEER])
     table.admit(TAG, 10, 0, 50.0)
     assert get_balance(table) <= 0
 
 
 def test_new_entry_is_not_charged_for_history():
-    # A new process first hears of a peer that has used the limit for a day.
-    # Charged for that, it would refuse everybody until it had been repaid.
+    # A new process receives the first report of a peer that has used the limit
+    # for a day. If it charged that use, it would refuse all requests until the
+    # debt was repaid.
     table = make_table(peers=[PEER])
     table.apply_report(make_report(8_000_000), 0.5)
     assert get_balance(table) >= 0
 
 
 def test_silent_peer_returning_charges_a_bounded_debt():
-    # Rows of low demand are left out for hours; the next one brings all that
-    # was used meanwhile. Taken whole, it would stop the workspace for hours.
+    # Rows of low demand are omitted for hours; the next row contains all tokens
+    # used meanwhile. Charged in full, they would block the workspace for hours.
     table = make_table(peers=[PEER])
     table.apply_report(make_report(0), 10.0)
     table.apply_report(make_report(40_000, incarnation=1), 11.0)
@@ -93,8 +95,9 @@
 
 
 def test_repeated_and_old_reports_charge_nothing():
-    # A report comes twice, and one of the process before it comes last: a
-    # connection was replaced and the old one still had it.
+    # A report arrives twice, and a report of the peer's previous process
+    # arrives last: the connection was replaced while the old one still carried
+    # that report.
     table = make_table(peers=[PEER])
     table.apply_report(make_report(0, incarnation=2), 10.0)
     table.apply_report(make_report(150, incarnation=2), 10.0)
@@ -106,21 +109,21 @@
 
 
 def test_lost_entry_leaves_its_share_to_the_others():
-    # All demand but a little comes through a peer, which is killed; callers
-    # go to this entry, and within seconds it grants the whole limit.
+    # Almost all demand arrives through a peer, which is killed. The callers
+    # switch to this entry, which has to grant the whole limit within seconds.
     table = make_table(peers=[PEER])
     for tick in range(200):
         now_s = tick / 10
         table.apply_report(make_report(10 * tick, demand=400), now_s)
-        fill(table, now_s)
+        use_up_limit(table, now_s)
     table.set_peers([], 1.0)
-    used = [fill(table, 20 + tick / 10) for tick in range(200)]
+    used = [use_up_limit(table, 20 + tick / 10) for tick in range(200)]
     assert sum(used[100:]) == pytest.approx(1000, rel=0.1)
 
 
 def test_unused_estimate_is_given_back():
-    # A request asks for 5000 tokens and is refused by every upstream: what
-    # it was charged comes back, so the next request is served.
+    # A request asks for 5000 tokens and all upstreams refuse it. The charged
+    # estimate has to be refunded, so that the next request is served.
     table = make_table()
     charge = table.admit(TAG, 5000, 0, 5.0)
     assert table.admit(TAG, 10, 0, 5.0).retry_after_s is not None
@@ -129,10 +132,10 @@
 
 
 def test_lower_classes_are_shed_first():
-    # The workspace's tokens run short: its urgent requests are served from
-    # what the others leave.
+    # The workspace's tokens run short. Its urgent requests are served from the
+    # reserve that the less urgent classes leave.
     table = make_table()
-    fill(table, 5.0)
+    use_up_limit(table, 5.0)
     refused = [
         table.admit(TAG, 1, priority, 5.4).retry_after_s is not None
         for priority in range(4)
@@ -141,7 +144,7 @@
 
 
 def test_retry_after_is_true():
-    # A caller that comes back when it was told to is served.
+    # A caller that retries after the time in `retry_after_s` is served.
     table = make_table()
     charge = table.admit(TAG, 1500, 0, 5.0)
     table.settle(TAG, charge, 1500, 5.0)
@@ -161,8 +164,9 @@
     ("result", "is_proved_not_run", "expected"),
     [
         (Result(VERSION), True, 0),
-        # The caller left while it read: the run is paid for, or leaving
-        # before the end would make every answer free.
+        # The caller disconnects while it reads the answer. The run is charged;
+        # otherwise every answer would be free to a caller that disconnects
+        # before its end.
         (Result(VERSION, attempts=1), False, 64),
         (Result(VERSION, request_id=RequestId("other")), False, 0),
         (
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -1,4 +1,4 @@
-"""Answers on their way to the rater, and what an answer says of itself."""
+"""Delivery of answers to the rater, and what the parser finds in an answer."""
 
 from __future__ import annotations
 
@@ -43,15 +43,15 @@
 )
 
 
-class SilentRater:
-    """Takes answers up to a limit, then is down; rates the first."""
+class FailingRater:
+    """Accepts a number of answers and then fails; rates the first answer."""
 
-    def __init__(self, taken: int) -> None:
-        self._taken = taken
+    def __init__(self, accepted_count: int) -> None:
+        self._accepted_count = accepted_count
         self.posted: list[str] = []
 
     async def post(self, answer: RatedAnswer) -> None:
-        if len(self.posted) >= self._taken:
+        if len(self.posted) >= self._accepted_count:
             raise RaterError("The rater is down.")
         self.posted.append(answer.request_id)
 
@@ -61,14 +61,14 @@
         return RatingPage(2, [Rating("r0", 0.25), Rating("other", 1.0)])
 
 
-class Ratings:
-    """Keeps the ratings that it is given."""
+class RatingRecorder:
+    """Stores the trials and the scores that it receives."""
 
     def __init__(self) -> None:
-        self.seen: list[tuple[Trial, float]] = []
+        self.recorded: list[tuple[Trial, float]] = []
 
     def add_rating(self, trial: Trial, score: float) -> None:
-        self.seen.append((trial, score))
+        self.recorded.append((trial, score))
 
 
 def make_answer(number: int) -> RatedAnswer:
@@ -77,10 +77,13 @@
 
 
 def test_rater_that_is_down_delays_nobody_and_drops_are_counted():
-    # The rater goes down under load. Offering an answer never waits; once
-    # the queue is full further answers are dropped, and the count says so.
+    # The rater becomes unavailable under load. Offering an answer never waits
+    # for the rater; when the queue is full, further answers are dropped, and a
+    # counter counts them.
     async def offer_all() -> QualityService:
-        quality = QualityService(SilentRater(0), Ratings(), Ratings())
+        quality = QualityService(
+            FailingRater(0), RatingRecorder(), RatingRecorder()
+        )
         for number in range(MAX_QUEUED + 7):
             quality.offer(make_answer(number), REQUEST)
         return quality
@@ -92,13 +95,13 @@
 
 def test_rating_reaches_the_roll_out_of_its_request_and_no_other():
     async def run() -> list[tuple[Trial, float]]:
-        ratings = Ratings()
-        quality = QualityService(SilentRater(1), ratings, Ratings())
+        ratings = RatingRecorder()
+        quality = QualityService(FailingRater(1), ratings, RatingRecorder())
         quality.offer(make_answer(0), REQUEST)
         await quality.start()
         await asyncio.sleep(0.1)
         await quality.stop()
-        return ratings.seen
+        return ratings.recorded
 
     assert asyncio.run(run()) == [(TRIAL, 0.25)]
 
@@ -153,9 +156,11 @@
 def test_stopped_version_is_left_out_for_every_workspace():
     document = withdraw_stopped(DOCUMENT, ["large@2"])
     for workspace in DOCUMENT.workspaces:
-        before = get_allowed_versions(DOCUMENT, workspace)
-        after = get_allowed_versions(document, workspace)
-        assert after == [v for v in before if str(v) != "large@2"]
+        allowed_before = get_allowed_versions(DOCUMENT, workspace)
+        allowed_after = get_allowed_versions(document, workspace)
+        assert allowed_after == [
+            v for v in allowed_before if str(v) != "large@2"
+        ]
     assert msgspec.structs.replace(document, versions=[]) == (
         msgspec.structs.replace(DOCUMENT, versions=[])
     )
--- a/tests/test_request_keys_model.py
+++ b/tests/test_request_keys_model.py
@@ -1,4 +1,7 @@
-"""The ledger, the view and the gate under every order of messages."""
+"""State machine test of the key ledger, the member view and the run gate.
+
+Messages may be delivered in any order, repeatedly or not at all.
+"""
 
 from __future__ import annotations
 
@@ -52,7 +55,7 @@
 
 
 class Caller:
-    """One request with the key, through one entry."""
+    """One request with the key, sent through one entry."""
 
     def __init__(self, number, entry):
         self.number, self.entry = number, entry
@@ -313,7 +316,8 @@
 
     @rule(pick=PICK, fault=st.sampled_from(["silent", "killed", "replaced"]))
     def change_view(self, pick, fault):
-        # A silent one may be dead, paused or cut off; it is not known.
+        # A process that does not respond may have ended, be paused or be
+        # disconnected; the other entries can't tell which.
         index = pick % ENTRIES
         member = self.entries[index].id
         if fault != "silent":
@@ -353,7 +357,7 @@
         for sidecar in self.sidecars:
             sidecar.gate.remove_expired(self.now_ms)
 
-    # Promises
+    # Guarantees
 
     @invariant()
     def runs_at_most_once(self):
--- a/tests/test_request_keys_rules.py
+++ b/tests/test_request_keys_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the ledger, the gate and the view, one by one."""
+"""Individual rules of the key ledger, the run gate and the member view."""
 
 from __future__ import annotations
 
@@ -6,8 +6,16 @@
 
 import pytest
 
-from lovagestage.decisions.request_keys import Ledger, PullState, get_minted_ms
-from lovagestage.decisions.run_gate import MAX_ENDED, PERMIT_MS, RunGate
+from lovagestage.decisions.request_keys import (
+    Ledger,
+    PullState,
+    get_uuid7_time_ms,
+)
+from lovagestage.decisions.run_gate import (
+    MAX_ENDED_RUNS,
+    PERMIT_LIFETIME_MS,
+    RunGate,
+)
 from lovagestage.messages.keys import (
     Claim,
     ClaimOutcome,
@@ -40,7 +48,7 @@
     return Claim(view.epoch, "w", key, b"body", run, "m@1", False, **more)
 
 
-def make_alone(max_entries=10, window_s=100.0):
+def make_single_holder(max_entries=10, window_s=100.0):
     view = make_view(("a", "z1"), slots=1)
     ledger = Ledger(MemberId("a", 1), max_entries, window_s, slots=1)
     ledger.apply_view(view)
@@ -55,8 +63,9 @@
 
 
 def test_gate_refuses_a_run_claimed_for_an_earlier_process():
-    # A run is forbidden, the sidecar restarts and has forgotten that. The
-    # forbidden dispatch arrives late and must not run beside its successor.
+    # A run is forbidden, then the sidecar restarts and no longer knows that.
+    # The forbidden dispatch arrives late and must not run beside the run that
+    # replaced it.
     gate = RunGate(incarnation=2)
     assert not gate.may_start(RUN, 1, 0, 0)
     assert gate.inquire(RUN, 1, 0, True, 0) is RunKnown.FORGOTTEN
@@ -65,7 +74,7 @@
 def test_gate_refuses_a_forbidden_run_however_late_it_comes():
     gate = RunGate(1)
     assert gate.inquire(RUN, 1, 500, True, 1000) is RunKnown.FORBIDDEN
-    for now_ms in range(1000, 1000 + 4 * PERMIT_MS, 1000):
+    for now_ms in range(1000, 1000 + 4 * PERMIT_LIFETIME_MS, 1000):
         gate.remove_expired(now_ms)
         assert not gate.may_start(RUN, 1, 500, now_ms)
     assert gate.get_sizes()["forbidden"] == 0
@@ -73,7 +82,7 @@
 
 def test_gate_says_never_only_while_it_remembers_all_later_runs():
     gate = RunGate(1)
-    for number in range(MAX_ENDED + 1):
+    for number in range(MAX_ENDED_RUNS + 1):
         gate.forget((f"r{number}", 1), permit_ms=number + 10)
     assert gate.inquire(("r0", 1), 1, 10, True, 0) is RunKnown.FORGOTTEN
     assert gate.inquire(("r1", 1), 1, 11, True, 0) is RunKnown.FORGOTTEN
@@ -81,9 +90,9 @@
 
 
 def test_copy_refuses_a_claim_of_another_epoch():
-    # The owner was removed and does not know it yet. Its copy has moved on,
-    # and may own the key itself by now: a late confirmation would let both
-    # grant the key.
+    # The owner was removed from the view and does not know it yet. The copy
+    # holder has moved on to the next epoch and may own the key itself by now.
+    # If it still confirmed the claim, both processes could grant the key.
     view = make_view(("a", "z1"), ("b", "z2"), slots=1)
     ledgers = {}
     for member in view.get_holders(0):
@@ -113,9 +122,10 @@
 
 @pytest.mark.parametrize("behind", ["asker", "asked"])
 def test_past_of_a_slot_is_told_only_in_the_same_epoch(behind):
-    # A new holder asks one that has not read of the change yet. That one may
-    # go on granting in the old epoch after it has answered, and the new
-    # holder would think it knew the slot whole: the key would run twice.
+    # A new holder asks a process that has not read of the membership change
+    # yet. That process may continue to grant in the old epoch after its answer,
+    # while the new holder would consider its history of the slot complete: the
+    # key would run twice.
     view, owner, _ = make_pair()
     decide(view, owner, make_claim(view))
     epoch = view.epoch + (1 if behind == "asked" else -1)
@@ -126,9 +136,10 @@
 
 
 def test_earlier_claim_that_comes_late_replaces_no_later_one():
-    # Run 1 of a key is proved not run and run 2 replaces it. The copy gets
-    # the two claims in the wrong order; with the earlier one on top it would
-    # name run 1, which is forbidden, and let the key pass to a third run.
+    # Run 1 of a key is proved not to have run, and run 2 replaces it. The copy
+    # holder receives the two claims in the wrong order. If the earlier claim
+    # replaced the later one, the ledger would name run 1, which is forbidden,
+    # and would grant the key to a third run.
     view, owner, copy = make_pair()
     first = owner.claim(view, make_claim(view), 0.0, 0)
     second = owner.claim(
@@ -147,7 +158,7 @@
 
 
 def test_full_ledger_refuses_new_keys_and_answers_old_ones():
-    view, ledger = make_alone(max_entries=1)
+    view, ledger = make_single_holder(max_entries=1)
     assert decide(view, ledger, make_claim(view)) is ClaimOutcome.GRANTED
     other = make_claim(view, key="other")
     assert decide(view, ledger, other) is ClaimOutcome.FULL
@@ -156,7 +167,7 @@
 
 
 def test_key_is_forgotten_after_the_window():
-    view, ledger = make_alone(window_s=100.0)
+    view, ledger = make_single_holder(window_s=100.0)
     decide(view, ledger, make_claim(view))
     ledger.remove_expired(99.0, 0)
     assert ledger.size == 1
@@ -165,7 +176,7 @@
 
 
 def test_only_the_run_that_holds_the_key_can_be_replaced():
-    view, ledger = make_alone()
+    view, ledger = make_single_holder()
     first, second, third = (make_claim(view, request=r) for r in "123")
     decide(view, ledger, first)
     replaced = make_claim(view, request="2", after=first.run)
@@ -202,9 +213,10 @@
 
 
 def test_history_older_than_the_view_keeps_is_lost():
-    # An entry folds so many changes at once that the view has dropped the
-    # pairs before them; what those granted is not known to anybody.
-    view, ledger = make_alone()
+    # An entry processes so many membership changes together that the view has
+    # dropped the periods before them. No process knows the grants of those
+    # periods.
+    view, ledger = make_single_holder()
     offsets = itertools.count(10)
     for number in range(MAX_PERIODS):
         view.apply(next(offsets), MemberJoined("b", "z2", number + 2, ""))
@@ -223,7 +235,7 @@
     ],
 )
 def test_time_is_read_only_from_uuid_7(key, minted_ms):
-    assert get_minted_ms(key) == minted_ms
+    assert get_uuid7_time_ms(key) == minted_ms
 
 
 @pytest.mark.parametrize(
@@ -235,9 +247,9 @@
     ],
 )
 def test_lost_slot_takes_only_keys_proved_to_be_later(ended, late_ms, outcome):
-    # All holders of a slot are lost at once. A key that carries a later time
-    # was not used with them; while they may only be paused, they could still
-    # grant it, and its time proves nothing.
+    # All holders of a slot are lost together. A key that contains a later time
+    # was not used with these holders. While they may only be paused, they could
+    # still grant the key, and its time proves nothing.
     view = make_view(("a", "z1"), slots=1)
     view.apply(5, MemberRemoved("a", 1, ended=ended))
     view.apply(6, MemberJoined("b", "z2", 1, ""))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retry decisions: safe, bounded, and final answers at once."""
+"""Retry decisions: safe, bounded, and final where a retry can't help."""
 
 from __future__ import annotations
 
@@ -59,17 +59,18 @@
     st.lists(st.tuples(st.floats(0, 2), st.integers(0, 40), st.integers(0, 99)))
 )
 def test_retries_stay_within_their_share(steps):
-    # Upstreams fail everything for a while: whatever the mix, retries are at
-    # most a tenth of the requests, a few a second, and what was saved up.
-    budget, now_s, requests, taken = RetryBudget(0.0), 0.0, 0, 0
+    # All attempts fail for a while. Whatever the mix of requests and failures,
+    # the retries number at most a tenth of the requests, plus a few per second,
+    # plus the accumulated budget.
+    budget, now_s, requests, acquired = RetryBudget(0.0), 0.0, 0, 0
     for pause_s, sent, failed in steps:
         now_s += pause_s
         requests += sent
         for _ in range(sent):
             budget.note_request(now_s)
-        taken += sum(budget.take(now_s) for _ in range(failed))
+        acquired += sum(budget.take(now_s) for _ in range(failed))
         earned = BUDGET_RATIO * requests + BUDGET_MINIMUM_PER_S * now_s
-        assert taken <= BUDGET_LIMIT + earned + 1e-6
+        assert acquired <= BUDGET_LIMIT + earned + 1e-6
 
 
 def test_spent_budget_makes_the_failure_final_with_when_to_come_back():
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of an upstream."""
+"""Choice of an upstream for a request."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def make_view(vm: str, **more) -> UpstreamView:
-    given_values = {
+    defaults = {
         "zone": "z",
         "versions": frozenset(VERSIONS[:2]),
         "running": 0,
@@ -27,7 +27,7 @@
         "max_batch": 16,
         "token_interval_ms": 20.0,
     }
-    return UpstreamView(vm, **(given_values | more))
+    return UpstreamView(vm, **(defaults | more))
 
 
 VIEWS = st.lists(
@@ -43,7 +43,7 @@
 )
 
 
-def get_naive_able(views, version, excluded) -> set:
+def get_eligible(views, version, excluded) -> set:
     return {
         view.vm
         for view in views
@@ -60,16 +60,17 @@
     excluded = frozenset(
         data.draw(st.sets(st.sampled_from([v.vm for v in views] or ["none"])))
     )
-    able = get_naive_able(views, VERSIONS[0], excluded)
+    eligible = get_eligible(views, VERSIONS[0], excluded)
     vm = choose_upstream(views, VERSIONS[0], excluded, random.Random(seed))
-    if not able:
+    if not eligible:
         assert vm is None
         return
-    assert vm in able
+    assert vm in eligible
     by_name = {view.vm: view for view in views}
-    # The views' own order decides between equal turns, here as there.
+    # Equal turns are resolved by the order of the views, in this test as in the
+    # code under test.
     in_turn = min(
-        (view for view in views if view.vm in able),
+        (view for view in views if view.vm in eligible),
         key=lambda view: view.last_sent,
     )
     assert get_wait_ms(by_name[vm]) <= get_wait_ms(in_turn)
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets of an entry: enough followers, balance, few moves, reach."""
+"""Subsets of entries: followers, balance, changes and reachability."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from lovagestage.decisions.subsets import MIN_FOLLOWERS, Place, choose_subset
 
 ENTRIES, SIDECARS, ZONES, SIZE, PEERS = 98, 425, 4, 64, 8
-"""A quarter of the target's VMs; a sidecar has as many followers."""
+"""A quarter of the target number of VMs; a sidecar has as many followers as at
+the full number."""
 
 
 def make_places(role: str, count: int, zones: int) -> list[Place]:
@@ -38,8 +39,10 @@
     st.integers(1, 12),
 )
 def test_each_target_has_its_followers(entries, sidecars, zones, size):
-    # Without the targets' own picks some sidecars had no entry at all: an
-    # upstream that nobody sends work to, or an entry that nobody watches.
+    # Guards against targets that no entry chooses. If the targets were not
+    # assigned to entries as well, some sidecars would have no entry that sends
+    # requests to their upstream, and some entries would have no entry that
+    # observes them.
     places = make_places("entry", entries, zones)
     for targets in (make_places("sidecar", sidecars, zones), places):
         chosen = choose_all(places, targets, size)
@@ -81,16 +84,16 @@
         del before[entries[0].vm]
     else:
         after = choose_all(entries, sidecars[1:], SIZE)
-    opened = sum(len(after[vm] - before[vm]) for vm in before)
-    assert opened < sum(map(len, before.values())) / 50
+    opened_count = sum(len(after[vm] - before[vm]) for vm in before)
+    assert opened_count < sum(map(len, before.values())) / 50
 
 
 def test_a_report_reaches_every_entry_over_the_subsets(entries):
     chosen = choose_all(entries, entries, PEERS)
     for start in (entries[0].vm, entries[-1].vm):
-        reached, fresh = {start}, [start]
-        while fresh:
-            told = set().union(*(chosen[vm] for vm in fresh))
-            fresh = list(told - reached)
-            reached |= told
+        reached, newly_reached = {start}, [start]
+        while newly_reached:
+            receivers = set().union(*(chosen[vm] for vm in newly_reached))
+            newly_reached = list(receivers - reached)
+            reached |= receivers
         assert len(reached) == ENTRIES
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -1,4 +1,4 @@
-"""Requests through upstreams that are cold: within what these bear."""
+"""Requests to upstreams that are warming up stay within their capacity."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from lab.experiments import warmup as experiment
 from lab.worker import answer_plain, reset_connection
 from lovagestage.decisions.warmup import (
-    DEALERS,
-    KEEP_S,
-    MAX_SENT,
+    MAX_SEND_TIMES,
+    SEND_TIME_RETENTION_S,
+    WARMUP_GATEWAYS,
     Gateways,
     Pace,
     WarmupLog,
@@ -59,16 +59,19 @@
 def test_gateways_that_agree_keep_within_the_rate(count):
     paces = get_paces(NAMES[:count])
     assert sum(pace.requests for pace in paces) <= PER_S
-    assert sum(pace.requests > 0 for pace in paces) == min(DEALERS, count)
+    assert sum(pace.requests > 0 for pace in paces) == min(
+        WARMUP_GATEWAYS, count
+    )
 
 
 def test_the_rule_holds_though_a_new_gateway_knows_nobody():
-    # Guards against a gateway that takes itself for the only one of its zone.
-    alone = ZoneDealers().get_pace(
+    # Guards against a gateway that does not know the other gateways of its zone
+    # yet and considers itself the only one.
+    newcomer = ZoneDealers().get_pace(
         make_gateways("10.0.9.9:7000", []), "i-1", "a", PER_S
     )
     others = sum(pace.requests for pace in get_paces(NAMES))
-    assert alone.requests + others <= PER_S * 1.5 + 5
+    assert newcomer.requests + others <= PER_S * 1.5 + 5
 
 
 def test_a_gateway_that_has_just_started_leaves_cold_upstreams_to_others():
@@ -91,7 +94,7 @@
     requests=st.integers(0, 6),
 )
 def test_no_second_holds_more_than_the_pace(gaps_s, delays_s, requests):
-    # Requests are sent a while after they were placed, in any order.
+    # Requests are sent some time after they were placed, in any order.
     log, pace = WarmupLog(), Pace(requests)
     now_s, sent_s, pending = 0.0, [], []
     for gap_s, delay_s in zip(gaps_s, delays_s, strict=False):
@@ -104,8 +107,8 @@
             log.note_placed()
             pending.append(now_s + delay_s)
     for first_s in sent_s:
-        held = sum(first_s <= at_s < first_s + 1.0 for at_s in sent_s)
-        assert held <= requests
+        sent_count = sum(first_s <= at_s < first_s + 1.0 for at_s in sent_s)
+        assert sent_count <= requests
 
 
 def test_what_was_sent_before_it_was_known_to_be_cold_counts():
@@ -127,16 +130,16 @@
 
 
 def make_cold_script(crashes, limit):
-    """A worker that crashes when it gets more than it bears in a second."""
-    started_s = collections.deque()
+    """Makes a worker that crashes if it gets too many requests in a second."""
+    recent_starts_s = collections.deque()
 
     async def answer(arrival, writer):
         now_s = asyncio.get_running_loop().time()
-        started_s.append(now_s)
-        while started_s[0] <= now_s - 1.0:
-            started_s.popleft()
-        if len(started_s) > limit:
-            crashes.append(len(started_s))
+        recent_starts_s.append(now_s)
+        while recent_starts_s[0] <= now_s - 1.0:
+            recent_starts_s.popleft()
+        if len(recent_starts_s) > limit:
+            crashes.append(len(recent_starts_s))
             reset_connection(writer)
             return
         await answer_plain(arrival, writer)
@@ -150,24 +153,25 @@
 ROUTES = [make_route("safe", Public=True)]
 
 
-async def flood(stage, seconds, per_s):
+async def send_burst(stage, seconds, per_s):
     async def call_one(number):
         reply = await stage.call("/safe/x", request_id=f"r{number}")
         return reply.status
 
     loop = asyncio.get_running_loop()
-    began_s = loop.time()
+    started_s = loop.time()
     calls = []
     for number in range(int(seconds * per_s)):
         calls.append(asyncio.ensure_future(call_one(number)))
         await asyncio.sleep(1.0 / per_s)
     statuses = await asyncio.gather(*calls)
-    return statuses, math.ceil(loop.time() - began_s)
+    return statuses, math.ceil(loop.time() - started_s)
 
 
 def test_a_cold_upstream_is_not_felled_by_a_crowd(monkeypatch):
-    # Guards against an empty upstream that all requests run to while it is
-    # cold, so that it crashes, comes back cold, and crashes again.
+    # Guards against an empty upstream that gets all requests while it is
+    # warming up, so that it crashes, restarts, warms up again and crashes
+    # again.
     monkeypatch.setattr(warmups, "SETTLE_S", 0.0)
 
     async def run():
@@ -177,21 +181,22 @@
             await stage.add_worker("w2", script, WarmupLeftMs=3000)
             rotation = stage.gateway.deployment.rotation
             await stage.wait_until(lambda: len(rotation) == 2)
-            statuses, took_s = await flood(stage, 1.5, 60)
+            statuses, took_s = await send_burst(stage, 1.5, 60)
             assert set(statuses) == {200}
             assert crashes == []
             cold = len(stage.workers["w2"].started)
             assert 0 < cold <= 6 * took_s
             await asyncio.sleep(max(0.0, 3.2 - took_s))
-            await flood(stage, 0.5, 60)
+            await send_burst(stage, 0.5, 60)
             assert len(stage.workers["w2"].started) > cold
 
     asyncio.run(run())
 
 
 def test_a_zone_that_is_given_back_is_taken_for_cold(monkeypatch):
-    # Guards against a crowd at upstreams that became cold while their zone
-    # was empty, and whose next heartbeat has not told it yet.
+    # Guards against a burst of requests to upstreams that started to warm up
+    # while their zone was evacuated, and whose next heartbeat has not reported
+    # that yet.
     monkeypatch.setattr(warmups, "SETTLE_S", 0.0)
 
     async def run():
@@ -201,7 +206,7 @@
             await stage.wait_until(lambda: "a" in deployment.evacuations)
             stage.store.put("keyed.op", "evacuate/a", b"")
             await stage.wait_until(lambda: "a" not in deployment.evacuations)
-            statuses, took_s = await flood(stage, 0.8, 60)
+            statuses, took_s = await send_burst(stage, 0.8, 60)
             assert len(stage.workers["w1"].started) <= 6 * took_s
             assert statuses.count(503) > 0
 
@@ -209,8 +214,8 @@
 
 
 def test_dealers_use_more_than_half_and_never_break_the_rule(monkeypatch):
-    # Guards against a rule that holds only while all gateways agree on who
-    # is there: a third have just started and some are gone.
+    # Guards against a rule that holds only while all gateways agree on which
+    # gateways exist: a third of them have just started and some are gone.
     monkeypatch.setattr(experiment, "DAYS", {3: 5, 31: 5})
     result = experiment.run(3)
     assert result.ok
@@ -218,8 +223,9 @@
 
 
 def test_a_cold_upstream_with_room_is_found_among_many_that_are_busy():
-    # Guards against room at cold upstreams that nobody uses: the few gateways
-    # that may send there would compare three of many.
+    # Guards against unused capacity of upstreams that are warming up. The few
+    # gateways that may send to them compare three of many upstreams, and could
+    # miss the one that is warming up.
     rotation = Rotation()
     for number in range(30):
         entry = UpstreamEntry("pool", f"h:{number}", "a", "v1", 8, False)
@@ -240,8 +246,8 @@
     for number in range(5000):
         log.note_placed()
         log.note_sent(number * 0.01)
-    assert len(log._sent_s) < 2 * MAX_SENT
+    assert len(log._send_times_s) < 2 * MAX_SEND_TIMES
     assert not log.has_room(Pace(90), 50.0)
     log.note_placed()
-    log.note_sent(50.0 + 2 * KEEP_S)
-    assert len(log._sent_s) == 1
+    log.note_sent(50.0 + 2 * SEND_TIME_RETENTION_S)
+    assert len(log._send_times_s) == 1
