--- a/src/lovagestage/decisions/evacuation.py
+++ b/src/lovagestage/decisions/evacuation.py
@@ -22,7 +22,7 @@
 
     Attributes:
         offset: Offset of the record in the store.
-        is_standing: Whether the zone is evacuated.
+        is_evacuated: Whether the zone is evacuated.
     """
 
     offset: Offset
--- a/src/lovagestage/decisions/request_keys.py
+++ b/src/lovagestage/decisions/request_keys.py
@@ -45,7 +45,8 @@
     Attributes:
         whole_start: Start of the latest period up to which, and including
             which, `entries` contains every grant of the slot.
-        seen_start: Start of the latest period that the holder has processed.
+        processed_start: Start of the latest period that the holder has
+            processed.
         lost_at_ms: Wall time in milliseconds at which the loss of older entries
             was detected; 0 if no entries were ever lost.
         lost_holders: Holders that knew the lost entries.
@@ -62,7 +63,7 @@
 
 
 class PullState(enum.Enum):
-    """Next action of a holder whose slot history is incomplete."""
+    """Next action of a holder that completes the history of a slot."""
 
     COMPLETE = "whole"
     ASK = "ask"
--- a/src/lovagestage/decisions/warmup.py
+++ b/src/lovagestage/decisions/warmup.py
@@ -22,9 +22,10 @@
 
 WARMUP_GATEWAYS = 3
 """Number of gateways that send to one upstream while it warms up. With several
-of them, one that is down or idle leaves most of the rate usable. Each has a
-third of the rate; since the rule allows over half as much again as the rate, it
-still holds while twice as many gateways consider themselves chosen."""
+of them, one that is down or idle leaves most of the rate usable. Each may use a
+third of the rate. The rule on requests to an upstream allows over half as much
+again as the rate, so it still holds while twice as many gateways consider
+themselves chosen."""
 ASSUMED_GATEWAYS = 32
 """Number of gateways to divide the rate by where gateways can't learn of each
 other."""
--- a/tests/test_billing.py
+++ b/tests/test_billing.py
@@ -203,8 +203,8 @@
 
 async def test_end_of_a_stream_waits_for_its_bill():
     # An entry that is lost immediately after the end of an answer must already
-    # have copied the bill. The last event is therefore withheld until the bill
-    # has been added.
+    # have copied the bill. The last event is therefore withheld until the call
+    # that adds and copies the bill has returned.
     steps: list[object] = []
 
     class Service:
--- a/tests/test_cascade.py
+++ b/tests/test_cascade.py
@@ -217,12 +217,12 @@
 def test_merging_needs_no_order_and_takes_repeats(seed, data):
     deltas = make_deltas(random.Random(seed))
     shuffled = [*data.draw(st.permutations(deltas)), *deltas[:5]]
-    in_order, shuffled_order = Learned(VmId("a"), 1), Learned(VmId("b"), 1)
+    ordered_merge, shuffled_merge = Learned(VmId("a"), 1), Learned(VmId("b"), 1)
     for delta in deltas:
-        in_order.merge(delta)
+        ordered_merge.merge(delta)
     for delta in shuffled:
-        shuffled_order.merge(delta)
-    first, second = in_order.get_sums(), shuffled_order.get_sums()
+        shuffled_merge.merge(delta)
+    first, second = ordered_merge.get_sums(), shuffled_merge.get_sums()
     assert first.keys() == second.keys()
     for arm, counter in first.items():
         assert msgspec.structs.astuple(counter) == pytest.approx(
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -84,7 +84,8 @@
     test = PairedTest(0.1, Direction.ABOVE, restarts=False)
     for _ in range(10):  # Initialises the old mean; no bets yet.
         test.add(False, 0.5)
-    test._learn = lambda value: None  # The naive product fixes the mean.
+    # The naive product keeps its estimate of the old mean.
+    test._update_old_mean = lambda value: None
     test._get_bet_sizes = lambda: (1, 1)
     for old, new in pairs:
         test.add(False, old)
