--- a/src/lovagestage/decisions/billing.py
+++ b/src/lovagestage/decisions/billing.py
@@ -29,6 +29,7 @@
 """Number of bytes that are reserved for each open request; see
 `BillingLedger.reserve`."""
 MAX_COPY_RECORDS = 500
+"""Maximum number of bills in one message of `make_missing_copy`."""
 HOLD_TIMEOUT_S = 5.0
 """Seconds after which the holder takes copies over if their owner has not
 renewed them. The owner renews its copies every second; an owner that was only
--- a/src/lovagestage/decisions/cascade.py
+++ b/src/lovagestage/decisions/cascade.py
@@ -45,7 +45,9 @@
 MAX_SHARES = 3
 """Maximum number of plans among which the requests of one level are divided."""
 BASE_PROMPT_BYTES = 128
+"""Prompt length in bytes from which each doubling adds a difficulty level."""
 MAX_DIFFICULTY = 7
+"""Highest difficulty level; all longer prompts have this level too."""
 MIN_LEFT_RATIO = 2.0
 """A second answer is requested only if the time left before the deadline is at
 least this multiple of the time that the first answer took."""
--- a/src/lovagestage/decisions/crash_suspects.py
+++ b/src/lovagestage/decisions/crash_suspects.py
@@ -22,13 +22,19 @@
 from lovagestage.types import Fingerprint, WorkspaceId
 
 STRIKES_TO_PROBE = 2
+"""Number of strikes from which a request runs only as a probe."""
 MAX_UPSTREAMS_LOST = STRIKES_TO_PROBE + 1
 """Number of upstreams that one request crashes if it is sent repeatedly, over
 all entries that receive each other's reports."""
 SUSPECT_RETENTION_S = 600.0
+"""Seconds after its last report for which a suspect is retained."""
 CONVICTION_RETENTION_S = 3_600.0
+"""Seconds for which a conviction is retained."""
 PROBE_TIMEOUT_S = 120.0
+"""Seconds after which a new probe may start if the end of the last probe was
+not reported."""
 MAX_SUSPECTS = 10_000
+"""Maximum number of suspects in the table of one entry."""
 
 
 class Admission(enum.Enum):
@@ -70,14 +76,14 @@
     def __len__(self) -> int:
         return len(self._suspects)
 
-    def get_strikes(self, name: Fingerprint, now_s: float) -> int:
+    def get_strikes(self, fingerprint: Fingerprint, now_s: float) -> int:
         """Returns the number of crashes at which the request was in flight."""
-        suspect = self._get(name, now_s)
+        suspect = self._get(fingerprint, now_s)
         return len(suspect.strikes) if suspect else 0
 
-    def admit(self, name: Fingerprint, now_s: float) -> Admission:
+    def admit(self, fingerprint: Fingerprint, now_s: float) -> Admission:
         """Returns how the request may run now."""
-        suspect = self._get(name, now_s)
+        suspect = self._get(fingerprint, now_s)
         if suspect is None:
             return Admission.FREE
         if suspect.convicted:
@@ -89,18 +95,20 @@
         return Admission.PROBE
 
     def start_probe(
-        self, name: Fingerprint, run: str, now_s: float
+        self, fingerprint: Fingerprint, run: str, now_s: float
     ) -> CrashReport:
         """Records a probe; returns the report for the other entries."""
-        return self._apply_own_report(CrashReportKind.PROBE, name, run, now_s)
+        return self._apply_own_report(
+            CrashReportKind.PROBE, fingerprint, run, now_s
+        )
 
     def add_crash(
-        self, name: Fingerprint, run: str, probe: bool, now_s: float
+        self, fingerprint: Fingerprint, run: str, probe: bool, now_s: float
     ) -> CrashReport:
         """Records that an upstream crashed while it ran the request.
 
         Args:
-            name: Fingerprint of the request.
+            fingerprint: Fingerprint of the request.
             run: Id of the attempt, so that a report that arrives twice counts
                 once.
             probe: Whether the request ran as a probe.
@@ -110,10 +118,10 @@
             The report for the other entries.
         """
         kind = CrashReportKind.CONVICTED if probe else CrashReportKind.STRIKE
-        return self._apply_own_report(kind, name, run, now_s)
+        return self._apply_own_report(kind, fingerprint, run, now_s)
 
     def add_end(
-        self, name: Fingerprint, run: str, answered: bool, now_s: float
+        self, fingerprint: Fingerprint, run: str, answered: bool, now_s: float
     ) -> CrashReport | None:
         """Records the end of a run without a crash.
 
@@ -123,29 +131,29 @@
             The report for the other entries; None if the request is no suspect
             or nothing changes.
         """
-        suspect = self._get(name, now_s)
+        suspect = self._get(fingerprint, now_s)
         if suspect is None:
             return None
         if answered:
             return self._apply_own_report(
-                CrashReportKind.CLEARED, name, run, now_s
+                CrashReportKind.CLEARED, fingerprint, run, now_s
             )
         if suspect.probe == run:
             return self._apply_own_report(
-                CrashReportKind.PROBE_ENDED, name, run, now_s
+                CrashReportKind.PROBE_ENDED, fingerprint, run, now_s
             )
         return None
 
     def apply(self, report: CrashReport, now_s: float) -> None:
         """Applies a report of this or another entry; repeats have no effect."""
-        name = report.fingerprint
-        suspect = self._get(name, now_s)
+        fingerprint = report.fingerprint
+        suspect = self._get(fingerprint, now_s)
         if report.kind is CrashReportKind.CLEARED:
             if suspect is not None and not suspect.convicted:
-                del self._suspects[name]
+                del self._suspects[fingerprint]
             return
         if suspect is None:
-            suspect = self._add(name, now_s)
+            suspect = self._add(fingerprint, now_s)
         suspect.expires_s = max(suspect.expires_s, now_s + SUSPECT_RETENTION_S)
         match report.kind:
             case CrashReportKind.STRIKE:
@@ -162,20 +170,24 @@
                 suspect.expires_s = now_s + CONVICTION_RETENTION_S
 
     def _apply_own_report(
-        self, kind: CrashReportKind, name: Fingerprint, run: str, now_s: float
+        self,
+        kind: CrashReportKind,
+        fingerprint: Fingerprint,
+        run: str,
+        now_s: float,
     ) -> CrashReport:
-        report = CrashReport(kind, name, run)
+        report = CrashReport(kind, fingerprint, run)
         self.apply(report, now_s)
         return report
 
-    def _get(self, name: Fingerprint, now_s: float) -> _Suspect | None:
-        suspect = self._suspects.get(name)
+    def _get(self, fingerprint: Fingerprint, now_s: float) -> _Suspect | None:
+        suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.expires_s <= now_s:
-            del self._suspects[name]
+            del self._suspects[fingerprint]
             return None
         return suspect
 
-    def _add(self, name: Fingerprint, now_s: float) -> _Suspect:
+    def _add(self, fingerprint: Fingerprint, now_s: float) -> _Suspect:
         if len(self._suspects) >= MAX_SUSPECTS:
             evicted = min(
                 self._suspects,
@@ -185,5 +197,7 @@
                 ),
             )
             del self._suspects[evicted]
-        self._suspects[name] = _Suspect(expires_s=now_s + SUSPECT_RETENTION_S)
-        return self._suspects[name]
+        self._suspects[fingerprint] = _Suspect(
+            expires_s=now_s + SUSPECT_RETENTION_S
+        )
+        return self._suspects[fingerprint]
--- a/src/lovagestage/decisions/exposure.py
+++ b/src/lovagestage/decisions/exposure.py
@@ -103,7 +103,7 @@
         self.step = 0
         self.stop_reason: StopReason | None = None
         self.exposed = 0
-        self.ceiling = 1.0
+        self.max_share = 1.0
         self._entries = max(1, entries)
         self._vm = vm
         self._incarnation = incarnation
@@ -125,14 +125,14 @@
 
     def get_share(self) -> float:
         """Returns the share of requests that go to the new version now."""
-        if self.stop_reason is not None or self.is_held():
+        if self.stop_reason is not None or self.is_budget_spent():
             return 0.0
         if self.spec.state is RolloutState.ABORTED:
             return 0.0
         share = self.spec.steps[min(self.step, len(self.spec.steps) - 1)]
-        return min(share, self.ceiling, 1.0 - HOLDBACK_SHARE)
+        return min(share, self.max_share, 1.0 - HOLDBACK_SHARE)
 
-    def is_held(self) -> bool:
+    def is_budget_spent(self) -> bool:
         """Returns whether the step's budget is spent and evidence is due."""
         if self.step >= len(self.spec.steps):
             return False
@@ -190,7 +190,7 @@
         self._step_started_s = now_s
         return True
 
-    def follow(self, step: int, ceiling: float) -> None:
+    def follow(self, step: int, max_share: float) -> None:
         """Applies the recorded step in place of the decision of `advance`.
 
         All entries apply the same record, so that the share is the same at each
@@ -199,9 +199,9 @@
 
         Args:
             step: Index into the steps; the number of steps if all have passed.
-            ceiling: Largest share that the record allows.
+            max_share: Largest share that the record allows.
         """
-        self.ceiling = ceiling
+        self.max_share = max_share
         if step != self.step:
             self._enter_step(step)
 
--- a/src/lovagestage/decisions/homes.py
+++ b/src/lovagestage/decisions/homes.py
@@ -31,12 +31,13 @@
     return restricted[0].intersection(*restricted[1:])
 
 
-def is_home(region: RegionId | None, homes: Homes | None) -> bool:
+def is_home(region: RegionId | None, allowed_regions: Homes | None) -> bool:
     """Returns whether a request may run in a region.
 
     Args:
         region: The region; None if it is not known, which no set of allowed
             regions contains.
-        homes: Regions in which the request may run; None for any region.
+        allowed_regions: Regions in which the request may run; None for any
+            region.
     """
-    return homes is None or region in homes
+    return allowed_regions is None or region in allowed_regions
--- a/src/lovagestage/decisions/limits.py
+++ b/src/lovagestage/decisions/limits.py
@@ -29,6 +29,8 @@
 MEAN_WEIGHT = 0.05
 """Weight of the latest answer in the mean number of tokens per answer."""
 DEMAND_TIME_CONSTANT_S = 3.0
+"""Time constant in seconds with which the measured demand decays; the length of
+a report cycle is used if it is longer."""
 SHARE_TIME_CYCLES = 2.0
 """Time constant, in report cycles, with which the share of an entry moves to
 its target. Without it, an entry that has not yet received a report of other
@@ -38,20 +40,26 @@
 """Time, in report cycles, over which the balance is corrected. It is longer
 than the reports take; otherwise the corrections would overshoot."""
 MAX_CUT_RATIO = 0.5
+"""Maximum correction that reduces the refill, as a fraction of the limit."""
 MAX_RAISE_RATIO = 1.0
+"""Maximum correction that increases the refill, as a fraction of the limit."""
 MAX_DEBT_S = 20.0
 """Maximum debt, in seconds of the limit. A wrong count can't hold a workspace
 back for longer than this."""
 STALE_CYCLES = 3.0
+"""Report cycles after which the demand in a peer's last report is ignored."""
 PEER_RETENTION_S = 600.0
+"""Seconds after which a peer's last report is dropped."""
 FLOOR_RATIO = 0.02
 """Minimum demand that is assumed of each entry, as a fraction of its even
 share."""
 MIN_BURST_S = 1.0
+"""Minimum depth of the fleet's bucket, in seconds of the limit."""
 CLASS_RESERVE_RATIO = 0.15
 """Fraction of the bucket that a class leaves to each class that is more
 urgent."""
 MAX_CLASS_STEPS = 3
+"""Maximum number of more urgent classes for which a class leaves a reserve."""
 BORROW_THRESHOLD_RATIO = 0.1
 """Minimum balance, as a fraction of the fleet's bucket, at which an entry may
 borrow."""
@@ -62,6 +70,7 @@
 """Demand below this fraction of an even share is not reported: if the demand at
 all entries were as low, the workspace would be far below its limit."""
 MAX_RETRY_AFTER_S = 60
+"""Maximum number of seconds after which a refused caller is told to retry."""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/lovagestage/decisions/plain_calls.py
+++ b/src/lovagestage/decisions/plain_calls.py
@@ -24,8 +24,8 @@
 HEADER_WORKSPACE = "X-Workspace"
 HEADER_REQUEST_ID = "X-Request-Id"
 POOL_MODEL = ModelId("pool:")
-"""Prefix of a pool's name in the version under which calls are routed. No model
-version has this name, since the name of a model contains no colon."""
+"""Model name in the versions that stand for pools when calls are routed. No
+model has this name, since the name of a model contains no colon."""
 
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 """Methods without side effects (RFC 9110, 9.2.1), which may be repeated on any
--- a/src/lovagestage/decisions/request_keys.py
+++ b/src/lovagestage/decisions/request_keys.py
@@ -30,7 +30,10 @@
 from lovagestage.types import Offset, WorkspaceId
 
 NEVER_COMPLETE = Offset(-1)
+"""Value of `whole_start` for a slot whose history was never complete."""
 _PERIODS_MISSED = Offset(-2)
+"""Value of `processed_start` after periods were missed. It differs from any
+`whole_start`, so that the slot does not count as complete."""
 CALLER_CLOCK_MARGIN_MS = 60_000
 """Greatest error in milliseconds that is assumed of a caller's clock when its
 key contains a time."""
--- a/src/lovagestage/decisions/retries.py
+++ b/src/lovagestage/decisions/retries.py
@@ -16,15 +16,24 @@
 from lovagestage.types import RunState
 
 MAX_ATTEMPTS = 4
+"""Maximum number of attempts per request, including the first one."""
 BACKOFF_BASE_S = 0.05
+"""Maximum wait in seconds after the first attempt; it doubles with each
+attempt."""
 MAX_BACKOFF_S = 1.0
+"""Upper limit in seconds of the wait between two attempts."""
 BUDGET_RATIO = 0.1
+"""Number of retries that each request adds to the budget."""
 BUDGET_MINIMUM_PER_S = 5.0
+"""Number of retries per second that the budget earns regardless of requests."""
 BUDGET_LIMIT = 128.0
 """Maximum number of retries that may accumulate. The loss of one upstream fails
 all of its running requests simultaneously, and these are to be retried."""
-COME_BACK_S = 1
+RETRY_AFTER_S = 1
+"""Seconds after which a caller is told to retry a failed request."""
 PROBE_WAIT_S = 0.1
+"""Mean wait in seconds before a request that waits for a probe is tried
+again."""
 
 _FINAL = (
     DeadlineExceededError,
@@ -173,5 +182,5 @@
     is_final = isinstance(error, _FINAL)
     may_retry = error.run is RunState.NOT_RUN or failure.repeatable
     if error.retry_after_s is None and may_retry and not is_final:
-        error.retry_after_s = COME_BACK_S
+        error.retry_after_s = RETRY_AFTER_S
     return error
--- a/src/lovagestage/decisions/sessions.py
+++ b/src/lovagestage/decisions/sessions.py
@@ -40,6 +40,8 @@
 HEADER_MOVED_FROM = "X-Session-Moved-From"
 METADATA_SESSION = "session"
 MAX_TOKEN_CHARS = 1024
+"""Maximum length of a token in characters; longer tokens are rejected without
+decoding."""
 _SALT = "lovagestage.session.1"
 """Separates these signatures from signatures by the same keys for other
 uses."""
--- a/src/lovagestage/decisions/warmup.py
+++ b/src/lovagestage/decisions/warmup.py
@@ -67,6 +67,7 @@
 
 
 NOTHING = Pace(0)
+"""Limit of a gateway that may not send to the upstream."""
 
 
 @dataclasses.dataclass(frozen=True)
