--- a/src/lovagestage/decisions/learned.py
+++ b/src/lovagestage/decisions/learned.py
@@ -3,9 +3,9 @@
 Each entry increments only its own counters, one for each time window. Counters
 only grow, so the larger of two copies is the later one, and merging is
 commutative, associative and idempotent (a state-based CRDT, Shapiro et al.
-2011). No process holds a counter that the others can't have, and the next
-message with the same counter makes up for a lost one. Old windows are dropped,
-so that the estimates follow drift.
+2011). Every process obtains the counters of all others, and the next message
+with the same counter makes up for a lost one. Old windows are dropped, so that
+the estimates follow drift.
 """
 
 from __future__ import annotations
