--- a/src/lovagestage/decisions/deadlines.py
+++ b/src/lovagestage/decisions/deadlines.py
@@ -92,7 +92,12 @@
         return True
 
     def take(self, now_s: float) -> Deferred | None:
-        """Returns the request to start now; None if no slot is free."""
+        """Marks the next request as running and returns it.
+
+        Returns:
+            The request to start now; None if no request waits or no slot is
+            free.
+        """
         if not self._waiting or len(self._running) >= self._spec.slots:
             return None
         request = self._waiting.pop(0)
--- a/src/lovagestage/decisions/sessions.py
+++ b/src/lovagestage/decisions/sessions.py
@@ -132,7 +132,7 @@
 
     Raises:
         itsdangerous.BadSignature: The encoding of the signature is not
-        canonical.
+            canonical.
     """
     signature = token.rpartition(".")[2].encode()
     if (
@@ -188,6 +188,7 @@
         the name for which a version has to be chosen.
 
     Raises:
+        SessionInvalidError: The session contains no valid version.
         SessionVersionConflictError: The request names another version.
         SessionVersionWithdrawnError: The version is withdrawn, and either the
             service ends its sessions with it or no version is left to move to.
