--- a/src/lovagestage/decisions/exposure.py
+++ b/src/lovagestage/decisions/exposure.py
@@ -125,14 +125,14 @@
 
     def get_share(self) -> float:
         """Returns the share of requests that go to the new version now."""
-        if self.stop_reason is not None or self.is_budget_spent():
+        if self.stop_reason is not None or self.is_held():
             return 0.0
         if self.spec.state is RolloutState.ABORTED:
             return 0.0
         share = self.spec.steps[min(self.step, len(self.spec.steps) - 1)]
         return min(share, self.max_share, 1.0 - HOLDBACK_SHARE)
 
-    def is_budget_spent(self) -> bool:
+    def is_held(self) -> bool:
         """Returns whether the step's budget is spent and evidence is due."""
         if self.step >= len(self.spec.steps):
             return False
--- a/src/lovagestage/decisions/retries.py
+++ b/src/lovagestage/decisions/retries.py
@@ -29,7 +29,7 @@
 BUDGET_LIMIT = 128.0
 """Maximum number of retries that may accumulate. The loss of one upstream fails
 all of its running requests simultaneously, and these are to be retried."""
-RETRY_AFTER_S = 1
+COME_BACK_S = 1
 """Seconds after which a caller is told to retry a failed request."""
 PROBE_WAIT_S = 0.1
 """Mean wait in seconds before a request that waits for a probe is tried
@@ -182,5 +182,5 @@
     is_final = isinstance(error, _FINAL)
     may_retry = error.run is RunState.NOT_RUN or failure.repeatable
     if error.retry_after_s is None and may_retry and not is_final:
-        error.retry_after_s = RETRY_AFTER_S
+        error.retry_after_s = COME_BACK_S
     return error
