--- a/src/lovagestage/gateway/admission.py
+++ b/src/lovagestage/gateway/admission.py
@@ -1,4 +1,4 @@
-"""What a request may do before it is sent anywhere."""
+"""Decides whether a request is admitted, before it is sent to any upstream."""
 
 from __future__ import annotations
 
@@ -17,24 +17,27 @@
 from lovagestage.types import ServiceId
 
 COME_BACK_S = 0.4
-"""When a refused caller should come back: long enough for a retry at another
-gateway's upstreams, within a third of the shortest deadline."""
+"""Time in seconds after which a refused caller should send its request again:
+long enough for a retry by way of another gateway's upstreams, and within a
+third of the shortest deadline."""
 DEADLINE_MARGIN_S = 0.06
-"""An answer leaves this much before the caller's deadline to reach it."""
+"""Time in seconds between the end of the gateway's work and the caller's
+deadline, so that the answer still reaches the caller in time."""
 MAX_PRIORITY = 9
 
 
 @dataclasses.dataclass(frozen=True)
 class Admitted:
-    """A request that may run.
+    """A request that the gateway has admitted.
 
     Attributes:
-        request: What the caller sent.
-        route: Its route.
-        service: The service that it goes to.
-        workspace: Whose key it bears; None on public routes.
-        deadline_s: Loop time by which it must have its answer.
-        config_version: Configuration that allowed it.
+        request: The request as the caller sent it.
+        route: The route that the request matched.
+        service: The service to which the request is sent.
+        workspace: The workspace of the request's API key; None on public
+            routes.
+        deadline_s: Loop time by which the request must be answered.
+        config_version: Version of the configuration that admitted the request.
     """
 
     request: CallerRequest
@@ -46,7 +49,7 @@
 
     @property
     def priority(self) -> int:
-        """Rank among requests of the same upstream, 0 for first."""
+        """Rank among requests of the same upstream, 0 for the most urgent."""
         workspace = self.workspace
         if workspace is not None and workspace.priority is not None:
             return min(MAX_PRIORITY, max(0, workspace.priority))
@@ -54,14 +57,14 @@
 
     @property
     def homes(self) -> Homes | None:
-        """Regions where it may run; None for any."""
+        """Regions where the request may run; None for any region."""
         workspace = self.workspace
         return get_common_homes(
             self.route.homes, None if workspace is None else workspace.homes
         )
 
     def get_left_s(self, now_s: float) -> float:
-        """Time until the deadline."""
+        """Returns the time in seconds until the request's deadline."""
         return self.deadline_s - now_s
 
 
@@ -71,16 +74,21 @@
     trust: Trust,
     now_s: float,
 ) -> Admitted:
-    """Finds the route and checks the key.
+    """Finds the request's route and checks its API key.
 
     Args:
         request: The request.
-        configuration: What is in force; None before the first is known.
-        trust: Whether keys may be relied on.
-        now_s: Elapsed time.
+        configuration: The configuration in force; None before the first one is
+            known.
+        trust: Freshness of the configuration, which says whether its API keys
+            may still be used.
+        now_s: Elapsed time in seconds.
+
+    Returns:
+        The admitted request, with its service and deadline.
 
     Raises:
-        GatewayRefusalError: It may not run, or not now.
+        GatewayRefusalError: The request may not run, or not at the moment.
     """
     if configuration is None:
         raise GatewayRefusalError(503, "no_configuration", COME_BACK_S)
@@ -88,7 +96,8 @@
         raise GatewayRefusalError(503, "configuration_superseded", COME_BACK_S)
     route = configuration.get_route(request.host, request.path)
     if route is None:
-        # An old configuration may lack a route that a newer one has.
+        # An outdated configuration may lack a route that a newer one has, so
+        # "no route" is final only while the configuration is fresh.
         _check_trust(trust, now_s)
         raise GatewayRefusalError(404, "no_route")
     workspace = None
--- a/src/lovagestage/gateway/attempts.py
+++ b/src/lovagestage/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one request: which may follow, and what may be said."""
+"""Attempts of one request: which may follow, and how the request is refused."""
 
 from __future__ import annotations
 
@@ -22,13 +22,14 @@
 _log = logging.getLogger(__name__)
 
 MAX_REFUSALS = 3
-"""Upstreams that may refuse a request before its caller is told to come back:
-with three of them full the next one most likely is, too."""
+"""Upstreams that may refuse a request before its caller is asked to retry
+later: where three upstreams are full, the next one most likely is, too."""
 MANY_UPSTREAMS = 100
-"""The least wait is looked for among this many at most: a gauge of the load
-needs no more, and each answer's head asks for it."""
+"""Most upstreams among which the shortest queue is searched: a load gauge
+needs no more of them, and the search is made for the head of each answer."""
 MIN_LEFT_S = 0.05
-"""Time that must be left for another attempt to be of use."""
+"""Time in seconds that must be left until the deadline for another attempt to
+be of use."""
 
 
 class Attempts:
@@ -36,27 +37,35 @@
 
     Args:
         admitted: The request.
-        deployment: What is in force.
-        budget: Repeats of the service's requests.
+        deployment: Configuration, upstreams and roll-outs in force.
+        budget: Retry budget of the request's service.
         zone: The gateway's availability zone.
         rng: Source of randomness.
 
     Attributes:
         admitted: The request.
-        assignment: Version that its session is on.
-        sent: Attempts made.
-        runs: Attempts that may have run.
-        tried: Upstreams in the order of attempts.
-        waits_s: Expected wait at each of them when it was chosen.
-        work_s: Time that the last attempt takes of its upstream by itself.
-        extra_s: What that one had to do first, beyond what such a request
-            takes as a rule: the expected wait, and reading a new subject.
-        is_cached: Whether that one has most likely read the subject before.
-        model: Model of the last attempt; None where none is named.
-        first_event_s: Time from the request's head to its first event.
-        begun_s: Time from the request's head to its first attempt.
-        connect_s: Time that the last answer's connection took to open.
-        head_s: Time from sending the request to the head of that answer.
+        assignment: Version to which the request's session is assigned.
+        sent: Number of attempts made.
+        runs: Number of attempts that may have run at an upstream.
+        tried: Upstreams in the order of the attempts.
+        waits_s: Expected queue time in seconds at each tried upstream when it
+            was chosen.
+        work_s: Time in seconds for which the last attempt by itself occupies
+            its upstream.
+        extra_s: Time in seconds that the last attempt's upstream needs beyond
+            that of a request whose shared prompt prefix is cached: the
+            expected queue time, and the prefill of an uncached prefix.
+        is_cached: Whether the last attempt's upstream has most likely cached
+            the shared prompt prefix.
+        model: Model of the last attempt; None where the request names no
+            model.
+        first_event_s: Time in seconds from the request's head to its first
+            event.
+        begun_s: Time in seconds from the request's head to its first attempt.
+        connect_s: Time in seconds for which the connection of the last answer
+            took to open.
+        head_s: Time in seconds from sending the request to the head of the
+            last answer.
     """
 
     def __init__(
@@ -91,23 +100,23 @@
 
     @functools.cached_property
     def fingerprint(self) -> Fingerprint:
-        """Names the request whatever its id."""
+        """Hash of the request's workspace, path and body, without its id."""
         return make_fingerprint(self.admitted)
 
     @property
     def run_name(self) -> str:
-        """Names the last attempt."""
+        """Name of the last attempt: the request's id and attempt number."""
         return f"{self.admitted.request.id}/{self.sent}"
 
     @property
     def left_s(self) -> float:
-        """Time until the request's deadline."""
+        """Time in seconds until the request's deadline."""
         now_s = asyncio.get_running_loop().time()
         return self.admitted.get_left_s(now_s)
 
     @property
     def left_ratio(self) -> float:
-        """Part of the request's time that is left."""
+        """Share of the request's time budget that is left."""
         request = self.admitted.request
         total_s = self.admitted.deadline_s - request.arrived_s
         return self.left_s / max(0.001, total_s)
@@ -115,8 +124,15 @@
     def choose(self, work: choice.Work) -> Upstream:
         """Chooses the next upstream and counts the attempt.
 
+        Args:
+            work: Time that the attempt takes of an upstream, and its shared
+                prefix.
+
+        Returns:
+            The chosen upstream.
+
         Raises:
-            GatewayRefusalError: None is left.
+            GatewayRefusalError: No upstream is left for the request.
         """
         placement = self._place(work)
         if placement is None:
@@ -138,7 +154,7 @@
         return upstream
 
     def _get_missing_reason(self) -> str:
-        """Names why no upstream is left."""
+        """Returns the name of the reason why no upstream is left."""
         admitted, deployment = self.admitted, self._deployment
         at_home = deployment.get_ready(admitted.service, admitted.homes)
         if not at_home and deployment.get_ready(admitted.service, None):
@@ -172,12 +188,15 @@
         return None
 
     def _get_groups(self) -> Iterator[Sequence[Upstream]]:
-        """Upstreams by version, in the order in which they are asked.
+        """Yields upstreams by version, in the order in which they are tried.
 
-        A session goes to others of its version before it changes that.
+        A session is sent to other upstreams of its version before it changes
+        the version.
         """
         if self._has_new_failed:
-            # That speaks against the version, not the upstream.
+            # A failed answer of the new version is a sign against the version
+            # rather than against the upstream, so other versions are tried
+            # first.
             yield self._get_others()
         yield self._get_own()
         if self._has_new_failed:
@@ -197,7 +216,12 @@
         return deployment.get_open(others, get_elapsed_s())
 
     def get_least_wait_s(self) -> float:
-        """Expected wait at the least busy upstream of the request's version."""
+        """Returns the shortest queue time among the version's upstreams.
+
+        Where the version has many upstreams, a random sample of them is
+        searched. The time is the expected one in seconds, and 0 where the
+        version has no upstream.
+        """
         own = self._get_own()
         if len(own) > MANY_UPSTREAMS:
             own = self._rng.sample(own, MANY_UPSTREAMS)
@@ -213,11 +237,18 @@
     def note_failure(
         self, upstream: Upstream, error: AttemptFailedError
     ) -> None:
-        """Takes an attempt's failure into account.
+        """Records the failure of an attempt.
+
+        An attempt that reached no upstream counts neither as a retry nor as a
+        sign that upstreams are full: after the crash of several upstreams,
+        each request may find a few of them gone before it reaches a running
+        one.
 
-        One that reached no upstream is no repeat to anyone, nor a sign that
-        upstreams are full: after the crash of several, each request may find
-        a few of them gone before it finds one that is there.
+        Args:
+            upstream: The upstream of the attempt; it gets no further attempt
+                of this request.
+            error: How the attempt failed, and whether the request may have
+                run.
         """
         self._excluded.add(upstream.id)
         if error.run is RunState.NOT_RUN:
@@ -228,23 +259,33 @@
             self._budget.give_back()
 
     def note_head(self, connect_s: float, head_s: float) -> None:
-        """Takes how long the last attempt took to be answered."""
+        """Records how long the last attempt took until its answer began.
+
+        Args:
+            connect_s: Time in seconds until the connection was open.
+            head_s: Time in seconds from sending the request to the answer's
+                head.
+        """
         self.connect_s, self.head_s = connect_s, head_s
 
     def take_back(self) -> None:
-        """Uncounts an attempt that was not made."""
+        """Removes the last attempt from the counts, since it was not made."""
         self.sent -= 1
         self.runs -= 1
         self.tried.pop()
         self.waits_s.pop()
 
     def note_failed_answer(self, upstream: Upstream) -> None:
-        """Takes a failure that the upstream answered with into account."""
+        """Records that the upstream's answer reported a failure.
+
+        The upstream gets no further attempt of this request. An answer of the
+        new version of a roll-out also counts against that version.
+        """
         self._excluded.add(upstream.id)
         self._has_new_failed |= self.assignment.is_new
 
     def has_other(self) -> bool:
-        """Whether there is an upstream that has not failed this request."""
+        """Returns whether an upstream is left that has not yet failed it."""
         return any(
             upstream.id not in self._excluded
             for upstreams in self._get_groups()
@@ -252,10 +293,10 @@
         )
 
     def may_repeat(self) -> bool:
-        """Whether another attempt is allowed, and takes it from the budget.
+        """Returns whether a retry is allowed, and takes it from the budget.
 
-        After an attempt that may have run, only what may run again may be
-        sent again, and no more often than its route allows.
+        After an attempt that may have run, only a request that may run more
+        than once is sent again, and no more often than its route allows.
         """
         route = self.admitted.route
         if self.left_s < MIN_LEFT_S or self._refusals >= MAX_REFUSALS:
@@ -277,7 +318,11 @@
         return False
 
     def may_escalate(self) -> bool:
-        """Whether a larger model may be asked; takes it from the budget."""
+        """Returns whether a larger model may be asked, and takes a retry.
+
+        The retry comes from the budget; what the budget reserves for failed
+        requests is left to them.
+        """
         route = self.admitted.route
         if self.runs >= route.max_attempts or not route.is_repeatable:
             return False
@@ -286,13 +331,18 @@
     def make_refusal(
         self, reason: str, comes_back: bool = True
     ) -> GatewayRefusalError:
-        """The final answer of a request that has none from an upstream.
+        """Makes the final error of a request that no upstream has answered.
 
-        Only where no attempt can have run does it say so.
+        The error says that the request was not run (status 503) only where no
+        attempt can have run.
 
         Args:
             reason: Stable name of the reason.
-            comes_back: Whether another try could help.
+            comes_back: Whether a retry by the caller could help.
+
+        Returns:
+            The refusal: 503 where no attempt can have run, 504 where too
+                little time is left until the deadline, 502 otherwise.
         """
         if self.runs == 0:
             retry_after_s = COME_BACK_S if comes_back else None
--- a/src/lovagestage/gateway/beliefs.py
+++ b/src/lovagestage/gateway/beliefs.py
@@ -1,4 +1,4 @@
-"""Turns what the store holds into what the gateway believes."""
+"""Applies records of the store to the gateway's state view."""
 
 from __future__ import annotations
 
@@ -25,20 +25,23 @@
 _log = logging.getLogger(__name__)
 
 AWAY_MEMORY_S = 2.0
-"""A removal is taken for a lapse for so long after the store was out of reach:
-entries that lapsed meanwhile are written again within about this time."""
+"""Time in seconds after an outage of the store during which the removal of an
+entry is taken for an expiry: upstreams whose entries expired while the store
+was unavailable write them again within about this time."""
 
 MAX_REFUSED = 256
-"""Keys of refused entries that are remembered so that each is logged once."""
+"""Most keys of refused entries that are remembered so that each refusal is
+logged once."""
 
 
 class OperatorBeliefs:
-    """Takes configurations, roll-out orders and evacuations of zones.
+    """Applies configurations, roll-out orders and evacuations of zones.
 
     Args:
-        deployment: What is in force.
-        on_order: Called with each new order.
-        on_configuration: Called with version and bytes of each configuration.
+        deployment: The state that the records are applied to.
+        on_order: Called with each new roll-out order and its offset.
+        on_configuration: Called with the version and the bytes of each
+            configuration.
     """
 
     def __init__(
@@ -52,7 +55,10 @@
         self._on_configuration = on_configuration
 
     def on_newest(self, page: Page) -> None:
-        """Takes the newest record of each key; what has none was removed."""
+        """Applies the newest record of each key.
+
+        An evacuation without a record in the list has ended.
+        """
         self.on_records(page)
         standing = {
             zone: Offset(record.offset)
@@ -66,7 +72,7 @@
             self._note_evacuation(zone, is_standing, page.end)
 
     def on_records(self, page: Page) -> None:
-        """Takes records in order."""
+        """Applies records in order; logs a record that cannot be decoded."""
         for record in page.records:
             try:
                 self._apply(record)
@@ -77,11 +83,23 @@
                 )
 
     def on_proof(self, at_s: float) -> None:
-        """Renews the trust in the configuration."""
+        """Records a freshness check of the configuration.
+
+        Args:
+            at_s: Elapsed time in seconds at which no newer configuration
+                existed.
+        """
         self._deployment.trust.note_proof(at_s)
 
     def on_news(self, at_s: float) -> None:
-        """Ends the trust in the configuration, if it takes too long."""
+        """Records an update notification: a newer configuration exists.
+
+        The configuration in force counts as superseded if the newer one takes
+        too long to arrive.
+
+        Args:
+            at_s: Elapsed time in seconds of the notification.
+        """
         self._deployment.trust.note_news(at_s)
 
     def _apply(self, record: Record) -> None:
@@ -133,17 +151,20 @@
 
 
 class EntrySource(Protocol):
-    """Where the upstreams' entries come from."""
+    """The feed from which the upstreams' entries are read."""
 
     def get_lost_age_s(self, now_s: float) -> float | None:
-        """Time since it was last out of reach; None for never."""
+        """Returns the seconds since the store was last out of reach, or None.
+
+        None means that the store was never out of reach.
+        """
 
 
 class UpstreamBeliefs:
-    """Takes the upstreams' entries.
+    """Applies the upstreams' entries to the rotation.
 
     Args:
-        deployment: What is in force.
+        deployment: The state that the entries are applied to.
     """
 
     def __init__(self, deployment: Deployment) -> None:
@@ -152,11 +173,11 @@
         self._refused: dict[InstanceId, str] = {}
 
     def set_source(self, source: EntrySource) -> None:
-        """Names the feed that reads the entries; called once."""
+        """Sets the feed that reads the entries; called once."""
         self._source = source
 
     def on_newest(self, page: Page) -> None:
-        """Takes the newest entry of each upstream."""
+        """Applies the newest entry of each upstream; others were removed."""
         now_s = get_elapsed_s()
         entries = [
             (name, entry, offset)
@@ -168,17 +189,17 @@
         )
 
     def on_records(self, page: Page) -> None:
-        """Takes entries and removals in order."""
+        """Applies entries and removals in order."""
         now_s = get_elapsed_s()
         rotation, was_away = self._deployment.rotation, self._was_away(now_s)
         for name, entry, offset in self._decode(page.records):
             rotation.apply(name, entry, offset, now_s, was_away)
 
     def on_proof(self, at_s: float) -> None:
-        """Nothing depends on the age of the upstreams' list alone."""
+        """Ignores freshness checks, which matter only to configurations."""
 
     def on_news(self, at_s: float) -> None:
-        """Nor on the age of what is missing from it."""
+        """Ignores update notifications, which matter only to configurations."""
 
     def _was_away(self, now_s: float) -> bool:
         assert self._source is not None
@@ -199,10 +220,11 @@
             yield name, entry, record.offset
 
     def _note_refused(self, name: InstanceId, reason: str, offset: int) -> None:
-        """Logs an entry that names no upstream, once for each reason.
+        """Logs an entry that cannot be decoded, once for each key and reason.
 
-        It counts as ended: what stood under its key has been overwritten, and
-        an upstream that is there writes again with its next heartbeat.
+        The upstream counts as removed: its previous entry has been
+        overwritten, and an upstream that is running writes a valid entry with
+        its next heartbeat.
         """
         if self._refused.get(name) == reason:
             return
--- a/src/lovagestage/gateway/cascades.py
+++ b/src/lovagestage/gateway/cascades.py
@@ -1,8 +1,8 @@
 """Which model answers, and when a larger one is asked: pure decisions.
 
-The router leaves the choice of a model to confidence: the smallest model
-answers first, and where it doubts its own answer the largest is asked before
-the caller has had any of it.
+The choice of a model follows the confidence that a model reports for its own
+answer: the smallest model answers first, and where its confidence is low the
+largest model is asked before the caller has received any part of the answer.
 """
 
 from __future__ import annotations
@@ -13,20 +13,36 @@
 from lovagestage.gateway.messages import ANY_MODEL, CallerRequest
 
 DOUBT_CONFIDENCE = 55.0
-"""Below this confidence a larger model is asked while there is room."""
+"""Confidence, from 0 to 100, below which a larger model is asked while the
+upstreams are idle."""
 BUSY_DOUBT_CONFIDENCE = 0.0
-"""The same where upstreams are full: a larger model takes ten times a small
-one's time there, and a late answer is worth less than a poorer one."""
+"""Confidence, from 0 to 100, below which a larger model is asked while the
+upstreams are full. A larger model then takes ten times a small one's time, and
+a late answer is worth less than a poorer one, so no answer is escalated at a
+value of 0."""
 TYPICAL_TOKENS = 2_400
-"""Prompt for which the limit falls as named above. What a better answer is
-worth grows more slowly than what it takes of an upstream, about as the root
-of its length over the kinds of the deployments, so long prompts yield first."""
+"""Prompt length in tokens at which the confidence limit falls with the load
+exactly as the two constants above say. The value of a better answer grows more
+slowly with the prompt's length than the upstream's time for it, about as the
+square root of the length over the kinds of requests of the deployments, so
+long prompts stop being escalated first."""
 MIN_LEFT_RATIO = 0.3
-"""Part of the request's time that must be left for another model."""
+"""Share of the request's time budget that must be left for an escalation to
+another model."""
 
 
 def get_first_model(route: Route, request: CallerRequest) -> str | None:
-    """The model to ask first; None to pass on what the caller named."""
+    """Returns the model to ask first.
+
+    Args:
+        route: The route, with the models that may answer.
+        request: The request, with the model that the caller named.
+
+    Returns:
+        The smallest model of the route where the caller leaves the choice to
+            the gateway; otherwise the model that the caller named, None for
+            none.
+    """
     if request.model != ANY_MODEL or not route.models:
         return request.model
     return route.models[0]
@@ -40,15 +56,16 @@
     pressure: float,
     left_ratio: float,
 ) -> str | None:
-    """The model to ask in place of one that doubts its answer.
+    """Returns the model to ask in place of one with low confidence.
 
     Args:
         route: The route.
         model: Model that answered.
-        confidence: Its opinion of its answer, 0 to 100.
-        prompt_tokens: Length of the prompt; 0 if unknown.
-        pressure: Load of the upstreams, 0 for idle to 1 for full.
-        left_ratio: Part of the request's time that is left.
+        confidence: The model's confidence in its answer, 0 to 100; None where
+            it reported none.
+        prompt_tokens: Length of the prompt in tokens; 0 if unknown.
+        load: Load of the upstreams, 0 for idle to 1 for full.
+        left_ratio: Share of the request's time budget that is left.
 
     Returns:
         The larger model; None to keep the answer.
--- a/src/lovagestage/gateway/choice.py
+++ b/src/lovagestage/gateway/choice.py
@@ -12,25 +12,30 @@
 from lovagestage.types import InstanceId, ZoneId
 
 SAMPLE = 3
-"""Upstreams that are compared. What others have waiting is known late; if all
-gateways chose the best of all, they would run to the same one (Mitzenmacher
-2000, "How Useful Is Old Information?")."""
+"""Number of random upstreams that are compared for an attempt. The queues of
+other gateways are known only with a delay; if all gateways chose the best
+upstream of all, they would all choose the same one (Mitzenmacher 2000, "How
+Useful Is Old Information?")."""
 
 READING_WEIGHT = 3.0
-"""How much reading that a kept subject spares counts against waiting. Reading
-it again takes an upstream's time from all that wait there and from those that
-come meanwhile, a wait only that of the request itself; and what others have
-waiting is known late and only about."""
+"""Weight of the prefill time that a cached prompt prefix saves, relative to
+queue time. A repeated prefill takes the upstream's time from all requests that
+wait there and from those that arrive meanwhile, while queue time delays only
+the request itself; besides, the queues of other gateways are known only with a
+delay and approximately."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Work:
-    """What an attempt asks of an upstream.
+    """Time that an attempt takes of an upstream.
 
     Attributes:
-        fresh_s: Time that it takes of an upstream by itself.
-        cached_s: The same where the subject has been read before.
-        subject: What its prompt shares with others; None for none.
+        fresh_s: Time in seconds for which the attempt by itself occupies an
+            upstream that has not cached the shared prompt prefix.
+        cached_s: Time in seconds for which it occupies an upstream that has
+            cached the prefix.
+        subject: Key of the prompt prefix that the request shares with others;
+            None for none.
     """
 
     fresh_s: float
@@ -40,12 +45,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Placement:
-    """Where an attempt goes.
+    """The upstream chosen for an attempt.
 
     Attributes:
         upstream: The upstream.
-        is_cached: Whether it has most likely read the subject before.
-        work_s: Time that the attempt takes of it by itself.
+        is_cached: Whether the upstream has most likely cached the shared
+            prompt prefix.
+        work_s: Time in seconds for which the attempt by itself occupies the
+            upstream.
     """
 
     upstream: Upstream
@@ -62,23 +69,26 @@
     rng: random.Random,
     cold: Sequence[Upstream] = (),
 ) -> Placement | None:
-    """Chooses an upstream.
+    """Chooses the upstream of an attempt.
 
-    All gateways expect a subject to have been read at the same upstream, the
-    one that it is hashed to. Another one is taken where the wait there is
-    shorter by more than some times what reading the subject again takes.
+    All gateways expect a shared prompt prefix to be cached at the same
+    upstream, to which the prefix is hashed. A request is sent to another
+    upstream where the queue there is shorter by more than `PREFILL_WEIGHT`
+    times the prefill of the prefix.
 
     Args:
-        upstreams: Those that take requests of the version.
-        excluded: Those that already failed or refused this request.
-        work: What the attempt asks.
+        upstreams: Upstreams that take requests of the version.
+        excluded: Upstreams that have already failed or refused this request.
+        work: Time that the attempt takes of an upstream, and its shared
+            prefix.
         zone: The gateway's availability zone.
-        now_s: Elapsed time.
+        now_s: Elapsed time in seconds.
         rng: Source of randomness.
-        cold: Those of them that are cold and have room.
+        cold: Upstreams out of `upstreams` that are warming up and may get
+            another request from this gateway.
 
     Returns:
-        Where the attempt goes; None where all are excluded.
+        The chosen upstream; None where all upstreams are excluded.
     """
     if work.subject is None:
         good = _get_good(upstreams, excluded, now_s)
@@ -91,18 +101,21 @@
     if likely is None:
         return None
     if not all(_is_good(u, excluded, now_s) for u in (likely, *sample)):
-        # Seldom, so that thousands need not be looked at for each request.
+        # This path is rare, so that the gateway does not go through thousands
+        # of upstreams for each request.
         good = _get_good(upstreams, excluded, now_s)
         likely = get_home(good, work.subject)
         if likely is None:
             return None
         sample = rng.sample(good, min(SAMPLE, len(good)))
-    # Few gateways may send to a cold one, and seldom would it be among those.
+    # Few gateways may send requests to an upstream that is warming up, and a
+    # random sample would rarely contain it, so such upstreams are always
+    # compared.
     able = (u for u in cold if _is_good(u, excluded, now_s))
     sample += [u for u in (likely, *able) if u not in sample]
     best = min(sample, key=lambda u: _get_wait_s(u, work, u is likely, rng))
-    # One that has just started is preferred all the same: what it reads now
-    # the next request of the subject finds there.
+    # An upstream that has just started is preferred nevertheless: the prefix
+    # that it prefills now is cached for the next request with the same prefix.
     is_cached = best is likely and likely.has_likely_read(work.subject)
     return Placement(
         best, is_cached, work.cached_s if is_cached else work.fresh_s
@@ -125,14 +138,21 @@
     excluded: Collection[InstanceId],
     now_s: float,
 ) -> list[Upstream]:
-    """Those not excluded, without the worse ones where there are better."""
+    """Returns the usable upstreams that are not excluded.
+
+    Suspect upstreams are omitted where others are left, and so are those with
+    grey failures.
+    """
     able = [u for u in upstreams if u.id not in excluded]
     sound = [u for u in able if not u.performance.is_suspect(now_s)] or able
     return [u for u in sound if not u.performance.is_grey()] or sound
 
 
 def get_home(upstreams: Sequence[Upstream], subject: str) -> Upstream | None:
-    """The upstream that a subject is hashed to; the same at all gateways."""
+    """Returns the upstream to which a prompt prefix is hashed.
+
+    All gateways with the same list of upstreams get the same result.
+    """
     seed = xxhash.xxh3_64_intdigest(subject.encode())
     return max(upstreams, key=lambda u: u.get_rank(seed), default=None)
 
@@ -140,11 +160,13 @@
 def _get_place_cost(
     upstream: Upstream, zone: ZoneId, rng: random.Random
 ) -> tuple[float, bool, float]:
-    """Ranks upstreams that work on as many requests as they have places.
+    """Ranks upstreams for requests without a shared prompt prefix.
 
-    Requests of the other gateways count as well: of many gateways each has
-    none under way most of the time, and by its own alone every one of them
-    would send requests to an upstream that answers none.
+    Such an upstream works on as many requests at once as it has slots.
+    Requests of the other gateways count as well: where there are many
+    gateways, each has no request running most of the time, and if each counted
+    its own requests alone, all of them would send requests to an upstream that
+    answers none.
     """
     performance = upstream.performance
     filled_s = performance.get_wait_s() / max(1, upstream.entry.slots)
@@ -158,7 +180,7 @@
 def _get_wait_s(
     upstream: Upstream, work: Work, is_likely: bool, rng: random.Random
 ) -> tuple[float, float]:
-    """Ranks upstreams that read one prompt after another."""
+    """Ranks upstreams for prompts that are prefilled one after another."""
     performance = upstream.performance
     own_s = work.fresh_s
     if is_likely:
--- a/src/lovagestage/gateway/configuration.py
+++ b/src/lovagestage/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""What operators configure: routes, services, workspaces and limits."""
+"""Operators' configuration: routes, services, workspaces and limits."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated."""
+    """Whether requests of a route may be retried after they may have run."""
 
     SAFE = "safe"
-    """May run more than once."""
+    """A request may run more than once."""
     UNSAFE = "unsafe"
-    """May run once at most."""
+    """A request may run at most once."""
     STREAM = "stream"
-    """Answers with events; may run again only where it can be resumed."""
+    """The answer is a stream of events; a request may run again only where the
+    stream can be resumed."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Backend:
-    """A service that gets a part of a route's requests."""
+    """A service that receives a share of a route's requests."""
 
     service: ServiceId
     weight: float
@@ -34,24 +35,26 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """Where requests of a host and path prefix go.
+    """Settings of the requests to one host and path prefix.
 
     Attributes:
-        name: Its name.
-        host: Host that it belongs to, in lower case.
-        prefix: Prefix of its paths; begins and ends with a slash.
-        kind: What may be repeated.
-        timeout_s: A request is answered within this.
-        aim_s: An answer in this time earns its full value.
-        gap_s: Longest pause between events that is on time.
-        max_attempts: Upstreams that may run one request.
-        priority: 0 is most urgent.
-        is_public: Needs no key.
-        is_resumable: A stream can go on at another upstream.
-        models: Models that may answer, smallest first; empty where the
-            caller names one.
-        backends: Services that it leads to.
-        homes: Regions where its requests may run; None for any.
+        name: Name of the route.
+        host: Host that the route belongs to, in lower case.
+        prefix: Prefix of the route's paths; begins and ends with a slash.
+        kind: Whether requests may be retried after they may have run.
+        timeout_s: Time limit in seconds within which a request is answered.
+        aim_s: Target latency in seconds: an answer within this time has its
+            full value.
+        gap_s: Longest interval in seconds between two events of a stream that
+            is still on time.
+        max_attempts: Most upstreams that may run one request.
+        priority: Rank of the requests; 0 is the most urgent.
+        is_public: Whether requests need no API key.
+        is_resumable: Whether a stream can be resumed at another upstream.
+        models: Models that may answer, smallest first; empty where the caller
+            names the model.
+        backends: Services that the route's requests are sent to, by weight.
+        homes: Regions where the route's requests may run; None for any region.
     """
 
     name: str
@@ -79,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClientLimits:
-    """What callers may send and how long they may take."""
+    """Limits on the size and the duration of callers' requests."""
 
     head_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -89,12 +92,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class WorkspaceEntry:
-    """A workspace as a key leads to it.
+    """The workspace that an API key belongs to.
 
     Attributes:
-        name: Its name.
-        priority: Rank of its requests; None for that of their routes.
-        homes: Regions where they may run; None for any.
+        name: Name of the workspace.
+        priority: Rank of the workspace's requests; None for the rank of their
+            routes.
+        homes: Regions where the workspace's requests may run; None for any
+            region.
     """
 
     name: WorkspaceId
@@ -103,15 +108,15 @@
 
 
 class Configuration:
-    """One version of all that operators configure.
+    """One version of the operators' whole configuration.
 
     Args:
-        version: Grows with each change.
+        version: Version number; it grows with each change.
         routes: All routes.
-        limits: What callers may send.
-        keys: Workspace by key; None where callers need no keys.
-        warmups: What upstreams bear after their start, of services whose
-            upstreams are cold then; None for no service.
+        limits: Limits on callers' requests.
+        keys: Workspace by API key; None where callers need no keys.
+        warmups: Warm-up of upstreams after their start, for services whose
+            upstreams need one; None for no service.
     """
 
     def __init__(
@@ -132,7 +137,15 @@
         return len(self._routes)
 
     def get_route(self, host: str, path: str) -> Route | None:
-        """The route of that host with the longest prefix of the path."""
+        """Returns the host's route with the longest prefix of the path.
+
+        Args:
+            host: Host of the request, in any case.
+            path: Path of the request.
+
+        Returns:
+            The route; None where no route of the host matches.
+        """
         host = host.lower()
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
@@ -143,11 +156,15 @@
 
 
 def choose_backend(route: Route, seed: str) -> ServiceId | None:
-    """Chooses by weight; the same for the same seed at each gateway.
+    """Chooses a service by weight; each gateway chooses the same for a seed.
 
     Args:
         route: The route.
-        seed: The request's session, or its id where it has none.
+        seed: The request's session, or the request's id where it has no
+            session.
+
+    Returns:
+        The service; None where no backend has a weight above 0.
     """
     total = sum(backend.weight for backend in route.backends)
     if total <= 0.0:
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of the deployment that it serves."""
+"""A gateway's state view of the deployment that it serves."""
 
 from __future__ import annotations
 
@@ -30,18 +30,19 @@
     """Configuration, upstreams and roll-outs in force.
 
     Args:
-        trust: Age of the configuration's last proof.
-        pins: Versions that sessions are on.
-        warmup_guard: Says which cold upstreams may get a request; None where
-            upstreams bear all from their start.
+        trust: Freshness of the configuration.
+        pins: Versions that sessions were last answered by.
+        warmup_guard: Decides which upstreams that are warming up may get a
+            request; None where upstreams handle their full load from the
+            start.
 
     Attributes:
-        configuration: The newest one; None before the first.
-        trust: Age of its last proof.
-        rotation: Upstreams.
-        rollouts: The last order of each service.
-        pins: Versions that sessions are on.
-        evacuations: Availability zones whose upstreams get nothing.
+        configuration: The newest configuration; None before the first one.
+        trust: Freshness of the configuration.
+        rotation: All known upstreams and their states.
+        rollouts: The last roll-out order of each service.
+        pins: Versions that sessions were last answered by.
+        evacuations: Availability zones whose upstreams get no requests.
         regions: Region of each availability zone.
     """
 
@@ -61,9 +62,10 @@
         self._warmup_guard = warmup_guard
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Takes a configuration; an older one than known is ignored.
+        """Applies a configuration, unless a newer or the same one is known.
 
-        A read that shows the past must not bring back what was taken away.
+        A stale read of the store must not restore routes or keys that were
+        removed.
         """
         known = self.configuration
         if known is not None and configuration.version <= known.version:
@@ -81,11 +83,16 @@
     def get_ready(
         self, service: ServiceId, homes: Homes | None
     ) -> list[Upstream]:
-        """Upstreams of a service to which requests may be sent.
+        """Returns the upstreams of a service to which requests may be sent.
 
         Args:
             service: The service.
-            homes: Regions where the requests may run; None for any.
+            allowed_regions: Regions where the requests may run; None for any
+                region.
+
+        Returns:
+            The upstreams that are ready and lie neither in an evacuated
+                availability zone nor outside the allowed regions.
         """
         ready = self.rotation.get_ready(service)
         if homes is None and not len(self.evacuations):
@@ -98,16 +105,20 @@
         ]
 
     def get_warmup(self, service: ServiceId) -> Warmup | None:
-        """What upstreams of a service bear after their start."""
+        """Returns the warm-up of a service's upstreams; None for no warm-up."""
         if self.configuration is None:
             return None
         return self.configuration.warmups.get(service)
 
     def note_given_back(self, zone: ZoneId, now_s: float) -> None:
-        """Takes that a zone is no longer to be empty.
+        """Marks a restored zone's upstreams as warming up.
+
+        Its upstreams may have begun to warm up shortly before, and report that
+        only with their next heartbeat.
 
-        Its upstreams may have become cold shortly before, and tell it only
-        with their next heartbeat.
+        Args:
+            zone: Availability zone that is no longer evacuated.
+            now_s: Elapsed time in seconds.
         """
         for upstream in self.rotation.get_all():
             warmup = self.get_warmup(upstream.entry.service)
@@ -117,7 +128,7 @@
     def get_cold(
         self, upstreams: Sequence[Upstream], now_s: float
     ) -> Sequence[Upstream]:
-        """Those that are cold."""
+        """Returns those of the upstreams that are warming up."""
         if now_s >= self.rotation.cold_until_s:
             return ()
         return [u for u in upstreams if u.warmup.is_cold(now_s)]
@@ -125,7 +136,11 @@
     def get_open(
         self, upstreams: Sequence[Upstream], now_s: float
     ) -> Sequence[Upstream]:
-        """Those that are warm, or may get one more request from here."""
+        """Returns the upstreams that may get a request from this gateway now.
+
+        An upstream that is warming up is included only while this gateway may
+        send it another request.
+        """
         guard = self._warmup_guard
         if guard is None or now_s >= self.rotation.cold_until_s:
             return upstreams
@@ -144,14 +159,18 @@
         now_s: float,
         homes: Homes | None = None,
     ) -> Assignment:
-        """Chooses the version that a request's session is on.
+        """Chooses the version that a request's session is assigned to.
 
         Args:
             service: The service.
-            session: The session; None for a request by itself.
+            session: The session; None for a request without a session.
             request: Id of the request.
-            now_s: Elapsed time.
-            homes: Regions where the request may run; None for any.
+            now_s: Elapsed time in seconds.
+            allowed_regions: Regions where the request may run; None for any
+                region.
+
+        Returns:
+            The version, and whether it is the new version of a roll-out.
         """
         rollout = self.rollouts.get(service)
         versions: list[VersionId] = []
@@ -176,7 +195,11 @@
         now_s: float,
         homes: Homes | None = None,
     ) -> list[Upstream]:
-        """Upstreams that take requests of an assignment."""
+        """Returns the upstreams that take requests of an assignment.
+
+        The new version of a roll-out gets its share on a few trial upstreams,
+        unless all ready upstreams are of that version.
+        """
         own = self.get_version_upstreams(service, assignment, homes)
         rollout = self.rollouts.get(service)
         if rollout is None or not assignment.is_new:
@@ -194,7 +217,7 @@
         assignment: Assignment,
         homes: Homes | None = None,
     ) -> list[Upstream]:
-        """Upstreams of an assignment's version, on trial or not."""
+        """Returns all upstreams of an assignment's version, on trial or not."""
         ready = self.get_ready(service, homes)
         if assignment.version is None:
             return ready
@@ -206,10 +229,11 @@
         assignment: Assignment,
         homes: Homes | None = None,
     ) -> list[Upstream]:
-        """Upstreams for a request that its own version can't answer.
+        """Returns upstreams for a request that its own version cannot answer.
 
-        While a roll-out runs, the other version still serves; afterwards a
-        version that lost may be gone or bad.
+        While a roll-out runs, upstreams of the other version still serve
+        requests; once it is decided, the version that was given up may be gone
+        or faulty.
         """
         rollout = self.rollouts.get(service)
         if rollout is None or assignment.version is None:
--- a/src/lovagestage/gateway/latency.py
+++ b/src/lovagestage/gateway/latency.py
@@ -1,29 +1,33 @@
-"""How long answers take, and what that says of load and of versions."""
+"""How long answers take, and what their times show of load and versions."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 
 MEAN_GAIN = 0.1
-"""Weight of the newest value: about the last ten answers count."""
+"""Weight of the newest value in a running mean: about the last ten answers
+count."""
 MIN_SAMPLES = 8
-"""Answers before a mean is used to call another one slow."""
+"""Answers that a mean must include before an answer is compared with it and
+called slow."""
 SLOW_RATIO = 3.0
-"""An answer that takes so many times the mean is slow; queueing on a busy
-day doubles times, faulty versions are several times slower."""
+"""Multiple of the mean time above which an answer is slow; queueing on a busy
+day doubles times, while faulty versions are several times slower."""
 SLOW_EXTRA_S = 0.15
-"""And at least so much longer: short answers vary by more than a factor."""
+"""Time in seconds by which an answer must also exceed the mean to be slow: the
+times of short answers vary by more than a factor."""
 IDLE_AIM_RATIO = 0.1
-"""Part of the aim that first events take where nothing waits."""
+"""Share of the target latency that first events take where no request waits."""
 FULL_AIM_RATIO = 0.65
-"""Part of the aim at which prompts of typical length get no larger model any
-more: the slowest answers are late by then."""
+"""Share of the target latency from which prompts of typical length are no
+longer escalated to a larger model: by then the slowest answers are late."""
 
 
 UNKNOWN_S = 0.1
-"""Time that an answer is expected to take while too little is known, about
-what one takes where nothing waits. After a start the first requests would
-otherwise count as no load at all, and all be sent to one upstream."""
+"""Time in seconds that an answer is expected to take while too few answers are
+known, about the time of an answer at an idle upstream. Without this value the
+first requests after a start would count as no load, and all of them would be
+sent to one upstream."""
 
 
 class _Mean:
@@ -38,17 +42,17 @@
 
 
 class LatencyTable:
-    """Mean times by kind of answer."""
+    """Running means of answer times by kind of answer."""
 
     def __init__(self) -> None:
         self._means: dict[Hashable, _Mean] = {}
 
     def add(self, kind: Hashable, time_s: float) -> None:
-        """Takes the time of one answer."""
+        """Adds the time in seconds of one answer to the mean of its kind."""
         self._means.setdefault(kind, _Mean()).add(time_s)
 
     def get(self, kind: Hashable) -> float | None:
-        """The mean; None while too little is known."""
+        """Returns the mean time in seconds; None while it has few samples."""
         mean = self._means.get(kind)
         if mean is None or mean.samples < MIN_SAMPLES:
             return None
@@ -57,14 +61,16 @@
     def is_slow(
         self, kind: Hashable, time_s: float, extra_s: float = 0.0
     ) -> bool:
-        """Whether an answer took several times as long as others do.
+        """Returns whether an answer took several times as long as the mean.
 
         Args:
             kind: Kind of the answer.
-            time_s: How long it took.
-            extra_s: What its upstream had to do before. A good new version on
-                trial is full and has read no prompt yet: against the mean of
-                the old one alone it would be taken for slow, and reverted.
+            time_s: Time in seconds that the answer took.
+            extra_s: Time in seconds that the answer's upstream needed before,
+                for its queue and the prefill. A good new version on trial is
+                fully loaded and has no prompt prefix cached yet: compared with
+                the old version's mean alone, it would be taken for slow and
+                reverted.
         """
         mean_s = self.get(kind)
         if mean_s is None:
@@ -74,27 +80,35 @@
 
 
 class LoadGauge:
-    """How full the upstreams are, by how long first events take.
+    """Load of the upstreams, from the time that first events take.
 
-    What a gateway has sent says little, since others send to the same
-    upstreams; the time until an answer begins shows the load of all.
+    A gateway's own requests tell little of the load, since other gateways send
+    to the same upstreams; the time until an answer begins shows the load from
+    all gateways.
     """
 
     def __init__(self) -> None:
         self._mean = _Mean()
 
     def add(self, time_s: float, aim_s: float) -> None:
-        """Takes the time of one first event."""
+        """Records one first event.
+
+        Args:
+            time_s: Time in seconds until the event.
+            target_latency_s: Target latency of the route in seconds.
+        """
         self._mean.add(time_s / aim_s)
 
     def get_pressure(self, wait_s: float, aim_s: float) -> float:
-        """0 where nothing waits, 1 where answers are about to be late.
+        """Returns the load, from 0 for idle to 1 for answers about to be late.
 
         Args:
-            wait_s: Expected wait at the upstream that is least busy. Answers
-                show a load only once they begin; in the first second of a
-                burst, or of a process, this alone tells of it.
-            aim_s: Time within which an answer should begin.
+            wait_s: Expected queue time in seconds at the least busy upstream.
+                Answer times show a load only once answers begin; in the first
+                second of a burst, or of the process, the queue time alone
+                shows it.
+            target_latency_s: Time in seconds within which an answer should
+                begin.
         """
         span = FULL_AIM_RATIO - IDLE_AIM_RATIO
         ratio = max(self._mean.value, wait_s / aim_s)
--- a/src/lovagestage/gateway/performance.py
+++ b/src/lovagestage/gateway/performance.py
@@ -1,47 +1,55 @@
-"""What one gateway saw of one upstream."""
+"""Load, health and speed of one upstream, as one gateway observes them."""
 
 from __future__ import annotations
 
 from lovagestage.gateway.silence import Silence
 
 SUSPECT_BASE_S = 0.5
-"""First time for which an upstream that failed is left out: as long as a
-restarting process takes at least."""
+"""Time in seconds for which an upstream is excluded after its first failure:
+the shortest time that a process takes to restart."""
 SUSPECT_LIMIT_S = 4.0
-"""Longest such time; a request then finds out whether it is back."""
+"""Longest time in seconds for which an upstream is excluded after failures;
+after it, a request probes whether the upstream has recovered."""
 TRIAL_S = 0.5
-"""Others stay away from an upstream so long while a request tries it: until a
-connection that does not open has failed. One that hangs later, in a long queue
-or for a lost answer, keeps them away no longer."""
+"""Time in seconds for which an upstream gets no other requests while one
+request probes it: long enough for an attempt to open a connection to fail. A
+probe that hangs later, in a long queue or since its answer was lost, excludes
+the upstream no longer than this."""
 SLOW_CONNECT_S = 0.1
-"""A connection that takes longer to open is a sign that its VM is dark: over
-ten times what it takes between zones, a quarter of its time limit."""
+"""Time in seconds after which a connection that is still not open is a sign
+that the upstream's VM does not respond: over ten times what a connection
+between zones takes, and a quarter of the connection's time limit."""
 FAILURE_GAIN = 0.15
-"""Weight of the newest answer in the failure ratio: the last seven count for
-two thirds."""
+"""Weight of the newest answer in the failure ratio: the last seven answers
+count for two thirds of the ratio."""
 GREY_RATIO = 0.3
-"""Over this failure ratio an upstream is taken only where others are worse.
-Above the rate of a service whose own faults fail one answer in seven."""
+"""Failure ratio above which an upstream is chosen only where no better one is
+left. It lies above the rate of a service whose own faults fail one answer in
+seven."""
 RUNNING_S = 0.01
-"""What each running request adds to the wait: its tokens are made between
-those of others."""
+"""Time in seconds that each running request adds to the expected queue time:
+its tokens are generated between those of other requests."""
 SPEED_GAIN = 0.1
-"""Weight of the newest answer in the speed."""
+"""Weight of the newest answer in the slowness."""
 SPEED_LIMIT = 10.0
-"""Slowest speed that is told apart: a slower upstream is left out anyway."""
+"""Largest ratio of an answer's time to the expected time that counts in the
+slowness: a slower upstream is excluded anyway."""
 
 
 class Performance:
-    """Load, health and speed of an upstream as this gateway sees it.
+    """Load, health and speed of an upstream as this gateway observes them.
 
     Attributes:
-        running: Requests of this gateway that are there.
-        waiting_s: Time that those without an answer yet are expected to take.
-        waiting_elsewhere_s: The same of other gateways' requests, as they
-            told it last.
-        slowness: Time of its answers, as a multiple of what was expected.
-        failure_ratio: Running ratio of failed answers.
-        silence: Requests that wait there without a sign of it.
+        running: Number of this gateway's requests that run at the upstream.
+        waiting_s: Time in seconds that this gateway's requests without an
+            answer yet are expected to take.
+        waiting_elsewhere_s: Time in seconds that the waiting requests of other
+            gateways are expected to take, by their last reports.
+        slowness: Time of the upstream's answers, as a multiple of the expected
+            time.
+        failure_ratio: Running mean of the share of failed answers.
+        silence: Requests that wait at the upstream while no data is received
+            from it.
     """
 
     def __init__(self) -> None:
@@ -57,15 +65,19 @@
         self._connecting_s: list[float] = []
 
     def get_own_wait_s(self) -> float:
-        """Expected wait behind this gateway's requests."""
+        """Returns the expected queue time of this gateway's requests."""
         return self.waiting_s + RUNNING_S * self.running
 
     def get_wait_s(self) -> float:
-        """Expected wait behind the requests of all gateways."""
+        """Returns the expected queue time of all gateways' requests."""
         return self.get_own_wait_s() + self.waiting_elsewhere_s
 
     def is_suspect(self, now_s: float) -> bool:
-        """Whether there are signs that it is not there."""
+        """Returns whether there are signs that the upstream is unreachable.
+
+        The signs are a recent failure, a connection that is slow to open, and
+        inactivity while requests wait.
+        """
         if now_s < self._suspect_until_s:
             return True
         opening_s = self._connecting_s
@@ -74,40 +86,52 @@
         return self.silence.is_stalled(now_s)
 
     def get_left_out_s(self, now_s: float) -> float:
-        """For how long it is left out after a failure."""
+        """Returns for how many seconds the upstream is still excluded."""
         return max(0.0, self._suspect_until_s - now_s)
 
     def is_grey(self) -> bool:
-        """Whether it fails many requests although it answers."""
+        """Returns whether the upstream has a grey failure.
+
+        Such an upstream answers, but fails many requests.
+        """
         return self.failure_ratio > GREY_RATIO
 
     def note_connecting(self, now_s: float) -> None:
-        """Notes that a connection to it is being opened."""
+        """Records that a connection to the upstream is being opened."""
         self._connecting_s.append(now_s)
 
     def note_connect_ended(self, begun_s: float) -> None:
-        """Notes that the opening which began then is over."""
+        """Records that an attempt to open a connection has ended.
+
+        Args:
+            begun_s: Elapsed time in seconds at which that attempt began.
+        """
         self._connecting_s.remove(begun_s)
 
     def note_sent(self, now_s: float) -> None:
-        """Notes a request to it; the first after a failure is a trial.
+        """Records a request; the first one after a failure is a probe.
 
-        An upstream that is gone has nothing waiting and looks the best of
-        all: without this, all requests of the time that one takes to fail
-        would go there, each time that it is looked at again.
+        An upstream that is gone has an empty queue and looks like the best
+        one. Without the probe, all requests that arrive while one of them
+        fails would be sent there, each time that the upstream's exclusion
+        ends.
         """
         if self._suspect_s and not self.is_suspect(now_s):
             self._is_tried = True
             self._suspect_until_s = now_s + TRIAL_S
 
     def note_heard(self) -> None:
-        """Notes that it answers; others may follow a trial."""
+        """Records data from the upstream; it ends the exclusion by a probe."""
         if self._is_tried:
             self._is_tried = False
             self._suspect_until_s = 0.0
 
     def note_absent(self, now_s: float) -> None:
-        """Notes that it could not be reached or fell silent."""
+        """Records that the upstream was unreachable or inactive for too long.
+
+        The upstream is excluded, for twice as long after each failed probe.
+        Failures during an exclusion count once.
+        """
         if now_s < self._suspect_until_s and not self._is_tried:
             return
         self._is_tried = False
@@ -116,14 +140,20 @@
         self._suspect_until_s = now_s + self._suspect_s
 
     def note_time(self, time_s: float, expected_s: float) -> None:
-        """Notes how long it took to begin an answer."""
+        """Records how long an answer took to begin.
+
+        Args:
+            time_s: Measured time in seconds.
+            expected_s: Expected time in seconds; at 0 or below, nothing is
+                recorded.
+        """
         if expected_s <= 0.0:
             return
         ratio = min(SPEED_LIMIT, time_s / expected_s)
         self.slowness += SPEED_GAIN * (ratio - self.slowness)
 
     def note_answer(self, failed: bool) -> None:
-        """Notes an answer."""
+        """Records whether an answer failed; a good one ends the exclusion."""
         self.failure_ratio += FAILURE_GAIN * (failed - self.failure_ratio)
         if not failed:
             self._is_tried = False
--- a/src/lovagestage/gateway/pins.py
+++ b/src/lovagestage/gateway/pins.py
@@ -1,4 +1,4 @@
-"""Which version the sessions of this gateway were last answered by."""
+"""The versions by which this gateway's sessions were last answered."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 from lovagestage.types import ServiceId, VersionId
 
 MARGIN_S = 0.5
-"""Added to the time within which a session's requests follow each other: it
-counts from one request's end, and is kept here from its start."""
+"""Time in seconds that is added to a session's timeout: the timeout counts
+from the end of a request, while this gateway stores the request's start."""
 MAX_SESSIONS = 20_000
-"""Sessions kept; the one used longest ago goes first."""
+"""Most sessions that are stored; the least recently used one is evicted first.
+"""
 
 _Key = tuple[ServiceId, str]
 
 
 class SessionPins:
-    """Remembers sessions for as long as they last.
+    """Stores the version of each session until the session expires.
 
     Args:
-        session_s: Requests of a session follow each other within this.
+        session_s: Longest time in seconds between two requests of a session.
     """
 
     def __init__(self, session_s: float) -> None:
@@ -38,7 +39,14 @@
         version: VersionId,
         now_s: float,
     ) -> bool:
-        """Whether the session is going on and not on a version."""
+        """Returns whether an active session was last on another version.
+
+        Args:
+            service: The service.
+            session: The session.
+            version: The version that the session's last one is compared with.
+            now_s: Elapsed time in seconds.
+        """
         pin = self._pins.get((service, session))
         if pin is None:
             return False
@@ -52,7 +60,7 @@
         version: VersionId | None,
         now_s: float,
     ) -> None:
-        """Takes that the session has a request on a version."""
+        """Records that the session has a request on a version."""
         key = (service, session)
         self._pins[key] = (version, now_s)
         self._pins.move_to_end(key)
@@ -62,7 +70,13 @@
     def get_going_on(
         self, service: ServiceId, version: VersionId, now_s: float
     ) -> list[str]:
-        """Sessions of a service that are going on and not on a version."""
+        """Returns active sessions that were last on another version.
+
+        Args:
+            service: Service of the sessions.
+            version: The version that each session's last one is compared with.
+            now_s: Elapsed time in seconds.
+        """
         return [
             session
             for known, session in self._pins
@@ -71,7 +85,7 @@
         ]
 
     def expire(self, now_s: float) -> None:
-        """Forgets sessions that are over."""
+        """Removes sessions that have expired."""
         limit_s = now_s - self.session_s - MARGIN_S
         while self._pins:
             key, (_, at_s) = next(iter(self._pins.items()))
--- a/src/lovagestage/gateway/reading.py
+++ b/src/lovagestage/gateway/reading.py
@@ -1,9 +1,10 @@
-"""How long upstreams take to read prompts, apart from what waits there.
+"""Prefill times of prompts, without the queue time before the prefill.
 
-The time until an answer begins holds the queue before it. Were queues summed
-from such times, each waiting request would count the wait of those before it
-again, and requests would run away from the upstream that has read their
-prompt's shared parts. Only what a prompt needs by itself may be summed.
+The time until an answer begins includes the time in the upstream's queue. If
+queues were summed from such times, each waiting request would count the queue
+time of the requests before it again, and requests would avoid the upstream
+that has cached their prompt's shared prefix. Only the time that a prompt needs
+by itself may be summed.
 """
 
 from __future__ import annotations
@@ -15,27 +16,31 @@
 from lovagestage.gateway.messages import PromptPart
 
 OVERHEAD_S = 0.02
-"""What an answer takes besides reading: the way there and back and the first
-steps of an engine, 3 to 9 ms each."""
+"""Time in seconds that an answer takes besides the prefill: the network round
+trip and the first steps of an engine, 3 to 9 ms each."""
 MIN_TOKENS = 500
-"""Shorter prompts say nothing of reading: the rest of their time is longer."""
+"""Shortest prompt in tokens whose time is used: in shorter ones the overhead
+takes longer than the prefill, so they tell nothing of its speed."""
 QUANTILE = 0.25
-"""Part of the answers that are taken not to have waited: on full days most
-wait, and on empty ones the quantile is as good as any."""
+"""Share of the answers that are assumed not to have waited in a queue: under
+high load most answers have waited, and under low load the quantile is as good
+as any other."""
 GAIN = 0.1
-"""Step of the estimate, as part of itself: at most doubled in ten answers."""
+"""Step by which the estimate changes, relative to itself: it grows in ten
+answers to no more than double."""
 START_GAIN = 0.4
-"""The same for the first answers, any of which may have waited for long."""
+"""Step for the first `START_SAMPLES` answers, relative to the estimate. It is
+larger, since any of these answers may have waited for long."""
 START_SAMPLES = 8
 
 
 @dataclasses.dataclass(frozen=True)
 class Prompt:
-    """What an upstream has to read of a prompt.
+    """Number of tokens of a prompt that an upstream has to prefill.
 
     Attributes:
-        fresh_tokens: Where its subject has not been read before.
-        cached_tokens: Where it has.
+        fresh_tokens: Tokens where the shared prompt prefix is not cached.
+        cached_tokens: Tokens where the shared prompt prefix is cached.
     """
 
     fresh_tokens: int
@@ -43,10 +48,17 @@
 
 
 def make_prompt(parts: Sequence[PromptPart]) -> Prompt | None:
-    """What is read of a prompt with these parts; None without parts.
+    """Counts the tokens to prefill of a prompt with these parts.
 
-    The last part is the request's own, the one before it the subject. What
-    comes before is shared by so many requests that every upstream has it.
+    The last part is the request's own text, and the part before it is the
+    shared prompt prefix. Earlier parts are shared by so many requests that
+    every upstream has cached them.
+
+    Args:
+        parts: Parts of the prompt in their order.
+
+    Returns:
+        The tokens; None for a prompt without parts.
     """
     if not parts:
         return None
@@ -56,7 +68,7 @@
 
 
 class _Rate:
-    """A low quantile of the time for a token."""
+    """A low quantile of the prefill time per token, in seconds."""
 
     def __init__(self) -> None:
         self.token_s = 0.0
@@ -75,18 +87,18 @@
 
 
 class ReadingTimes:
-    """Time for a token of a prompt, by model."""
+    """Prefill time per token of a prompt, by model."""
 
     def __init__(self) -> None:
         self._rates: dict[str | None, _Rate] = {}
 
     def add(self, model: str | None, tokens: int, time_s: float) -> None:
-        """Takes the time until an answer began.
+        """Records the time until an answer began.
 
         Args:
             model: Model that answered.
-            tokens: What it had to read.
-            time_s: Time from the call to the first event.
+            tokens: Tokens that the model had to prefill.
+            time_s: Time in seconds from the call to the first event.
         """
         if tokens < MIN_TOKENS or time_s <= OVERHEAD_S:
             return
@@ -94,7 +106,16 @@
         rate.add((time_s - OVERHEAD_S) / tokens)
 
     def get(self, model: str | None, tokens: int) -> float:
-        """Time that reading so many tokens takes; a guess while unknown."""
+        """Returns the expected prefill time in seconds.
+
+        Args:
+            model: The model.
+            tokens: Tokens to prefill.
+
+        Returns:
+            The time with the overhead; a default while no time of the model is
+                known.
+        """
         rate = self._rates.get(model)
         if rate is None:
             return UNKNOWN_S
--- a/src/lovagestage/gateway/repeats.py
+++ b/src/lovagestage/gateway/repeats.py
@@ -1,10 +1,10 @@
-"""How often requests may be sent to a second upstream: pure decisions.
+"""How often requests may be retried at another upstream: pure decisions.
 
-The load that this answers: several upstreams crash at once, and each stream
-that ran there is to go on elsewhere in the same moment. What the deployment
-allows for that is a share of its requests over a window and some slack, for
-all gateways together. A gateway therefore saves up what it leaves unused, and
-its part of the slack.
+Several upstreams may crash at the same time, and each stream that ran there
+has to continue elsewhere at that moment. The deployment's limit on retries is
+a share of its requests over a window plus some slack, for all gateways
+together. Each gateway therefore accumulates the retries that it leaves unused,
+and its share of the slack.
 """
 
 from __future__ import annotations
@@ -14,42 +14,47 @@
 from lovagestage.decisions.retries import RetryBudget
 
 EARNED_RATIO = 0.8
-"""Part of the allowed ratio that requests earn as they come. The rest, over
-one window, is what may be saved up: both together keep the ratio in a window
-that begins with all saved up, as long as requests do not become fewer. Where
-they do, the allowance counts the window before."""
+"""Share of the allowed retry ratio that requests earn as they arrive. The
+rest, over one window, is the most that may be accumulated: together they keep
+the ratio in a window that begins with all of it accumulated, as long as the
+request rate does not fall. Where it falls, the limit counts the requests of
+the window before."""
 SLACK_RATIO = 0.8
-"""Part of the slack that gateways share; the rest is for those that start
-anew, with tokens of their own, within a window."""
+"""Share of the slack that the running gateways divide among them; the rest is
+for gateways that restart within a window and begin with tokens of their own."""
 UNSURE_GATEWAYS = 8
-"""Gateways that are reckoned with at least while a process is younger than a
-window: it hears of the others one by one, and a small deployment has fewer."""
+"""Least number of gateways that is assumed while the process is younger than a
+window: it discovers the other gateways one by one, and small deployments have
+fewer than this."""
 UNKNOWN_GATEWAYS = 32
-"""The same where gateways cannot hear of each other: too many cost repeats,
-too few break the limit."""
+"""Number of gateways that is assumed where gateways cannot discover each
+other: too high a number denies retries, too low a number exceeds the limit."""
 MIN_SAVED = 1.0
-"""One repeat is always left: an idle gateway's first request may fail."""
+"""Least number of retries that may be accumulated: the first request of an
+idle gateway may fail, too."""
 KEPT_RATIO = 0.25
-"""Part of what may be saved up that larger models leave for requests that
-failed: a poorer answer is better than none."""
+"""Share of the retries that may be accumulated which escalations to larger
+models leave to failed requests: a poorer answer is better than none."""
 MAX_KEPT = 2.0
-"""Most that they leave: what may be saved up grows at once when the other
-gateways are known, and what is there only as requests come."""
+"""Most retries that escalations leave to failed requests: the limit grows
+immediately when the number of the other gateways becomes known, while retries
+are earned only as requests arrive."""
 _SLICES = 10
 
 
 class RepeatBudget:
-    """Repeats of one service's requests at this gateway.
+    """Retry budget of one service's requests at this gateway.
 
     Args:
-        now_s: Elapsed time.
-        ratio: Arrivals beyond the first of each request that the service may
-            get in a window, as a share of its requests.
-        window_s: Length of the window.
-        slack: Such arrivals beyond the share, for all gateways together.
-        started_s: Elapsed time at the start of the process.
+        now_s: Elapsed time in seconds.
+        ratio: Retries that the service may receive in a window, as a share of
+            its requests.
+        window_s: Length of the window in seconds.
+        slack: Retries in a window beyond that share, for all gateways
+            together.
+        started_s: Elapsed time in seconds at the start of the process.
         gateways: Gateways of the deployment, this one included; None where
-            they cannot hear of each other.
+            gateways cannot discover each other.
     """
 
     def __init__(
@@ -76,15 +81,16 @@
 
     @property
     def tokens(self) -> float:
-        """Repeats that are left."""
+        """Number of retries that are left."""
         return self._bucket.tokens
 
     def get_limit(self, now_s: float, gateways: int | None) -> float:
-        """Repeats that may be saved up.
+        """Returns the number of retries that may be accumulated.
 
         Args:
-            now_s: Elapsed time.
-            gateways: Gateways of the deployment; None as for the class.
+            now_s: Elapsed time in seconds.
+            gateways: Gateways of the deployment, this one included; None where
+                gateways cannot discover each other.
         """
         if gateways is None:
             gateways = UNKNOWN_GATEWAYS
@@ -94,7 +100,7 @@
         return max(MIN_SAVED, share + self._unused_ratio * self._requests)
 
     def note_request(self, now_s: float, gateways: int | None) -> None:
-        """Counts a request and adds its share."""
+        """Counts a request and adds the share of a retry that it earns."""
         slice_s = self._window_s / _SLICES
         number = int(now_s / slice_s)
         while self._counts and self._counts[0][0] <= number - _SLICES:
@@ -108,14 +114,19 @@
         self._bucket.note_request(now_s)
 
     def take(self, now_s: float) -> bool:
-        """Takes a repeat of a request that failed; False where none is left."""
+        """Takes a retry for a failed request; False where none is left."""
         return self._bucket.take(now_s)
 
     def take_larger(self, now_s: float) -> bool:
-        """Takes one for a larger model; False where too few would be left."""
+        """Takes a retry for an escalation to a larger model.
+
+        Returns:
+            False where fewer retries would be left than are reserved for
+                failed requests.
+        """
         kept = min(MAX_KEPT, KEPT_RATIO * self._bucket.limit)
         return self._bucket.take(now_s, kept)
 
     def give_back(self) -> None:
-        """Takes back a repeat that reached no upstream, and so counts none."""
+        """Returns a retry that reached no upstream to the budget."""
         self._bucket.give_back()
--- a/src/lovagestage/gateway/risks.py
+++ b/src/lovagestage/gateway/risks.py
@@ -1,4 +1,4 @@
-"""How often requests fail where no new version is involved."""
+"""Failure and request rates of answers from versions not in a roll-out."""
 
 from __future__ import annotations
 
@@ -9,23 +9,25 @@
 
 RISK_GAIN = 0.04
 """Weight of the newest answer in a route's failure rate. About the last 25
-count, so a fault that hits both versions is known before it is taken for the
-new one's."""
+answers count, so that a fault of both versions is known before it is taken for
+a fault of the new one."""
 RATE_SPAN_S = 8.0
-"""Span over which requests are counted; bursts last a few seconds."""
+"""Time constant in seconds of the decaying request count; bursts last a few
+seconds."""
 MIN_AGE_S = 1.0
-"""A service's first request says nothing of its rate; after a second a few
-have come."""
+"""Least age in seconds that is assumed for a service's request count. A
+service's first request alone tells nothing of its rate; after a second a few
+requests have arrived."""
 
 
 @dataclasses.dataclass(frozen=True)
 class _Rate:
-    """A decaying count of requests.
+    """A request rate with exponential decay.
 
     Attributes:
-        per_s: The count over its span, as of `at_s`.
-        at_s: Elapsed time of the newest request.
-        first_s: Elapsed time of the first one.
+        per_s: Requests per second, as of `at_s`.
+        at_s: Elapsed time in seconds of the newest request.
+        first_s: Elapsed time in seconds of the first request.
     """
 
     per_s: float
@@ -46,7 +48,14 @@
     def add(
         self, service: ServiceId, route: str, failed: bool, now_s: float
     ) -> None:
-        """Takes an answer of the old version."""
+        """Records an answer of a version that is not being rolled out.
+
+        Args:
+            service: The service.
+            route: Name of the request's route.
+            failed: Whether the answer failed or was slow.
+            now_s: Elapsed time in seconds.
+        """
         key = (service, route)
         known = self._risks.get(key, 0.0)
         self._risks[key] = known + RISK_GAIN * (failed - known)
@@ -56,16 +65,17 @@
         )
 
     def get(self, service: ServiceId, route: str) -> float:
-        """Rate at which requests of a route fail."""
+        """Returns the share of a route's requests that fail, from 0 to 1."""
         return self._risks.get((service, route), 0.0)
 
     def get_rate(self, service: ServiceId, now_s: float) -> float:
-        """Answers of a service per second, of this gateway.
+        """Returns the service's answers per second at this gateway.
 
-        A count that has not run for its span yet is scaled up: an order that
-        came two seconds after the first request took a service for a quarter
-        of its size, allowed itself three times the share, and a version that
-        turned bad late got more requests than it may.
+        A count that is younger than its time constant is scaled up. Otherwise
+        an order two seconds after the first request would take the service for
+        a quarter of its size and give the new version three times the allowed
+        share, and a version that becomes faulty late would get more requests
+        than it may.
         """
         rate = self._rates.get(service)
         if rate is None:
--- a/src/lovagestage/gateway/rollout_service.py
+++ b/src/lovagestage/gateway/rollout_service.py
@@ -1,4 +1,4 @@
-"""Carries roll-outs through: shares evidence and writes their outcome."""
+"""Carries out roll-outs: shares evidence and writes their outcomes."""
 
 from __future__ import annotations
 
@@ -50,16 +50,17 @@
 _log = logging.getLogger(__name__)
 
 CHECK_S = 0.25
-"""Time between looks at what is due."""
+"""Interval in seconds between checks for reports and outcomes that are due."""
 STAGGER_S = 0.4
-"""The gateways that see the same due outcome try within this time, so that
-most learn that it is written before they try."""
+"""Time in seconds over which the gateways that see the same due outcome spread
+their writes, so that most of them learn that it has been written before they
+try."""
 CALL_TIMEOUT_S = 1.0
 RETRY_S = 0.5
 
 
 class _Followed:
-    """What this gateway has seen and told of one roll-out."""
+    """Answers and evidence of one roll-out at this gateway, and its reports."""
 
     def __init__(self) -> None:
         self.answers = 0
@@ -72,8 +73,8 @@
 
     Args:
         store: Client for reading and writing outcomes.
-        deployment: What is in force.
-        vm: This VM.
+        deployment: Configuration, upstreams and roll-outs in force.
+        vm: Id of this VM.
         bounds: Limits of the deployment.
         rng: Source of randomness.
     """
@@ -100,11 +101,11 @@
         self._try_at_s: dict[ServiceId, float] = {}
 
     def set_mailbox(self, mailbox: Mailbox) -> None:
-        """Gives the service its way to the others; called once."""
+        """Sets the messenger to the other gateways; called once."""
         self._mailbox = mailbox
 
     def apply_bounds(self, bounds: Bounds) -> None:
-        """Takes new bounds; they hold for orders that come."""
+        """Applies new limits; they hold for orders that arrive later."""
         self._bounds = bounds
 
     @property
@@ -113,7 +114,11 @@
         return not self._unresolved
 
     def on_order(self, order: RolloutOrder, offset: int) -> None:
-        """Takes a new order; whether it is done already is looked up."""
+        """Starts to follow an order; its stored outcome is looked up later.
+
+        The roll-out may already be complete or reverted when a gateway
+        receives its order.
+        """
         warmup = self._deployment.get_warmup(order.service)
         warmup_s = 0.0 if warmup is None else warmup.duration_s
         rollout = Rollout(order, offset, get_elapsed_s(), warmup_s)
@@ -149,7 +154,15 @@
         upstream: Upstream,
         quality: AnswerQuality,
     ) -> None:
-        """Takes an answer of this gateway."""
+        """Records an answer that this gateway has received from an upstream.
+
+        Args:
+            service: The service.
+            route: Name of the request's route.
+            assignment: Version to which the request was assigned.
+            upstream: The upstream that answered.
+            quality: Whether the answer was good, slow or failed.
+        """
         rollout = self._deployment.rollouts.get(service)
         is_new = rollout is not None and assignment.is_new
         if not is_new:
@@ -175,8 +188,9 @@
         risk = self._risks.get(service, route)
         if quality is AnswerQuality.SLOW:
             if rollout.is_loaded(get_elapsed_s()):
-                # A good version would be reverted for the queues that its
-                # few upstreams are meant to have; a slow one shows before.
+                # In the load step, a good version would be reverted for the
+                # queues that its few upstreams are meant to have; a slow
+                # version shows before that step.
                 return
             risk = max(SLOW_RISK, risk)
         failed = quality is not AnswerQuality.GOOD
@@ -204,26 +218,26 @@
         self._mailbox.post(note)
 
     def on_failure_note(self, note: FailureNote) -> None:
-        """Takes another gateway's evidence."""
+        """Applies another gateway's evidence on a new version."""
         rollout = self._find(note.service, note.order, note.age_s)
         if rollout is not None:
             rollout.add_evidence(note.route, note.evidence)
             self._count_failure(rollout, note)
 
     def on_count_note(self, note: CountNote) -> None:
-        """Takes how many answers another gateway has had."""
+        """Applies another gateway's number of answers from a new version."""
         rollout = self._find(note.service, note.order, note.age_s)
         if rollout is not None:
             rollout.note_answers(note.gateway, note.answers)
 
     def on_sessions_note(self, note: SessionsNote) -> None:
-        """Takes which sessions are going on at another gateway."""
+        """Applies the active sessions that another gateway has reported."""
         rollout = self._find(note.service, note.order, note.age_s)
         if rollout is not None:
             rollout.held.update(note.sessions)
 
     def on_outcome_note(self, note: OutcomeNote) -> None:
-        """Takes what another gateway has written for the operators."""
+        """Applies an outcome that another gateway has written to the store."""
         rollout = self._find(note.service, note.order, note.age_s)
         if rollout is None:
             return
@@ -288,7 +302,7 @@
                 self._post_sessions()
                 await self._write_due()
             except StoreConflictError:
-                pass  # Another gateway wrote first; the next look reads it.
+                pass  # Another gateway wrote first; the next check reads it.
             except StoreError as error:
                 _log.warning(
                     "rollout_not_written", extra={"reason": error.message}
@@ -322,7 +336,10 @@
             )
 
     def _post_sessions(self) -> None:
-        """Tells the sessions that the share would move, until it counts."""
+        """Reports the active sessions that the first share would move.
+
+        It does so until the share takes effect.
+        """
         now_s = get_elapsed_s()
         for service, rollout in self._deployment.rollouts.items():
             if not rollout.first_share or not rollout.is_collecting(now_s):
@@ -351,7 +368,7 @@
             del self._unresolved[service]
 
     def _take_outcome(self, rollout: Rollout, page: Page) -> None:
-        """Learns what has been written of an order."""
+        """Applies the outcome that the store holds for an order."""
         key = make_outcome_key(rollout.order.service)
         for record in page.records:
             if record.key != key or record.value is None:
@@ -386,10 +403,11 @@
                 self._try_at_s.pop(service, None)
 
     async def _write(self, rollout: Rollout, outcome: RolloutOutcome) -> None:
-        """Writes an outcome, unless a final one stands already.
+        """Writes an outcome, unless a final one has been written already.
 
-        Two gateways may reach different verdicts; the condition lets one
-        append pass, and the other gateway follows it.
+        Two gateways may reach different verdicts; the condition on the topic's
+        end accepts one of the two appends, and the other gateway follows that
+        verdict.
         """
         service = rollout.order.service
         page = await self._store.read_newest(OUTCOME_TOPIC, CALL_TIMEOUT_S)
--- a/src/lovagestage/gateway/rollouts.py
+++ b/src/lovagestage/gateway/rollouts.py
@@ -1,8 +1,9 @@
 """Moves a service's traffic to another version: pure decisions.
 
-Each gateway follows the same steps and weighs the same evidence, so all send
-the same sessions to the new version without asking each other. Whoever
-reaches a verdict first writes it; a verdict is final.
+Each gateway follows the same steps and weighs the same evidence, so all of
+them send the same sessions to the new version without asking each other. The
+first gateway that reaches a verdict writes it to the store; a verdict is
+final.
 """
 
 from __future__ import annotations
@@ -16,45 +17,50 @@
 from lovagestage.types import InstanceId, ServiceId, VersionId
 
 STOP_EVIDENCE = 5.0
-"""Log-likelihood ratio at which a version is stopped, of being worse by
-`BAD_RISE` against being as good as the old one. A good version reaches it in
-about one of 150 roll-outs (Wald's bound)."""
+"""Log-likelihood ratio at which a new version is stopped. The ratio compares a
+version whose failure rate is higher by `BAD_FAILURE_RISE` with one that is as
+good as the old version. A good version reaches the limit in about one of 150
+roll-outs (Wald's bound)."""
 EVIDENCE_FLOOR = -1.0
-"""Good answers lower the evidence no further (Page's CUSUM), so that a version
-that turns bad late is found as fast as one that is bad at once."""
+"""Lower limit of the log-likelihood ratio: good answers lower it no further
+(Page's CUSUM), so that a version that becomes faulty late is found as fast as
+one that is faulty from the start."""
 BAD_RISE = 0.25
-"""Rise of the failure rate that counts as bad; faulty versions fail a third
-of their answers and more."""
+"""Rise of the failure rate that counts as bad; faulty versions fail a third of
+their answers and more."""
 MIN_RISK, MAX_RISK = 0.02, 0.5
-"""Bounds of the old version's failure rate in the ratio."""
+"""Lower and upper limit of the old version's failure rate in the
+log-likelihood ratio."""
 MIN_NEW_FAILURES = 3
-"""Failures of the new version before it is stopped, whatever their odds: two
-can come from one upstream that crashed."""
+"""Failures of the new version that are needed to stop it, whatever their
+likelihood: two failures can come from the crash of one upstream."""
 EXPOSURE_USE = 0.8
-"""Part of the exposure that the last steps leave which the first share uses;
-the rest is for bursts."""
+"""Share of the exposure that is used by the first share of sessions, out of
+what the last steps leave; the rest is for bursts."""
 SHARES = (0.015, 0.03, 0.05, 0.07, 0.1, 0.13, 0.16, 0.2, 0.25)
-"""First shares, so that gateways with about the same traffic have the same."""
+"""Shares that a roll-out may begin with. They are few, so that gateways with
+about the same traffic choose the same one."""
 DEFAULT_SHARE = 0.05
-"""First share of a gateway that does not know its traffic yet."""
+"""First share where the gateway does not know the service's traffic yet."""
 
 
 SLOW_RISK = 0.1
-"""Rate at which answers of a good version are taken to be slow at least. It
-varies with what waits, so that a slow answer says less than a failed one."""
+"""Least rate at which answers of a good version are assumed to be slow. Answer
+times vary with the queues, so a slow answer is weaker evidence than a failed
+one."""
 
 
 class AnswerQuality(enum.Enum):
-    """What an answer says of the version that gave it."""
+    """Quality of an answer, as evidence on the version that gave it."""
 
     GOOD = "good"
     SLOW = "slow"
-    """It took several times as long as others do."""
+    """The answer took several times as long as the mean."""
     FAILED = "failed"
 
 
 class RolloutOutcome(enum.Enum):
-    """What operators read of a roll-out."""
+    """State of a roll-out, as operators read it from the store."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -63,12 +69,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class RolloutOrder:
-    """An operator's wish to move a service to a version.
+    """An operator's order to move a service to a version.
 
     Attributes:
         service: The service.
         version: The new version.
-        duration_s: Time after which it should be done.
+        duration_s: Time in seconds after which the roll-out should be
+            complete.
     """
 
     service: ServiceId
@@ -78,14 +85,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class OutcomeRecord:
-    """What the store holds of a roll-out.
+    """The store's record of a roll-out's state.
 
     Attributes:
         version: The new version.
-        outcome: Where it stands.
+        outcome: State of the roll-out.
         order: Offset of the order.
-        first_share: Share of the sessions before the load step; all gateways
-            follow the first one that writes it.
+        first_share: Share of the sessions on the new version before the load
+            step; all gateways follow the first record that sets it.
     """
 
     version: VersionId
@@ -99,10 +106,10 @@
     """A share of sessions on the new version from a point in time on.
 
     Attributes:
-        from_ratio: Start, as part of the order's duration.
-        share: Share of the sessions.
-        min_answers: Answers of the new version, over all gateways, without
-            which the step is not made.
+        from_ratio: Start of the step, as a share of the order's duration.
+        share: Share of the sessions on the new version.
+        min_answers: Answers of the new version, over all gateways, that are
+            needed before the step is made.
     """
 
     from_ratio: float
@@ -111,38 +118,43 @@
 
 
 LOAD_STEP = Step(0.8, 0.25, 20)
-"""Before the end the new version gets more, for several times as long as
-failures take to show and to be told. Before that the share stands still, so
-that no session changes its version in the first half."""
+"""The step before the end, in which the new version gets more traffic, for
+several times as long as failures take to occur and to be reported. Until then
+the share stays constant, so that no session changes its version in the first
+half."""
 TRIAL_LOAD = 1.25
-"""Load of an upstream of the new version on trial, as a multiple of what it
-will have once all traffic is there. A version that fails only in a burst
-would else be found out when the old one is gone."""
+"""Load of an upstream of the new version on trial, as a multiple of its load
+once all traffic goes to the new version. Otherwise a version that fails only
+in a burst would be found out when the old version is gone."""
 MIN_TRIAL_UPSTREAMS = 2
-"""One that fails by itself is no evidence against its version."""
+"""Least number of upstreams on trial: a single upstream that fails is no
+evidence against its version."""
 COUNT_RATIOS = (0.77, 0.9)
-"""When gateways tell each other how many answers they had: before the load
-step and before the version is completed, which both depend on it."""
+"""Shares of the order's duration after which gateways report to each other how
+many answers of the new version they have received: before the load step and
+before the completion, which both depend on that number."""
 COMPLETE_RATIO = 0.95
-"""Part of the duration after which an unstopped version is taken for good.
-Late: a fault that never showed still keeps within the allowed exposure."""
+"""Share of the order's duration after which a version that was not stopped is
+completed. It is late, so that a fault that never showed still keeps within the
+allowed exposure."""
 COMPLETE_ANSWERS = 20
 LATE_RATIO = 0.97
 LATE_ANSWERS = 5
-"""A service with little traffic is done a little later with fewer answers, if
-none of them speaks against the version."""
+"""Answers that complete the roll-out of a service with little traffic after
+`LATE_RATIO` of the duration, if the evidence does not speak against the
+version."""
 
 
 def get_first_share(
     exposure_ratio: float, exposure_slack: float, expected_requests: float
 ) -> float:
-    """Share with which a roll-out begins.
+    """Returns the share of sessions with which a roll-out begins.
 
     Args:
-        exposure_ratio: Part of the service's requests that an unproved
+        exposure_ratio: Share of the service's requests that an unproved
             version may get.
-        exposure_slack: Requests beyond that part.
-        expected_requests: Requests of the service while it runs; 0 if
+        exposure_slack: Requests beyond that share.
+        expected_requests: Requests of the service during the roll-out; 0 if
             unknown.
     """
     if expected_requests <= 0.0:
@@ -160,15 +172,16 @@
 ) -> set[InstanceId]:
     """Chooses the upstreams of the new version that take its share.
 
-    The load that this answers: a version that fails under load gets a small
-    share, spread over as many upstreams as all traffic needs, and so never
-    meets that load before it is completed. The share goes to so few of them
-    that each one is loaded as in a burst. All gateways choose the same.
+    If the small share of the new version were spread over as many upstreams as
+    the whole traffic needs, a version that fails under load would not meet
+    that load before its completion. The share therefore goes to so few
+    upstreams that each is loaded as in a burst. All gateways choose the same
+    upstreams.
 
     Args:
         names: Upstreams of the new version.
-        seed: Names the order.
-        share: Share of the traffic that they get together.
+        seed: Text that identifies the order.
+        share: Share of the traffic that the chosen upstreams get together.
     """
     count = math.ceil(share * len(names) / TRIAL_LOAD)
     ranked = sorted(names, key=lambda name: get_share(f"{seed}/{name}"))
@@ -176,11 +189,11 @@
 
 
 def get_evidence(risk: float, failed: bool) -> float:
-    """Log-likelihood ratio of one answer of the new version.
+    """Returns the log-likelihood ratio of one answer of the new version.
 
     Args:
-        risk: Rate at which the old version fails such requests.
-        failed: Whether it failed or was far too slow.
+        failure_rate: Rate at which the old version fails such requests.
+        failed: Whether the answer failed or was far too slow.
     """
     risk = min(MAX_RISK, max(MIN_RISK, risk))
     worse = min(0.95, risk + BAD_RISE)
@@ -191,11 +204,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Assignment:
-    """Which version a request goes to.
+    """The version to which a request is sent.
 
     Attributes:
-        version: The version; None for any.
-        is_new: Whether it is the one that is rolled out.
+        version: The version; None for any version.
+        is_new: Whether the version is the one that is rolled out.
     """
 
     version: VersionId | None
@@ -203,25 +216,28 @@
 
 
 class Rollout:
-    """One order and what is known of it.
+    """A roll-out order and the gateway's state view of it.
 
     Args:
         order: The order.
-        offset: Offset of the order in the store; names it.
-        seen_s: Elapsed time at which it was first seen.
-        warmup_s: Time for which upstreams are cold after their start.
+        offset: Offset of the order in the store; identifies the order.
+        seen_s: Elapsed time in seconds at which this gateway received the
+            order.
+        warmup_s: Time in seconds for which upstreams warm up after their
+            start.
 
     Attributes:
         order: The order.
         offset: Offset of the order.
-        outcome: Its outcome; final once it is not RUNNING.
+        outcome: State of the roll-out; final once it is not RUNNING.
         is_stopped: Whether the evidence speaks against the new version.
-        new_failures: Failures of the new version.
-        first_share: Share of the sessions before the load step. 0 until it
-            has been agreed: with shares of their own, gateways would move
-            sessions between the versions.
-        held: Sessions that were going on when the share was agreed, of all
-            gateways; in the first half they stay where they are.
+        new_failures: Number of failures of the new version.
+        first_share: Share of the sessions before the load step; 0 until it has
+            been agreed. If each gateway had its own share, sessions would move
+            between the versions.
+        held_sessions: Sessions of all gateways that were active when the share
+            was agreed; in the first half of the roll-out they are not moved to
+            the new version.
     """
 
     def __init__(
@@ -240,56 +256,64 @@
         self.held: set[str] = set()
         self._agreed_s: float | None = None
         self._seen_s = seen_s
-        # A session that goes to a version while this is cold finds no room
-        # there half of the time, and would go to and fro between versions.
+        # A session that is assigned to a version while this version's
+        # upstreams are warming up finds no capacity there half of the time,
+        # and would alternate between the versions.
         self._collect_s = max(COLLECT_S, warmup_s + WARM_MARGIN_S)
         self._evidence: dict[str, float] = {}
         self._failed_upstreams: set[str] = set()
         self._answers: dict[str, int] = {}
 
     def agree(self, first_share: float, now_s: float) -> None:
-        """Takes the first share that all gateways follow."""
+        """Sets the first share that all gateways follow."""
         if self._agreed_s is None:
             self._agreed_s = now_s
         self.first_share = first_share
 
     def is_below_first_share(self, session: str) -> bool:
-        """Whether a session would go to the new version from the start."""
+        """Returns whether the first share includes a session."""
         return get_share(self._make_seed(session)) < self.first_share
 
     def is_collecting(self, now_s: float) -> bool:
-        """Whether gateways still tell which sessions are going on."""
+        """Returns whether gateways still report their active sessions."""
         return (
             self._agreed_s is None or now_s - self._agreed_s < self._collect_s
         )
 
     def note_age(self, age_s: float, now_s: float) -> None:
-        """Takes another gateway's word that the order is older."""
+        """Applies the order's age as another gateway reported it.
+
+        The earliest time at which a gateway received the order counts.
+
+        Args:
+            age_s: Age of the order in seconds.
+            now_s: Elapsed time in seconds.
+        """
         self._seen_s = min(self._seen_s, now_s - age_s)
 
     def note_answers(self, gateway: str, count: int) -> None:
-        """Takes how many answers of the new version a gateway has had."""
+        """Records how many answers of the new version a gateway has had."""
         known = self._answers.get(gateway, 0)
         self._answers[gateway] = max(known, count)
 
     def get_answers(self) -> int:
-        """Answers of the new version, over all gateways."""
+        """Returns how many answers the new version gave, over all gateways."""
         return sum(self._answers.values())
 
     def get_age_s(self, now_s: float) -> float:
-        """Time since the order was first seen by any gateway."""
+        """Returns the seconds since any gateway first received the order."""
         return now_s - self._seen_s
 
     def is_loaded(self, now_s: float) -> bool:
-        """Whether the new version has reached its load step."""
+        """Returns whether the new version has reached its load step."""
         return self.get_share(now_s) >= LOAD_STEP.share
 
     def get_ratio(self, now_s: float) -> float:
-        """Part of the order's duration that is over."""
+        """Returns the share of the order's duration that has passed."""
         return self.get_age_s(now_s) / max(1.0, self.order.duration_s)
 
     def get_share(self, now_s: float) -> float:
-        """Share of the sessions that go to the new version."""
+        """Returns the share of the sessions that go to the new version."""
         if self.outcome is RolloutOutcome.COMPLETED:
             return 1.0
         if self.is_stopped or self.outcome is RolloutOutcome.REVERTED:
@@ -302,39 +326,48 @@
         return self.first_share
 
     def is_new(self, seed: str, now_s: float) -> bool:
-        """Whether a session goes to the new version.
+        """Returns whether a session goes to the new version.
 
-        Sessions that were moved stay moved as the share grows.
+        Sessions on the new version stay there as the share grows.
         """
         return get_share(self._make_seed(seed)) < self.get_share(now_s)
 
     def add_evidence(self, route: str, evidence: float) -> None:
-        """Takes evidence from answers of one route.
+        """Adds evidence from answers of one route.
 
-        Routes are weighed apart: a version may be bad on one of them alone.
+        The evidence of each route is summed separately: a version may be
+        faulty on a single route.
+
+        Args:
+            route: Name of the route.
+            evidence: Log-likelihood ratio of the answers.
         """
         known = self._evidence.get(route, 0.0)
         self._evidence[route] = max(EVIDENCE_FLOOR, known + evidence)
 
     def add_failure(self, upstream: str, peers: int) -> None:
-        """Takes that the new version failed, after its evidence.
+        """Records a failure of the new version, after its evidence was added.
+
+        The version is stopped where the failures, the upstreams that they came
+        from and the evidence suffice.
 
         Args:
-            upstream: Which of its upstreams did.
-            peers: Number of its upstreams.
+            upstream: Upstream of the new version that failed.
+            peers: Number of upstreams of the new version.
         """
         self.new_failures += 1
         self._failed_upstreams.add(upstream)
         if self.new_failures < MIN_NEW_FAILURES:
             return
         if len(self._failed_upstreams) < min(2, peers):
-            # One upstream of several fails by its own fault.
+            # If only one upstream of several fails, the fault is that
+            # upstream's and not the version's.
             return
         if max(self._evidence.values(), default=0.0) >= STOP_EVIDENCE:
             self.is_stopped = True
 
     def get_due_outcome(self, now_s: float) -> RolloutOutcome:
-        """The outcome that should be written now; RUNNING for none."""
+        """Returns the outcome that should be written now; RUNNING for none."""
         if self.outcome is not RolloutOutcome.RUNNING:
             return RolloutOutcome.RUNNING
         if self.is_stopped:
@@ -352,15 +385,18 @@
 
 
 HALF_RATIO = 0.51
-"""Until then a session stays on the old version if it began there; a little
-over the half, since gateways learn of an order at different moments."""
+"""Share of the duration until which a session stays on the old version if it
+began there; a little over the half, since gateways receive an order at
+different moments."""
 WARM_MARGIN_S = 0.5
-"""Time that upstreams of a new version may take to start after the order."""
+"""Time in seconds that upstreams of a new version may take to start after the
+order."""
 COLLECT_S = 2.0
-"""Time in which gateways tell which sessions are going on, before any goes to
-the new version. A session's requests come to any gateway, so one gateway does
-not know them all: a note waits up to 0.25 s for a look at what is due, 0.15 s
-for others, and reads of notes are up to 1 s apart."""
+"""Time in seconds in which gateways report their active sessions, before any
+session is moved to the new version. A session's requests arrive at any
+gateway, so a single gateway does not know all sessions: a report waits up to
+0.25 s for the periodic check, 0.15 s to be batched with others, and the
+store's peer messages are read up to 1 s apart."""
 
 
 def choose_versions(
@@ -373,12 +409,15 @@
     """Chooses the version of a request.
 
     Args:
-        rollout: The service's last order; None without one.
+        rollout: The service's last roll-out; None without one.
         versions: Versions of the upstreams that take requests.
         seed: The request's session, or its id.
-        now_s: Elapsed time.
-        is_pinned_off: Whether the session is going on, on another version
-            than the new one.
+        now_s: Elapsed time in seconds.
+        is_pinned_elsewhere: Whether the session is active and was last on
+            another version than the new one.
+
+    Returns:
+        The version; None in it where upstreams of any version may be used.
     """
     if rollout is None:
         return Assignment(None)
@@ -389,7 +428,8 @@
     if target not in versions:
         return Assignment(None)
     if not old:
-        # A reverted version still serves where nothing else is left.
+        # A reverted version still serves requests where no other version is
+        # left.
         return Assignment(target, True)
     is_held = is_pinned_off or seed in rollout.held
     is_held = is_held and rollout.get_ratio(now_s) < HALF_RATIO
--- a/src/lovagestage/gateway/rotation.py
+++ b/src/lovagestage/gateway/rotation.py
@@ -1,4 +1,4 @@
-"""Upstreams that may take requests, as the store and own calls show them."""
+"""Upstreams that may take requests, by the store's entries."""
 
 from __future__ import annotations
 
@@ -15,27 +15,31 @@
 _log = logging.getLogger(__name__)
 
 LAPSE_GRACE_S = 1.4
-"""An upstream whose entry ended while the store was away is used so long: its
-next heartbeat writes it again. Under the shortest time for which a leaving
-upstream still serves, so one that has really left is never sent a request
-too late."""
+"""Time in seconds for which an upstream is still used whose entry expired
+while the store was unavailable: its next heartbeat writes the entry again. It
+is shorter than the shortest time for which a leaving upstream still serves
+requests, so one that has really left is never sent a request too late."""
 FORGET_S = 600.0
-"""Upstreams that are gone are remembered for the reads that show the past, and
-for entries that are written late. With 655 that leave a day, five are kept."""
+"""Time in seconds for which upstreams that are gone are remembered, for stale
+reads of the store and for entries that are written late. Where 655 upstreams
+leave in a day, about five are held in memory."""
 
 
 class Rotation:
     """All upstreams that this gateway knows of.
 
-    An id may be used again by a process that starts anew. The order of the
-    store's records tells which of two processes is the newer one, not their
-    clocks: a start that was not seen before is a new process even where its
-    time is an earlier one. A start that was replaced is of a process that is
-    gone, and its record a write that was carried out late.
+    A new process may reuse the id of an upstream. The order of the store's
+    records, and not the processes' clocks, tells which of two processes is the
+    newer one: a start time that was not known before belongs to a new process
+    even where it is an earlier time. A start time that was replaced belongs to
+    a process that is gone, and its record is a write that the store carried
+    out late.
 
     Attributes:
-        revision: Grows whenever processes come or go.
-        cold_until_s: Elapsed time from which none is known to be cold.
+        revision: Number that grows whenever upstream processes are added,
+            replaced or removed.
+        cold_until_s: Elapsed time in seconds from which no known upstream is
+            warming up.
     """
 
     def __init__(self) -> None:
@@ -56,16 +60,17 @@
         now_s: float,
         was_away: bool,
     ) -> None:
-        """Takes an entry of the store, or its removal.
+        """Applies an entry of the store, or its removal.
 
         Args:
-            name: Its id.
-            entry: What it says; None where the entry was removed.
-            offset: Offset of the record; an older one than known is ignored,
-                since a read may show the past.
-            now_s: Elapsed time.
-            was_away: Whether the store was lately out of reach, so that a
-                removal may only mean that the upstream could not write.
+            name: Id of the upstream.
+            entry: The entry; None where it was removed.
+            offset: Offset of the record; a record that is older than the known
+                one is ignored, since a read may be stale.
+            now_s: Elapsed time in seconds.
+            was_store_unavailable: Whether the store was recently out of reach,
+                so that a removal may only mean that the upstream could not
+                write.
         """
         known = self._upstreams.get(name)
         if known is not None and offset < known.offset:
@@ -99,7 +104,14 @@
         now_s: float,
         was_away: bool,
     ) -> None:
-        """Takes a full list; what is missing in it has been removed."""
+        """Applies a full list; upstreams that it does not name were removed.
+
+        Args:
+            entries: Id, entry and offset of each upstream.
+            end: Offset up to which the list is complete; newer records stay.
+            now_s: Elapsed time in seconds.
+            was_store_unavailable: Whether the store was recently out of reach.
+        """
         listed = set()
         for name, entry, offset in entries:
             listed.add(name)
@@ -110,7 +122,10 @@
         self._ready.clear()
 
     def expire(self, now_s: float) -> None:
-        """Gives up lapsed upstreams that did not come back."""
+        """Removes upstreams whose entries expired and were not written again.
+
+        Upstreams that have been gone for long enough are forgotten.
+        """
         for upstream in list(self._upstreams.values()):
             age_s = now_s - upstream.changed_s
             if upstream.state is UpstreamState.LAPSED:
@@ -121,7 +136,10 @@
                 self._drop(upstream)
 
     def get_ready(self, service: ServiceId) -> list[Upstream]:
-        """Upstreams of a service that take requests; not to be changed."""
+        """Returns a service's upstreams that take requests.
+
+        The caller must not change the list.
+        """
         ready = self._ready.get(service)
         if ready is None:
             usable = (UpstreamState.READY, UpstreamState.LAPSED)
@@ -136,18 +154,21 @@
     def note_cold(
         self, upstream: Upstream, left_s: float, now_s: float
     ) -> None:
-        """Takes that an upstream stays cold for so long."""
+        """Records for how many seconds an upstream still warms up."""
         upstream.note_cold(left_s, now_s)
         self.cold_until_s = max(self.cold_until_s, now_s + left_s)
 
     def get_all(self) -> list[Upstream]:
-        """All upstreams, also those that are gone."""
+        """Returns all upstreams, including those that are gone."""
         return list(self._upstreams.values())
 
     def _get_process(
         self, name: InstanceId, entry: UpstreamEntry, offset: int, now_s: float
     ) -> Upstream:
-        """The process that an entry is of, listed under the entry's service."""
+        """Returns the upstream process that an entry belongs to.
+
+        The process is listed under the entry's service.
+        """
         known = self._upstreams.get(name)
         if known is None:
             return self._add(name, entry, offset, now_s)
@@ -161,8 +182,8 @@
 
     @staticmethod
     def _is_restart(known: Upstream, entry: UpstreamEntry) -> bool:
-        # An entry of one that does not tell its start is no sign of a new
-        # process, neither before nor after one that does.
+        # An entry without a start time is no sign of a new process, neither
+        # before nor after an entry with one.
         starts = (known.entry.born_ms, entry.born_ms)
         return None not in starts and starts[0] != starts[1]
 
--- a/src/lovagestage/gateway/suspects.py
+++ b/src/lovagestage/gateway/suspects.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash their upstreams from being sent on and on."""
+"""Keeps requests that crash their upstreams from being retried on and on."""
 
 from __future__ import annotations
 
@@ -23,18 +23,19 @@
 _log = logging.getLogger(__name__)
 
 CONFIRM_TIMEOUT_S = 0.5
-"""An upstream that takes no connection for so long after it broke one has
-crashed; one that only reset a connection takes the next at once."""
+"""Time in seconds within which an upstream must accept a new connection after
+it broke one. An upstream that does not has crashed; one that only reset a
+connection accepts the next one immediately."""
 
 
 class SuspectWatch:
-    """Tells crashes from lost connections and shares what it learns.
+    """Distinguishes crashes from lost connections and reports the crashes.
 
-    A lost connection alone is no strike: links break, and all requests of
-    the VM would be suspected.
+    A lost connection alone counts as no strike: network links fail, and then
+    all requests of the VM would be suspected.
 
     Args:
-        post: Tells the other gateways.
+        post: Sends a report to the other gateways.
     """
 
     def __init__(self, post: Callable[[CrashReport], None]) -> None:
@@ -43,18 +44,24 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def admit(self, fingerprint: Fingerprint) -> Admission:
-        """How a request may run now."""
+        """Returns how a request may run now."""
         return self._table.admit(fingerprint, get_elapsed_s())
 
     def start_probe(self, fingerprint: Fingerprint, run: str) -> None:
-        """Notes that a suspect runs alone."""
+        """Records and reports that a suspect request runs alone as a probe."""
         report = self._table.start_probe(fingerprint, run, get_elapsed_s())
         self._post(report)
 
     def note_lost(
         self, fingerprint: Fingerprint, run: str, upstream: Upstream
     ) -> None:
-        """Finds out whether the upstream crashed under a request."""
+        """Checks whether the upstream crashed while it ran a request.
+
+        Args:
+            fingerprint: Fingerprint of the request.
+            run: Name of the attempt.
+            upstream: The upstream whose connection was lost.
+        """
         task = asyncio.get_running_loop().create_task(
             self._confirm(fingerprint, run, upstream)
         )
@@ -69,7 +76,7 @@
             self._post(report)
 
     def on_report(self, report: CrashReport) -> None:
-        """Takes what another gateway tells."""
+        """Applies another gateway's report."""
         self._table.apply(report, get_elapsed_s())
 
     async def _confirm(
@@ -88,8 +95,9 @@
         self, fingerprint: Fingerprint, run: str, upstream: Upstream
     ) -> None:
         now_s = get_elapsed_s()
-        # With so many strikes before this one, the run was its probe, or it
-        # began in the moment before the last strike was confirmed.
+        # With so many strikes before this one, the run was the request's
+        # probe, or it began in the moment before the last strike was
+        # confirmed.
         strikes = self._table.get_strikes(fingerprint, now_s)
         is_last = strikes >= STRIKES_TO_PROBE
         report = self._table.add_crash(fingerprint, run, is_last, now_s)
@@ -106,7 +114,7 @@
 
 
 def make_fingerprint(admitted: Admitted) -> Fingerprint:
-    """Names a request by its workspace, path and body, whatever its id."""
+    """Makes a hash of a request's workspace, path and body, without its id."""
     workspace = admitted.workspace
     name = workspace.name if workspace else ""
     path = admitted.request.target.decode("ascii")
--- a/src/lovagestage/gateway/told_waits.py
+++ b/src/lovagestage/gateway/told_waits.py
@@ -1,7 +1,7 @@
-"""Sums what gateways told of their waiting requests, upstream by upstream.
+"""Sums the queue times that gateways report, by upstream.
 
-The load that this answers: a gateway takes in a hundred datagrams a second,
-each of which names a few of thousands of upstreams.
+A gateway receives a hundred datagrams a second, each of which names a few of
+thousands of upstreams, so each report updates only the sums that it changes.
 """
 
 from __future__ import annotations
@@ -10,10 +10,11 @@
 
 
 class ToldWaits:
-    """Sums by upstream over the gateways that count.
+    """Sums of reported queue times, by upstream, over the reporting gateways.
 
-    Gateways and upstreams go by short names, waits by whole units, so that
-    sums which are added to and taken from end where they began.
+    Gateways and upstreams are identified by short numbers, and queue times are
+    whole units, so that a sum to which values are added and from which they
+    are subtracted again returns exactly to its start.
     """
 
     def __init__(self) -> None:
@@ -21,7 +22,11 @@
         self._totals: dict[int, int] = {}
 
     def replace(self, gateway: int, waits: Mapping[int, int]) -> set[int]:
-        """Takes all that a gateway has waiting now.
+        """Replaces all queue times that a gateway has reported.
+
+        Args:
+            gateway: Number of the gateway.
+            waits: Queue time by upstream, in whole units.
 
         Returns:
             Upstreams whose sum may have changed.
@@ -37,5 +42,5 @@
         return set(changed)
 
     def get(self, upstream: int) -> int:
-        """What waits at an upstream, over all gateways."""
+        """Returns the queue time at an upstream, summed over all gateways."""
         return self._totals.get(upstream, 0)
--- a/src/lovagestage/gateway/trust.py
+++ b/src/lovagestage/gateway/trust.py
@@ -1,25 +1,29 @@
-"""How long a gateway may believe that its configuration is current."""
+"""How long a gateway may take its configuration for the current one."""
 
 from __future__ import annotations
 
 MARGIN_S = 0.25
-"""Ends trust before the bound: a request that is admitted at the last moment
-still has to be sent, on a VM that may be slow."""
+"""Time in seconds by which freshness ends before its limit: a request that is
+admitted at the last moment still has to be sent, on a VM that may be slow."""
 NEWS_S = 3.0
-"""A newer configuration is taken to be within reach for so long after it was
-last heard of: two reads that fail, with the pauses after them."""
+"""Time in seconds for which a newer configuration is assumed to be readable
+after its last update notification: two reads that fail, with the pauses after
+them."""
 
 
 class Trust:
-    """Age of the last proof that no newer configuration exists.
+    """Age of the last check that no newer configuration existed.
 
-    A proof counts from a moment at which the store certainly had nothing
-    newer: when a read was sent, or when the wait of an answered long poll
-    was over. A poll without an answer proves nothing, however recent.
+    A freshness check counts from a moment at which the store certainly had
+    nothing newer: when a read was sent, or when the wait of an answered long
+    poll was over. A poll without an answer is no such check, however recent it
+    is.
 
     Args:
-        limit_s: A key that was taken away may be used no longer than this.
-        apply_s: A configuration is in force after this.
+        limit_s: Longest time in seconds for which a revoked API key may still
+            be accepted.
+        apply_s: Time in seconds within which a new configuration must be in
+            force.
     """
 
     def __init__(self, limit_s: float, apply_s: float) -> None:
@@ -29,32 +33,43 @@
         self._news_s: float | None = None
 
     def note_proof(self, at_s: float) -> None:
-        """Notes that the configuration was current at a time."""
+        """Records a freshness check; it cancels earlier update notifications.
+
+        Args:
+            at_s: Elapsed time in seconds at which the configuration was
+                current.
+        """
         self._news_s = None
         if self._proved_s is None or at_s > self._proved_s:
             self._proved_s = at_s
 
     def note_news(self, at_s: float) -> None:
-        """Notes that a newer configuration was heard of at a time."""
+        """Records an update notification: a newer configuration exists.
+
+        Args:
+            at_s: Elapsed time in seconds of the notification.
+        """
         self._news_s = at_s
 
     def is_superseded(self, now_s: float) -> bool:
-        """Whether a newer configuration exists that must be in force by now.
+        """Returns whether a newer configuration must be in force by now.
 
-        It may be large and arrive slowly. Served by the old one, callers
-        would use routes that were taken away. It was written after the last
-        proof, so no caller is refused before it must be in force. While the
-        store is away there is no news, and what is open to everybody goes on.
+        The newer configuration may be large and arrive slowly; with the old
+        one in force, callers would use routes that have been removed. The
+        newer one was written after the last freshness check, so no caller is
+        refused before it must be in force. While the store is unavailable
+        there are no update notifications, and requests to public routes are
+        still served.
         """
         age_s = self.get_age_s(now_s)
         has_news = self._news_s is not None and now_s - self._news_s < NEWS_S
         return has_news and (age_s is None or age_s >= self.apply_s - MARGIN_S)
 
     def get_age_s(self, now_s: float) -> float | None:
-        """Age of the last proof; None before the first."""
+        """Returns the age of the last freshness check; None before the first."""
         return None if self._proved_s is None else now_s - self._proved_s
 
     def holds(self, now_s: float) -> bool:
-        """Whether keys may be relied on."""
+        """Returns whether API keys of the configuration may be accepted."""
         age_s = self.get_age_s(now_s)
         return age_s is not None and age_s < self.limit_s - MARGIN_S
--- a/src/lovagestage/gateway/upstream.py
+++ b/src/lovagestage/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""One process of an upstream, as its entry and own calls show it."""
+"""One process of an upstream, by its entry and this gateway's own calls."""
 
 from __future__ import annotations
 
@@ -15,27 +15,31 @@
 _log = logging.getLogger(__name__)
 
 MAX_PAST_STARTS = 8
-"""Replaced processes of an id whose late writes are told apart. A write is
-carried out seconds late at most, and a process takes as long to start."""
+"""Most replaced processes of an upstream id whose late writes are recognized.
+A write is carried out seconds late at most, and a process takes as long to
+start."""
 MAX_SUBJECTS = 4096
-"""Subjects that are told apart after a restart: several times as many as an
-engine's memory holds. Once as many were sent, it is full of them."""
+"""Most prompt prefixes that are tracked after a restart: several times as many
+as an engine's cache holds. Once as many have been sent, the cache is full of
+them."""
 
 
 @dataclasses.dataclass(frozen=True)
 class UpstreamEntry:
-    """What an upstream says of itself.
+    """An upstream's entry in the store, written by the upstream itself.
 
     Attributes:
-        service: Service that it serves.
-        address: `IP:PORT`.
-        zone: Its availability zone.
-        version: Version of its software.
-        slots: Requests that it works on at once.
-        is_draining: It takes no new requests soon.
-        born_ms: Unix time of its start; None where it does not tell. Another
-            one under the same id is another process.
-        warmup_left_s: Time for which it stays cold, as it was told.
+        service: Service that the upstream serves.
+        address: Address as `IP:PORT`.
+        zone: The upstream's availability zone.
+        version: Version of the upstream's software.
+        slots: Requests that the upstream works on at once.
+        is_draining: Whether the upstream will soon take no new requests.
+        born_ms: Unix time of the process's start in milliseconds; None where
+            the entry has none. Another value under the same id belongs to
+            another process.
+        warmup_left_s: Time in seconds for which the upstream still warms up,
+            as the entry reports it.
     """
 
     service: ServiceId
@@ -54,7 +58,8 @@
     READY = "ready"
     DRAINING = "draining"
     LAPSED = "lapsed"
-    """Its entry ended while the store was away; it may come back."""
+    """The upstream's entry expired while the store was unavailable; the
+    upstream may write it again."""
     GONE = "gone"
 
 
@@ -62,16 +67,18 @@
     """One process of an upstream.
 
     Attributes:
-        id: Its id.
-        entry: What it last said of itself.
-        offset: Offset of that entry in the store.
-        state: Whether it takes requests.
-        has_left: Whether it ever said that it leaves. An incarnation that did
-            takes nothing any more, whatever is written of it later.
-        changed_s: Elapsed time at the last change of the state.
-        performance: What this gateway saw of it.
-        warmup: How cold it may be, and what was sent to it lately.
-        past_born_ms: Starts of the processes that had its id before.
+        id: Id of the upstream.
+        entry: The newest entry.
+        offset: Offset of the newest entry, or of its removal, in the store.
+        state: Whether the upstream takes requests.
+        has_left: Whether any entry of this process said that it is draining.
+            Such a process gets no more requests, whatever is written of it
+            later.
+        changed_s: Elapsed time in seconds of the last change of the state.
+        performance: Load, health and speed as this gateway observes them.
+        warmup: Whether the upstream may be warming up, and which requests this
+            gateway sent to it recently.
+        past_start_ms: Start times of earlier processes with the same id.
     """
 
     def __init__(
@@ -91,21 +98,26 @@
 
     @property
     def incarnation(self) -> str:
-        """Names this process, apart from others under the same id."""
+        """Name of this process, distinct from others under the same id."""
         return f"{self.id}/{self.entry.born_ms}"
 
     def get_rank(self, seed: int) -> int:
-        """Its rank among others by a hash, the same at all gateways."""
+        """Returns the upstream's hash rank, which is the same at all gateways."""
         return int(xxhash.xxh3_64_intdigest(self._name, seed))
 
     def make_successor(
         self, entry: UpstreamEntry, offset: int, now_s: float
     ) -> Upstream:
-        """The process that started under the same id.
+        """Makes the process that has started under the same id.
 
-        It knows nothing of before, and nothing that was seen of this one is
-        true of it: requests that run, failures, speed, kept connections,
-        prompts that it has read.
+        The new process shares no state with the old one, so nothing that was
+        observed of the old process applies to it: running requests, failures,
+        speed, pooled connections, cached prompt prefixes.
+
+        Args:
+            entry: The new process's entry.
+            offset: Offset of that entry in the store.
+            now_s: Elapsed time in seconds.
         """
         successor = Upstream(self.id, entry, offset, now_s)
         past = (*self.past_born_ms, self.entry.born_ms)
@@ -114,7 +126,7 @@
         return successor
 
     def note_sent_prompt(self, subject: str) -> None:
-        """Notes that it reads a prompt of a subject."""
+        """Records that a prompt with this shared prefix is sent."""
         if self._sent_subjects is None:
             return
         self._sent_subjects.add(subject)
@@ -122,15 +134,23 @@
             self._sent_subjects = None
 
     def has_likely_read(self, subject: str) -> bool:
-        """Whether it has most likely read a subject that is hashed to it.
+        """Returns whether a prefix that is hashed here is most likely cached.
 
-        Other gateways send it those as well, so the answer is no only where
-        it is known to have started with an empty memory.
+        Other gateways send prompts with such prefixes to the same upstream as
+        well, so the answer is False only where the upstream is known to have
+        started with an empty cache.
         """
         return self._sent_subjects is None or subject in self._sent_subjects
 
     def note_cold(self, left_s: float, now_s: float) -> None:
-        """Takes that it stays cold for so long; logs it where it is news."""
+        """Records for how long the upstream still warms up.
+
+        The start of a warm-up is logged.
+
+        Args:
+            left_s: Remaining warm-up time in seconds.
+            now_s: Elapsed time in seconds.
+        """
         if self.warmup.note_left(left_s, now_s):
             _log.info(
                 "upstream_cold",
@@ -143,7 +163,7 @@
             )
 
     def set_state(self, state: UpstreamState, now_s: float) -> None:
-        """Changes the state and logs it."""
+        """Changes the state and logs the change."""
         if state is self.state:
             return
         _log.info(
--- a/src/lovagestage/gateway/warmups.py
+++ b/src/lovagestage/gateway/warmups.py
@@ -1,4 +1,4 @@
-"""Keeps a gateway's requests through cold upstreams within their part."""
+"""Keeps this gateway within its share of an upstream's warm-up rate."""
 
 from __future__ import annotations
 
@@ -10,21 +10,24 @@
 from lovagestage.types import ZoneId
 
 SETTLE_S = 3.0
-"""A gateway that has just started leaves cold upstreams to others: its note
-reaches them within about a second, and what waits where tells it of them
-several times a second."""
+"""Time in seconds after its start in which a gateway leaves upstreams that are
+warming up to other gateways: its hello message reaches them within about a
+second, and it receives the reported queue times, which name the other
+gateways, several times a second."""
 
 
 class WarmupGuard:
-    """Says which cold upstreams may get one more request from here.
+    """Decides whether an upstream that warms up may get another request.
 
     Args:
-        policy: How gateways share the rate of a cold upstream.
+        policy: How gateways share the request rate of an upstream that is
+            warming up.
         zone: The gateway's availability zone.
-        own: The gateway's address; None where gateways can't hear of each
+        own: The gateway's address; None where gateways cannot discover each
             other.
-        get_neighbours: Addresses of the others in the zone.
-        started_s: Elapsed time at the start of the process.
+        get_zone_peers: Returns the addresses of the other gateways in the
+            zone.
+        started_s: Elapsed time in seconds at the start of the process.
     """
 
     def __init__(
@@ -44,7 +47,15 @@
     def has_room(
         self, upstream: Upstream, warmup: Warmup, now_s: float
     ) -> bool:
-        """Whether an upstream is warm, or may get one more request."""
+        """Returns whether an upstream may get another request from here.
+
+        An upstream that is not warming up may always get one.
+
+        Args:
+            upstream: The upstream.
+            warmup: Warm-up of the upstream's service.
+            now_s: Elapsed time in seconds.
+        """
         if not upstream.warmup.is_cold(now_s):
             return True
         pace = self._policy.get_pace(
