--- a/src/lovagestage/gateway/admission.py
+++ b/src/lovagestage/gateway/admission.py
@@ -63,7 +63,7 @@
             self.route.homes, None if workspace is None else workspace.homes
         )
 
-    def get_left_s(self, now_s: float) -> float:
+    def get_remaining_s(self, now_s: float) -> float:
         """Returns the time in seconds until the request's deadline."""
         return self.deadline_s - now_s
 
@@ -71,7 +71,7 @@
 def admit(
     request: CallerRequest,
     configuration: Configuration | None,
-    trust: Trust,
+    freshness: Trust,
     now_s: float,
 ) -> Admitted:
     """Finds the request's route and checks its API key.
@@ -80,8 +80,8 @@
         request: The request.
         configuration: The configuration in force; None before the first one is
             known.
-        trust: Freshness of the configuration, which says whether its API keys
-            may still be used.
+        freshness: Freshness of the configuration, which says whether its API
+            keys may still be used.
         now_s: Elapsed time in seconds.
 
     Returns:
@@ -92,17 +92,17 @@
     """
     if configuration is None:
         raise GatewayRefusalError(503, "no_configuration", COME_BACK_S)
-    if trust.is_superseded(now_s):
+    if freshness.is_superseded(now_s):
         raise GatewayRefusalError(503, "configuration_superseded", COME_BACK_S)
     route = configuration.get_route(request.host, request.path)
     if route is None:
         # An outdated configuration may lack a route that a newer one has, so
         # "no route" is final only while the configuration is fresh.
-        _check_trust(trust, now_s)
+        _check_freshness(freshness, now_s)
         raise GatewayRefusalError(404, "no_route")
     workspace = None
     if configuration.keys is not None and not route.is_public:
-        _check_trust(trust, now_s)
+        _check_freshness(freshness, now_s)
         workspace = configuration.keys.get(request.key or "")
         if workspace is None:
             raise GatewayRefusalError(401, "unknown_key")
@@ -120,6 +120,6 @@
     )
 
 
-def _check_trust(trust: Trust, now_s: float) -> None:
-    if not trust.holds(now_s):
+def _check_freshness(freshness: Trust, now_s: float) -> None:
+    if not freshness.holds(now_s):
         raise GatewayRefusalError(503, "configuration_too_old", COME_BACK_S)
--- a/src/lovagestage/gateway/attempts.py
+++ b/src/lovagestage/gateway/attempts.py
@@ -24,10 +24,10 @@
 MAX_REFUSALS = 3
 """Upstreams that may refuse a request before its caller is asked to retry
 later: where three upstreams are full, the next one most likely is, too."""
-MANY_UPSTREAMS = 100
+MAX_SAMPLED_UPSTREAMS = 100
 """Most upstreams among which the shortest queue is searched: a load gauge
 needs no more of them, and the search is made for the head of each answer."""
-MIN_LEFT_S = 0.05
+MIN_REMAINING_S = 0.05
 """Time in seconds that must be left until the deadline for another attempt to
 be of use."""
 
@@ -96,7 +96,7 @@
         self._rng = rng
         self._excluded: set[InstanceId] = set()
         self._refusals = 0
-        self._has_new_failed = False
+        self._has_new_version_failed = False
 
     @functools.cached_property
     def fingerprint(self) -> Fingerprint:
@@ -112,7 +112,7 @@
     def left_s(self) -> float:
         """Time in seconds until the request's deadline."""
         now_s = asyncio.get_running_loop().time()
-        return self.admitted.get_left_s(now_s)
+        return self.admitted.get_remaining_s(now_s)
 
     @property
     def left_ratio(self) -> float:
@@ -134,7 +134,7 @@
         Raises:
             GatewayRefusalError: No upstream is left for the request.
         """
-        placement = self._place(work)
+        placement = self._choose_placement(work)
         if placement is None:
             raise self.make_refusal(self._get_missing_reason())
         upstream = placement.upstream
@@ -144,7 +144,7 @@
         self.work_s = placement.work_s
         self.is_cached = placement.is_cached
         if work.subject is not None:
-            upstream.note_sent_prompt(work.subject)
+            upstream.record_sent_prefix(work.subject)
         self.sent += 1
         self.runs += 1
         self.tried.append(upstream.id)
@@ -156,14 +156,16 @@
     def _get_missing_reason(self) -> str:
         """Returns the name of the reason why no upstream is left."""
         admitted, deployment = self.admitted, self._deployment
-        at_home = deployment.get_ready(admitted.service, admitted.homes)
-        if not at_home and deployment.get_ready(admitted.service, None):
+        allowed = deployment.get_ready(admitted.service, admitted.homes)
+        if not allowed and deployment.get_ready(admitted.service, None):
             return "no_upstream_at_home"
-        if at_home and not deployment.get_open(at_home, get_elapsed_s()):
+        if allowed and not deployment.filter_available(
+            allowed, get_elapsed_s()
+        ):
             return "upstreams_cold"
         return "no_upstream"
 
-    def _place(self, work: choice.Work) -> choice.Placement | None:
+    def _choose_placement(self, work: choice.Work) -> choice.Placement | None:
         admitted, deployment = self.admitted, self._deployment
         now_s = get_elapsed_s()
         self.assignment = deployment.assign(
@@ -173,7 +175,7 @@
             now_s,
             admitted.homes,
         )
-        for upstreams in self._get_groups():
+        for upstreams in self._get_upstream_groups():
             placement = choice.choose_upstream(
                 upstreams,
                 self._excluded,
@@ -181,39 +183,39 @@
                 self._zone,
                 now_s,
                 self._rng,
-                deployment.get_cold(upstreams, now_s),
+                deployment.filter_warming_up(upstreams, now_s),
             )
             if placement is not None:
                 return placement
         return None
 
-    def _get_groups(self) -> Iterator[Sequence[Upstream]]:
+    def _get_upstream_groups(self) -> Iterator[Sequence[Upstream]]:
         """Yields upstreams by version, in the order in which they are tried.
 
         A session is sent to other upstreams of its version before it changes
         the version.
         """
-        if self._has_new_failed:
+        if self._has_new_version_failed:
             # A failed answer of the new version is a sign against the version
             # rather than against the upstream, so other versions are tried
             # first.
-            yield self._get_others()
-        yield self._get_own()
-        if self._has_new_failed:
+            yield self._get_fallback_upstreams()
+        yield self._get_assigned_upstreams()
+        if self._has_new_version_failed:
             return
         admitted, deployment = self.admitted, self._deployment
-        same = deployment.get_version_upstreams(
+        same_version = deployment.get_version_upstreams(
             admitted.service, self.assignment, admitted.homes
         )
-        yield deployment.get_open(same, get_elapsed_s())
-        yield self._get_others()
+        yield deployment.filter_available(same_version, get_elapsed_s())
+        yield self._get_fallback_upstreams()
 
-    def _get_others(self) -> Sequence[Upstream]:
+    def _get_fallback_upstreams(self) -> Sequence[Upstream]:
         admitted, deployment = self.admitted, self._deployment
-        others = deployment.get_fallback(
+        fallback = deployment.get_fallback(
             admitted.service, self.assignment, admitted.homes
         )
-        return deployment.get_open(others, get_elapsed_s())
+        return deployment.filter_available(fallback, get_elapsed_s())
 
     def get_least_wait_s(self) -> float:
         """Returns the shortest queue time among the version's upstreams.
@@ -222,17 +224,17 @@
         searched. The time is the expected one in seconds, and 0 where the
         version has no upstream.
         """
-        own = self._get_own()
-        if len(own) > MANY_UPSTREAMS:
-            own = self._rng.sample(own, MANY_UPSTREAMS)
-        return min((u.performance.get_wait_s() for u in own), default=0.0)
+        assigned = self._get_assigned_upstreams()
+        if len(assigned) > MAX_SAMPLED_UPSTREAMS:
+            assigned = self._rng.sample(assigned, MAX_SAMPLED_UPSTREAMS)
+        return min((u.performance.get_wait_s() for u in assigned), default=0.0)
 
-    def _get_own(self) -> Sequence[Upstream]:
+    def _get_assigned_upstreams(self) -> Sequence[Upstream]:
         now_s = get_elapsed_s()
         upstreams = self._deployment.get_upstreams(
             self.admitted.service, self.assignment, now_s, self.admitted.homes
         )
-        return self._deployment.get_open(upstreams, now_s)
+        return self._deployment.filter_available(upstreams, now_s)
 
     def note_failure(
         self, upstream: Upstream, error: AttemptFailedError
@@ -256,7 +258,7 @@
             if error.has_arrived:
                 self._refusals += 1
         if not error.has_arrived:
-            self._budget.give_back()
+            self._budget.release()
 
     def note_head(self, connect_s: float, head_s: float) -> None:
         """Records how long the last attempt took until its answer began.
@@ -282,13 +284,13 @@
         new version of a roll-out also counts against that version.
         """
         self._excluded.add(upstream.id)
-        self._has_new_failed |= self.assignment.is_new
+        self._has_new_version_failed |= self.assignment.is_new
 
     def has_other(self) -> bool:
         """Returns whether an upstream is left that has not yet failed it."""
         return any(
             upstream.id not in self._excluded
-            for upstreams in self._get_groups()
+            for upstreams in self._get_upstream_groups()
             for upstream in upstreams
         )
 
@@ -299,13 +301,13 @@
         than once is sent again, and no more often than its route allows.
         """
         route = self.admitted.route
-        if self.left_s < MIN_LEFT_S or self._refusals >= MAX_REFUSALS:
+        if self.left_s < MIN_REMAINING_S or self._refusals >= MAX_REFUSALS:
             return False
         if self.runs >= route.max_attempts:
             return False
         if self.runs and not route.is_repeatable:
             return False
-        if self._budget.take(get_elapsed_s()):
+        if self._budget.try_acquire(get_elapsed_s()):
             return True
         _log.warning(
             "repeat_denied",
@@ -326,7 +328,7 @@
         route = self.admitted.route
         if self.runs >= route.max_attempts or not route.is_repeatable:
             return False
-        return self._budget.take_larger(get_elapsed_s())
+        return self._budget.try_acquire_escalation(get_elapsed_s())
 
     def make_refusal(
         self, reason: str, comes_back: bool = True
@@ -347,6 +349,6 @@
         if self.runs == 0:
             retry_after_s = COME_BACK_S if comes_back else None
             return GatewayRefusalError(503, reason, retry_after_s)
-        if self.left_s <= MIN_LEFT_S:
+        if self.left_s <= MIN_REMAINING_S:
             return GatewayRefusalError(504, reason)
         return GatewayRefusalError(502, reason)
--- a/src/lovagestage/gateway/beliefs.py
+++ b/src/lovagestage/gateway/beliefs.py
@@ -24,12 +24,12 @@
 
 _log = logging.getLogger(__name__)
 
-AWAY_MEMORY_S = 2.0
+STORE_OUTAGE_MEMORY_S = 2.0
 """Time in seconds after an outage of the store during which the removal of an
 entry is taken for an expiry: upstreams whose entries expired while the store
 was unavailable write them again within about this time."""
 
-MAX_REFUSED = 256
+MAX_REFUSED_KEYS = 256
 """Most keys of refused entries that are remembered so that each refusal is
 logged once."""
 
@@ -60,16 +60,16 @@
         An evacuation without a record in the list has ended.
         """
         self.on_records(page)
-        standing = {
+        evacuated = {
             zone: Offset(record.offset)
             for record in page.records
             if (zone := get_evacuated_zone(record.key)) is not None
         }
         changes = self._deployment.evacuations.replace_all(
-            standing, Offset(page.end)
+            evacuated, Offset(page.end)
         )
-        for zone, is_standing in changes.items():
-            self._note_evacuation(zone, is_standing, page.end)
+        for zone, is_evacuated in changes.items():
+            self._on_evacuation_changed(zone, is_evacuated, page.end)
 
     def on_records(self, page: Page) -> None:
         """Applies records in order; logs a record that cannot be decoded."""
@@ -100,7 +100,7 @@
         Args:
             at_s: Elapsed time in seconds of the notification.
         """
-        self._deployment.trust.note_news(at_s)
+        self._deployment.trust.record_update_notification(at_s)
 
     def _apply(self, record: Record) -> None:
         zone = get_evacuated_zone(record.key)
@@ -117,20 +117,20 @@
             self._apply_order(record)
 
     def _apply_evacuation(self, zone: ZoneId, record: Record) -> None:
-        is_standing = record.value is not None
+        is_evacuated = record.value is not None
         if self._deployment.evacuations.apply(
-            zone, Offset(record.offset), is_standing
+            zone, Offset(record.offset), is_evacuated
         ):
-            self._note_evacuation(zone, is_standing, record.offset)
+            self._on_evacuation_changed(zone, is_evacuated, record.offset)
 
-    def _note_evacuation(
-        self, zone: ZoneId, is_standing: bool, offset: int
+    def _on_evacuation_changed(
+        self, zone: ZoneId, is_evacuated: bool, offset: int
     ) -> None:
-        if is_standing:
+        if is_evacuated:
             _log.info("zone_evacuated", extra={"zone": zone, "offset": offset})
             return
         _log.info("zone_given_back", extra={"zone": zone, "offset": offset})
-        self._deployment.note_given_back(zone, get_elapsed_s())
+        self._deployment.mark_zone_restored(zone, get_elapsed_s())
 
     def _apply_order(self, record: Record) -> None:
         assert record.value is not None
@@ -185,15 +185,18 @@
             if entry is not None
         ]
         self._deployment.rotation.replace_all(
-            entries, page.end, now_s, self._was_away(now_s)
+            entries, page.end, now_s, self._was_store_unavailable(now_s)
         )
 
     def on_records(self, page: Page) -> None:
         """Applies entries and removals in order."""
         now_s = get_elapsed_s()
-        rotation, was_away = self._deployment.rotation, self._was_away(now_s)
+        rotation, was_store_unavailable = (
+            self._deployment.rotation,
+            self._was_store_unavailable(now_s),
+        )
         for name, entry, offset in self._decode(page.records):
-            rotation.apply(name, entry, offset, now_s, was_away)
+            rotation.apply(name, entry, offset, now_s, was_store_unavailable)
 
     def on_proof(self, at_s: float) -> None:
         """Ignores freshness checks, which matter only to configurations."""
@@ -201,10 +204,10 @@
     def on_news(self, at_s: float) -> None:
         """Ignores update notifications, which matter only to configurations."""
 
-    def _was_away(self, now_s: float) -> bool:
+    def _was_store_unavailable(self, now_s: float) -> bool:
         assert self._source is not None
         age_s = self._source.get_lost_age_s(now_s)
-        return age_s is not None and age_s < AWAY_MEMORY_S
+        return age_s is not None and age_s < STORE_OUTAGE_MEMORY_S
 
     def _decode(
         self, records: Iterable[Record]
@@ -216,10 +219,12 @@
                 try:
                     entry = decode_upstream(record.value)
                 except CodecError as error:
-                    self._note_refused(name, error.message, record.offset)
+                    self._log_refused_entry(name, error.message, record.offset)
             yield name, entry, record.offset
 
-    def _note_refused(self, name: InstanceId, reason: str, offset: int) -> None:
+    def _log_refused_entry(
+        self, name: InstanceId, reason: str, offset: int
+    ) -> None:
         """Logs an entry that cannot be decoded, once for each key and reason.
 
         The upstream counts as removed: its previous entry has been
@@ -228,7 +233,7 @@
         """
         if self._refused.get(name) == reason:
             return
-        while len(self._refused) >= MAX_REFUSED:
+        while len(self._refused) >= MAX_REFUSED_KEYS:
             del self._refused[next(iter(self._refused))]
         self._refused[name] = reason
         _log.error(
--- a/src/lovagestage/gateway/cascades.py
+++ b/src/lovagestage/gateway/cascades.py
@@ -12,21 +12,21 @@
 from lovagestage.gateway.configuration import Route
 from lovagestage.gateway.messages import ANY_MODEL, CallerRequest
 
-DOUBT_CONFIDENCE = 55.0
+ESCALATION_CONFIDENCE = 55.0
 """Confidence, from 0 to 100, below which a larger model is asked while the
 upstreams are idle."""
-BUSY_DOUBT_CONFIDENCE = 0.0
+FULL_LOAD_CONFIDENCE = 0.0
 """Confidence, from 0 to 100, below which a larger model is asked while the
 upstreams are full. A larger model then takes ten times a small one's time, and
 a late answer is worth less than a poorer one, so no answer is escalated at a
 value of 0."""
-TYPICAL_TOKENS = 2_400
+TYPICAL_PROMPT_TOKENS = 2_400
 """Prompt length in tokens at which the confidence limit falls with the load
 exactly as the two constants above say. The value of a better answer grows more
 slowly with the prompt's length than the upstream's time for it, about as the
 square root of the length over the kinds of requests of the deployments, so
 long prompts stop being escalated first."""
-MIN_LEFT_RATIO = 0.3
+MIN_REMAINING_RATIO = 0.3
 """Share of the request's time budget that must be left for an escalation to
 another model."""
 
@@ -53,8 +53,8 @@
     model: str | None,
     confidence: float | None,
     prompt_tokens: int,
-    pressure: float,
-    left_ratio: float,
+    load: float,
+    remaining_ratio: float,
 ) -> str | None:
     """Returns the model to ask in place of one with low confidence.
 
@@ -65,17 +65,17 @@
             it reported none.
         prompt_tokens: Length of the prompt in tokens; 0 if unknown.
         load: Load of the upstreams, 0 for idle to 1 for full.
-        left_ratio: Share of the request's time budget that is left.
+        remaining_ratio: Share of the request's time budget that is left.
 
     Returns:
         The larger model; None to keep the answer.
     """
     if confidence is None or model not in route.models[:-1]:
         return None
-    if left_ratio < MIN_LEFT_RATIO:
+    if remaining_ratio < MIN_REMAINING_RATIO:
         return None
-    tokens = prompt_tokens or TYPICAL_TOKENS
-    weight = math.sqrt(tokens / TYPICAL_TOKENS)
-    span = DOUBT_CONFIDENCE - BUSY_DOUBT_CONFIDENCE
-    limit = DOUBT_CONFIDENCE - span * pressure * weight
-    return route.models[-1] if confidence < limit else None
+    tokens = prompt_tokens or TYPICAL_PROMPT_TOKENS
+    length_weight = math.sqrt(tokens / TYPICAL_PROMPT_TOKENS)
+    span = ESCALATION_CONFIDENCE - FULL_LOAD_CONFIDENCE
+    threshold = ESCALATION_CONFIDENCE - span * load * length_weight
+    return route.models[-1] if confidence < threshold else None
--- a/src/lovagestage/gateway/choice.py
+++ b/src/lovagestage/gateway/choice.py
@@ -17,7 +17,7 @@
 upstream of all, they would all choose the same one (Mitzenmacher 2000, "How
 Useful Is Old Information?")."""
 
-READING_WEIGHT = 3.0
+PREFILL_WEIGHT = 3.0
 """Weight of the prefill time that a cached prompt prefix saves, relative to
 queue time. A repeated prefill takes the upstream's time from all requests that
 wait there and from those that arrive meanwhile, while queue time delays only
@@ -91,38 +91,45 @@
         The chosen upstream; None where all upstreams are excluded.
     """
     if work.subject is None:
-        good = _get_good(upstreams, excluded, now_s)
-        if not good:
+        usable = _get_usable(upstreams, excluded, now_s)
+        if not usable:
             return None
-        best = min(good, key=lambda u: _get_place_cost(u, zone, rng))
+        best = min(usable, key=lambda u: _get_slot_cost(u, zone, rng))
         return Placement(best, False, work.fresh_s)
     sample = rng.sample(upstreams, min(SAMPLE, len(upstreams)))
-    likely = get_home(upstreams, work.subject)
-    if likely is None:
+    prefix_upstream = get_prefix_upstream(upstreams, work.subject)
+    if prefix_upstream is None:
         return None
-    if not all(_is_good(u, excluded, now_s) for u in (likely, *sample)):
+    if not all(
+        _is_usable(u, excluded, now_s) for u in (prefix_upstream, *sample)
+    ):
         # This path is rare, so that the gateway does not go through thousands
         # of upstreams for each request.
-        good = _get_good(upstreams, excluded, now_s)
-        likely = get_home(good, work.subject)
-        if likely is None:
+        usable = _get_usable(upstreams, excluded, now_s)
+        prefix_upstream = get_prefix_upstream(usable, work.subject)
+        if prefix_upstream is None:
             return None
-        sample = rng.sample(good, min(SAMPLE, len(good)))
+        sample = rng.sample(usable, min(SAMPLE, len(usable)))
     # Few gateways may send requests to an upstream that is warming up, and a
     # random sample would rarely contain it, so such upstreams are always
     # compared.
-    able = (u for u in cold if _is_good(u, excluded, now_s))
-    sample += [u for u in (likely, *able) if u not in sample]
-    best = min(sample, key=lambda u: _get_wait_s(u, work, u is likely, rng))
+    candidates = (u for u in cold if _is_usable(u, excluded, now_s))
+    sample += [u for u in (prefix_upstream, *candidates) if u not in sample]
+    best = min(
+        sample,
+        key=lambda u: _get_queue_cost(u, work, u is prefix_upstream, rng),
+    )
     # An upstream that has just started is preferred nevertheless: the prefix
     # that it prefills now is cached for the next request with the same prefix.
-    is_cached = best is likely and likely.has_likely_read(work.subject)
+    is_cached = best is prefix_upstream and prefix_upstream.has_likely_cached(
+        work.subject
+    )
     return Placement(
         best, is_cached, work.cached_s if is_cached else work.fresh_s
     )
 
 
-def _is_good(
+def _is_usable(
     upstream: Upstream, excluded: Collection[InstanceId], now_s: float
 ) -> bool:
     performance = upstream.performance
@@ -133,7 +140,7 @@
     )
 
 
-def _get_good(
+def _get_usable(
     upstreams: Sequence[Upstream],
     excluded: Collection[InstanceId],
     now_s: float,
@@ -143,21 +150,25 @@
     Suspect upstreams are omitted where others are left, and so are those with
     grey failures.
     """
-    able = [u for u in upstreams if u.id not in excluded]
-    sound = [u for u in able if not u.performance.is_suspect(now_s)] or able
-    return [u for u in sound if not u.performance.is_grey()] or sound
+    candidates = [u for u in upstreams if u.id not in excluded]
+    healthy = [
+        u for u in candidates if not u.performance.is_suspect(now_s)
+    ] or candidates
+    return [u for u in healthy if not u.performance.is_grey()] or healthy
 
 
-def get_home(upstreams: Sequence[Upstream], subject: str) -> Upstream | None:
+def get_prefix_upstream(
+    upstreams: Sequence[Upstream], prefix: str
+) -> Upstream | None:
     """Returns the upstream to which a prompt prefix is hashed.
 
     All gateways with the same list of upstreams get the same result.
     """
-    seed = xxhash.xxh3_64_intdigest(subject.encode())
+    seed = xxhash.xxh3_64_intdigest(prefix.encode())
     return max(upstreams, key=lambda u: u.get_rank(seed), default=None)
 
 
-def _get_place_cost(
+def _get_slot_cost(
     upstream: Upstream, zone: ZoneId, rng: random.Random
 ) -> tuple[float, bool, float]:
     """Ranks upstreams for requests without a shared prompt prefix.
@@ -169,21 +180,21 @@
     answers none.
     """
     performance = upstream.performance
-    filled_s = performance.get_wait_s() / max(1, upstream.entry.slots)
+    slot_wait_s = performance.get_wait_s() / max(1, upstream.entry.slots)
     return (
-        filled_s * performance.slowness,
+        slot_wait_s * performance.slowness,
         upstream.entry.zone != zone,
         rng.random(),
     )
 
 
-def _get_wait_s(
-    upstream: Upstream, work: Work, is_likely: bool, rng: random.Random
+def _get_queue_cost(
+    upstream: Upstream, work: Work, is_prefix_upstream: bool, rng: random.Random
 ) -> tuple[float, float]:
     """Ranks upstreams for prompts that are prefilled one after another."""
     performance = upstream.performance
-    own_s = work.fresh_s
-    if is_likely:
-        own_s -= READING_WEIGHT * (work.fresh_s - work.cached_s)
+    cost_s = work.fresh_s
+    if is_prefix_upstream:
+        cost_s -= PREFILL_WEIGHT * (work.fresh_s - work.cached_s)
     wait_s = performance.get_wait_s()
-    return (wait_s + own_s) * performance.slowness, rng.random()
+    return (wait_s + cost_s) * performance.slowness, rng.random()
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -15,7 +15,7 @@
     Rollout,
     RolloutOutcome,
     choose_trial,
-    choose_versions,
+    choose_version,
 )
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.trust import Trust
@@ -81,7 +81,7 @@
         self.configuration = configuration
 
     def get_ready(
-        self, service: ServiceId, homes: Homes | None
+        self, service: ServiceId, allowed_regions: Homes | None
     ) -> list[Upstream]:
         """Returns the upstreams of a service to which requests may be sent.
 
@@ -95,13 +95,13 @@
                 availability zone nor outside the allowed regions.
         """
         ready = self.rotation.get_ready(service)
-        if homes is None and not len(self.evacuations):
+        if allowed_regions is None and not len(self.evacuations):
             return ready
         return [
             upstream
             for upstream in ready
             if upstream.entry.zone not in self.evacuations
-            and is_home(self.regions.get(upstream.entry.zone), homes)
+            and is_home(self.regions.get(upstream.entry.zone), allowed_regions)
         ]
 
     def get_warmup(self, service: ServiceId) -> Warmup | None:
@@ -110,7 +110,7 @@
             return None
         return self.configuration.warmups.get(service)
 
-    def note_given_back(self, zone: ZoneId, now_s: float) -> None:
+    def mark_zone_restored(self, zone: ZoneId, now_s: float) -> None:
         """Marks a restored zone's upstreams as warming up.
 
         Its upstreams may have begun to warm up shortly before, and report that
@@ -125,7 +125,7 @@
             if warmup is not None and upstream.entry.zone == zone:
                 self.rotation.note_cold(upstream, warmup.duration_s, now_s)
 
-    def get_cold(
+    def filter_warming_up(
         self, upstreams: Sequence[Upstream], now_s: float
     ) -> Sequence[Upstream]:
         """Returns those of the upstreams that are warming up."""
@@ -133,7 +133,7 @@
             return ()
         return [u for u in upstreams if u.warmup.is_cold(now_s)]
 
-    def get_open(
+    def filter_available(
         self, upstreams: Sequence[Upstream], now_s: float
     ) -> Sequence[Upstream]:
         """Returns the upstreams that may get a request from this gateway now.
@@ -157,7 +157,7 @@
         session: str | None,
         request: str,
         now_s: float,
-        homes: Homes | None = None,
+        allowed_regions: Homes | None = None,
     ) -> Assignment:
         """Chooses the version that a request's session is assigned to.
 
@@ -175,17 +175,20 @@
         rollout = self.rollouts.get(service)
         versions: list[VersionId] = []
         if rollout is not None:
-            ready = self.get_ready(service, homes)
+            ready = self.get_ready(service, allowed_regions)
             versions = sorted({upstream.entry.version for upstream in ready})
         if session is None:
-            return choose_versions(rollout, versions, request, now_s)
-        is_pinned_off = rollout is not None and self.pins.is_pinned_off(
-            service, session, rollout.order.version, now_s
+            return choose_version(rollout, versions, request, now_s)
+        is_pinned_elsewhere = (
+            rollout is not None
+            and self.pins.is_pinned_elsewhere(
+                service, session, rollout.order.version, now_s
+            )
         )
-        assignment = choose_versions(
-            rollout, versions, session, now_s, is_pinned_off
+        assignment = choose_version(
+            rollout, versions, session, now_s, is_pinned_elsewhere
         )
-        self.pins.note(service, session, assignment.version, now_s)
+        self.pins.record_request(service, session, assignment.version, now_s)
         return assignment
 
     def get_upstreams(
@@ -193,32 +196,38 @@
         service: ServiceId,
         assignment: Assignment,
         now_s: float,
-        homes: Homes | None = None,
+        allowed_regions: Homes | None = None,
     ) -> list[Upstream]:
         """Returns the upstreams that take requests of an assignment.
 
         The new version of a roll-out gets its share on a few trial upstreams,
         unless all ready upstreams are of that version.
         """
-        own = self.get_version_upstreams(service, assignment, homes)
+        version_upstreams = self.get_version_upstreams(
+            service, assignment, allowed_regions
+        )
         rollout = self.rollouts.get(service)
         if rollout is None or not assignment.is_new:
-            return own
-        if len(own) == len(self.get_ready(service, homes)):
-            return own
+            return version_upstreams
+        if len(version_upstreams) == len(
+            self.get_ready(service, allowed_regions)
+        ):
+            return version_upstreams
         trial = choose_trial(
-            [u.id for u in own], str(rollout.offset), rollout.get_share(now_s)
+            [u.id for u in version_upstreams],
+            str(rollout.offset),
+            rollout.get_share(now_s),
         )
-        return [u for u in own if u.id in trial]
+        return [u for u in version_upstreams if u.id in trial]
 
     def get_version_upstreams(
         self,
         service: ServiceId,
         assignment: Assignment,
-        homes: Homes | None = None,
+        allowed_regions: Homes | None = None,
     ) -> list[Upstream]:
         """Returns all upstreams of an assignment's version, on trial or not."""
-        ready = self.get_ready(service, homes)
+        ready = self.get_ready(service, allowed_regions)
         if assignment.version is None:
             return ready
         return [u for u in ready if u.entry.version == assignment.version]
@@ -227,7 +236,7 @@
         self,
         service: ServiceId,
         assignment: Assignment,
-        homes: Homes | None = None,
+        allowed_regions: Homes | None = None,
     ) -> list[Upstream]:
         """Returns upstreams for a request that its own version cannot answer.
 
@@ -242,7 +251,7 @@
         is_running = rollout.outcome is RolloutOutcome.RUNNING
         return [
             upstream
-            for upstream in self.get_ready(service, homes)
+            for upstream in self.get_ready(service, allowed_regions)
             if upstream.entry.version != assignment.version
             and (upstream.entry.version != target or is_running)
             and not (upstream.entry.version == target and rollout.is_stopped)
--- a/src/lovagestage/gateway/latency.py
+++ b/src/lovagestage/gateway/latency.py
@@ -16,9 +16,9 @@
 SLOW_EXTRA_S = 0.15
 """Time in seconds by which an answer must also exceed the mean to be slow: the
 times of short answers vary by more than a factor."""
-IDLE_AIM_RATIO = 0.1
+IDLE_TARGET_RATIO = 0.1
 """Share of the target latency that first events take where no request waits."""
-FULL_AIM_RATIO = 0.65
+FULL_TARGET_RATIO = 0.65
 """Share of the target latency from which prompts of typical length are no
 longer escalated to a larger model: by then the slowest answers are late."""
 
@@ -30,7 +30,7 @@
 sent to one upstream."""
 
 
-class _Mean:
+class _RunningMean:
     def __init__(self) -> None:
         self.value = 0.0
         self.samples = 0
@@ -45,11 +45,11 @@
     """Running means of answer times by kind of answer."""
 
     def __init__(self) -> None:
-        self._means: dict[Hashable, _Mean] = {}
+        self._means: dict[Hashable, _RunningMean] = {}
 
     def add(self, kind: Hashable, time_s: float) -> None:
         """Adds the time in seconds of one answer to the mean of its kind."""
-        self._means.setdefault(kind, _Mean()).add(time_s)
+        self._means.setdefault(kind, _RunningMean()).add(time_s)
 
     def get(self, kind: Hashable) -> float | None:
         """Returns the mean time in seconds; None while it has few samples."""
@@ -75,8 +75,8 @@
         mean_s = self.get(kind)
         if mean_s is None:
             return False
-        usual_s = mean_s + extra_s
-        return time_s > max(SLOW_RATIO * usual_s, usual_s + SLOW_EXTRA_S)
+        expected_s = mean_s + extra_s
+        return time_s > max(SLOW_RATIO * expected_s, expected_s + SLOW_EXTRA_S)
 
 
 class LoadGauge:
@@ -88,18 +88,18 @@
     """
 
     def __init__(self) -> None:
-        self._mean = _Mean()
+        self._mean = _RunningMean()
 
-    def add(self, time_s: float, aim_s: float) -> None:
+    def add(self, time_s: float, target_latency_s: float) -> None:
         """Records one first event.
 
         Args:
             time_s: Time in seconds until the event.
             target_latency_s: Target latency of the route in seconds.
         """
-        self._mean.add(time_s / aim_s)
+        self._mean.add(time_s / target_latency_s)
 
-    def get_pressure(self, wait_s: float, aim_s: float) -> float:
+    def get_pressure(self, wait_s: float, target_latency_s: float) -> float:
         """Returns the load, from 0 for idle to 1 for answers about to be late.
 
         Args:
@@ -110,6 +110,6 @@
             target_latency_s: Time in seconds within which an answer should
                 begin.
         """
-        span = FULL_AIM_RATIO - IDLE_AIM_RATIO
-        ratio = max(self._mean.value, wait_s / aim_s)
-        return min(1.0, max(0.0, (ratio - IDLE_AIM_RATIO) / span))
+        span = FULL_TARGET_RATIO - IDLE_TARGET_RATIO
+        ratio = max(self._mean.value, wait_s / target_latency_s)
+        return min(1.0, max(0.0, (ratio - IDLE_TARGET_RATIO) / span))
--- a/src/lovagestage/gateway/performance.py
+++ b/src/lovagestage/gateway/performance.py
@@ -4,13 +4,13 @@
 
 from lovagestage.gateway.silence import Silence
 
-SUSPECT_BASE_S = 0.5
+EXCLUSION_BASE_S = 0.5
 """Time in seconds for which an upstream is excluded after its first failure:
 the shortest time that a process takes to restart."""
-SUSPECT_LIMIT_S = 4.0
+EXCLUSION_LIMIT_S = 4.0
 """Longest time in seconds for which an upstream is excluded after failures;
 after it, a request probes whether the upstream has recovered."""
-TRIAL_S = 0.5
+PROBE_S = 0.5
 """Time in seconds for which an upstream gets no other requests while one
 request probes it: long enough for an attempt to open a connection to fail. A
 probe that hangs later, in a long queue or since its answer was lost, excludes
@@ -22,16 +22,16 @@
 FAILURE_GAIN = 0.15
 """Weight of the newest answer in the failure ratio: the last seven answers
 count for two thirds of the ratio."""
-GREY_RATIO = 0.3
+GREY_FAILURE_RATIO = 0.3
 """Failure ratio above which an upstream is chosen only where no better one is
 left. It lies above the rate of a service whose own faults fail one answer in
 seven."""
-RUNNING_S = 0.01
+RUNNING_REQUEST_S = 0.01
 """Time in seconds that each running request adds to the expected queue time:
 its tokens are generated between those of other requests."""
-SPEED_GAIN = 0.1
+SLOWNESS_GAIN = 0.1
 """Weight of the newest answer in the slowness."""
-SPEED_LIMIT = 10.0
+MAX_SLOWNESS = 10.0
 """Largest ratio of an answer's time to the expected time that counts in the
 slowness: a slower upstream is excluded anyway."""
 
@@ -59,14 +59,14 @@
         self.slowness = 1.0
         self.failure_ratio = 0.0
         self.silence = Silence()
-        self._suspect_until_s = 0.0
-        self._suspect_s = 0.0
-        self._is_tried = False
-        self._connecting_s: list[float] = []
+        self._excluded_until_s = 0.0
+        self._exclusion_s = 0.0
+        self._is_probing = False
+        self._connect_started_s: list[float] = []
 
     def get_own_wait_s(self) -> float:
         """Returns the expected queue time of this gateway's requests."""
-        return self.waiting_s + RUNNING_S * self.running
+        return self.waiting_s + RUNNING_REQUEST_S * self.running
 
     def get_wait_s(self) -> float:
         """Returns the expected queue time of all gateways' requests."""
@@ -78,27 +78,27 @@
         The signs are a recent failure, a connection that is slow to open, and
         inactivity while requests wait.
         """
-        if now_s < self._suspect_until_s:
+        if now_s < self._excluded_until_s:
             return True
-        opening_s = self._connecting_s
-        if opening_s and opening_s[0] < now_s - SLOW_CONNECT_S:
+        started_s = self._connect_started_s
+        if started_s and started_s[0] < now_s - SLOW_CONNECT_S:
             return True
         return self.silence.is_stalled(now_s)
 
     def get_left_out_s(self, now_s: float) -> float:
         """Returns for how many seconds the upstream is still excluded."""
-        return max(0.0, self._suspect_until_s - now_s)
+        return max(0.0, self._excluded_until_s - now_s)
 
     def is_grey(self) -> bool:
         """Returns whether the upstream has a grey failure.
 
         Such an upstream answers, but fails many requests.
         """
-        return self.failure_ratio > GREY_RATIO
+        return self.failure_ratio > GREY_FAILURE_RATIO
 
     def note_connecting(self, now_s: float) -> None:
         """Records that a connection to the upstream is being opened."""
-        self._connecting_s.append(now_s)
+        self._connect_started_s.append(now_s)
 
     def note_connect_ended(self, begun_s: float) -> None:
         """Records that an attempt to open a connection has ended.
@@ -106,7 +106,7 @@
         Args:
             begun_s: Elapsed time in seconds at which that attempt began.
         """
-        self._connecting_s.remove(begun_s)
+        self._connect_started_s.remove(begun_s)
 
     def note_sent(self, now_s: float) -> None:
         """Records a request; the first one after a failure is a probe.
@@ -116,15 +116,15 @@
         fails would be sent there, each time that the upstream's exclusion
         ends.
         """
-        if self._suspect_s and not self.is_suspect(now_s):
-            self._is_tried = True
-            self._suspect_until_s = now_s + TRIAL_S
+        if self._exclusion_s and not self.is_suspect(now_s):
+            self._is_probing = True
+            self._excluded_until_s = now_s + PROBE_S
 
     def note_heard(self) -> None:
         """Records data from the upstream; it ends the exclusion by a probe."""
-        if self._is_tried:
-            self._is_tried = False
-            self._suspect_until_s = 0.0
+        if self._is_probing:
+            self._is_probing = False
+            self._excluded_until_s = 0.0
 
     def note_absent(self, now_s: float) -> None:
         """Records that the upstream was unreachable or inactive for too long.
@@ -132,12 +132,12 @@
         The upstream is excluded, for twice as long after each failed probe.
         Failures during an exclusion count once.
         """
-        if now_s < self._suspect_until_s and not self._is_tried:
+        if now_s < self._excluded_until_s and not self._is_probing:
             return
-        self._is_tried = False
-        doubled_s = max(SUSPECT_BASE_S, 2 * self._suspect_s)
-        self._suspect_s = min(SUSPECT_LIMIT_S, doubled_s)
-        self._suspect_until_s = now_s + self._suspect_s
+        self._is_probing = False
+        doubled_s = max(EXCLUSION_BASE_S, 2 * self._exclusion_s)
+        self._exclusion_s = min(EXCLUSION_LIMIT_S, doubled_s)
+        self._excluded_until_s = now_s + self._exclusion_s
 
     def note_time(self, time_s: float, expected_s: float) -> None:
         """Records how long an answer took to begin.
@@ -149,13 +149,13 @@
         """
         if expected_s <= 0.0:
             return
-        ratio = min(SPEED_LIMIT, time_s / expected_s)
-        self.slowness += SPEED_GAIN * (ratio - self.slowness)
+        ratio = min(MAX_SLOWNESS, time_s / expected_s)
+        self.slowness += SLOWNESS_GAIN * (ratio - self.slowness)
 
     def note_answer(self, failed: bool) -> None:
         """Records whether an answer failed; a good one ends the exclusion."""
         self.failure_ratio += FAILURE_GAIN * (failed - self.failure_ratio)
         if not failed:
-            self._is_tried = False
-            self._suspect_s = 0.0
-            self._suspect_until_s = 0.0
+            self._is_probing = False
+            self._exclusion_s = 0.0
+            self._excluded_until_s = 0.0
--- a/src/lovagestage/gateway/pins.py
+++ b/src/lovagestage/gateway/pins.py
@@ -6,14 +6,14 @@
 
 from lovagestage.types import ServiceId, VersionId
 
-MARGIN_S = 0.5
+SESSION_MARGIN_S = 0.5
 """Time in seconds that is added to a session's timeout: the timeout counts
 from the end of a request, while this gateway stores the request's start."""
 MAX_SESSIONS = 20_000
 """Most sessions that are stored; the least recently used one is evicted first.
 """
 
-_Key = tuple[ServiceId, str]
+_SessionKey = tuple[ServiceId, str]
 
 
 class SessionPins:
@@ -26,13 +26,13 @@
     def __init__(self, session_s: float) -> None:
         self.session_s = session_s
         self._pins: collections.OrderedDict[
-            _Key, tuple[VersionId | None, float]
+            _SessionKey, tuple[VersionId | None, float]
         ] = collections.OrderedDict()
 
     def __len__(self) -> int:
         return len(self._pins)
 
-    def is_pinned_off(
+    def is_pinned_elsewhere(
         self,
         service: ServiceId,
         session: str,
@@ -50,10 +50,13 @@
         pin = self._pins.get((service, session))
         if pin is None:
             return False
-        last, at_s = pin
-        return last != version and now_s - at_s < self.session_s + MARGIN_S
+        last_version, started_s = pin
+        return (
+            last_version != version
+            and now_s - started_s < self.session_s + SESSION_MARGIN_S
+        )
 
-    def note(
+    def record_request(
         self,
         service: ServiceId,
         session: str,
@@ -65,9 +68,9 @@
         self._pins[key] = (version, now_s)
         self._pins.move_to_end(key)
         while len(self._pins) > MAX_SESSIONS:
-            self._pins.popitem(last=False)
+            self._pins.popitem(last_version=False)
 
-    def get_going_on(
+    def get_active_elsewhere(
         self, service: ServiceId, version: VersionId, now_s: float
     ) -> list[str]:
         """Returns active sessions that were last on another version.
@@ -79,16 +82,16 @@
         """
         return [
             session
-            for known, session in self._pins
-            if known == service
-            and self.is_pinned_off(service, session, version, now_s)
+            for pinned_service, session in self._pins
+            if pinned_service == service
+            and self.is_pinned_elsewhere(service, session, version, now_s)
         ]
 
     def expire(self, now_s: float) -> None:
         """Removes sessions that have expired."""
-        limit_s = now_s - self.session_s - MARGIN_S
+        limit_s = now_s - self.session_s - SESSION_MARGIN_S
         while self._pins:
-            key, (_, at_s) = next(iter(self._pins.items()))
-            if at_s >= limit_s:
+            key, (_, started_s) = next(iter(self._pins.items()))
+            if started_s >= limit_s:
                 return
             del self._pins[key]
--- a/src/lovagestage/gateway/reading.py
+++ b/src/lovagestage/gateway/reading.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Prompt:
+class PrefillTokens:
     """Number of tokens of a prompt that an upstream has to prefill.
 
     Attributes:
@@ -47,7 +47,7 @@
     cached_tokens: int
 
 
-def make_prompt(parts: Sequence[PromptPart]) -> Prompt | None:
+def make_prompt(parts: Sequence[PromptPart]) -> PrefillTokens | None:
     """Counts the tokens to prefill of a prompt with these parts.
 
     The last part is the request's own text, and the part before it is the
@@ -62,12 +62,12 @@
     """
     if not parts:
         return None
-    own = parts[-1].tokens
-    subject = parts[-2].tokens if len(parts) > 1 else 0
-    return Prompt(own + subject, own)
+    own_tokens = parts[-1].tokens
+    prefix_tokens = parts[-2].tokens if len(parts) > 1 else 0
+    return PrefillTokens(own_tokens + prefix_tokens, own_tokens)
 
 
-class _Rate:
+class _TokenTime:
     """A low quantile of the prefill time per token, in seconds."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
     """Prefill time per token of a prompt, by model."""
 
     def __init__(self) -> None:
-        self._rates: dict[str | None, _Rate] = {}
+        self._token_times: dict[str | None, _TokenTime] = {}
 
     def add(self, model: str | None, tokens: int, time_s: float) -> None:
         """Records the time until an answer began.
@@ -102,8 +102,8 @@
         """
         if tokens < MIN_TOKENS or time_s <= OVERHEAD_S:
             return
-        rate = self._rates.setdefault(model, _Rate())
-        rate.add((time_s - OVERHEAD_S) / tokens)
+        token_time = self._token_times.setdefault(model, _TokenTime())
+        token_time.add((time_s - OVERHEAD_S) / tokens)
 
     def get(self, model: str | None, tokens: int) -> float:
         """Returns the expected prefill time in seconds.
@@ -116,7 +116,7 @@
             The time with the overhead; a default while no time of the model is
                 known.
         """
-        rate = self._rates.get(model)
-        if rate is None:
+        token_time = self._token_times.get(model)
+        if token_time is None:
             return UNKNOWN_S
-        return OVERHEAD_S + rate.token_s * tokens
+        return OVERHEAD_S + token_time.token_s * tokens
--- a/src/lovagestage/gateway/repeats.py
+++ b/src/lovagestage/gateway/repeats.py
@@ -22,24 +22,24 @@
 SLACK_RATIO = 0.8
 """Share of the slack that the running gateways divide among them; the rest is
 for gateways that restart within a window and begin with tokens of their own."""
-UNSURE_GATEWAYS = 8
+MIN_STARTUP_GATEWAYS = 8
 """Least number of gateways that is assumed while the process is younger than a
 window: it discovers the other gateways one by one, and small deployments have
 fewer than this."""
-UNKNOWN_GATEWAYS = 32
+ASSUMED_GATEWAYS = 32
 """Number of gateways that is assumed where gateways cannot discover each
 other: too high a number denies retries, too low a number exceeds the limit."""
-MIN_SAVED = 1.0
+MIN_LIMIT = 1.0
 """Least number of retries that may be accumulated: the first request of an
 idle gateway may fail, too."""
-KEPT_RATIO = 0.25
+RESERVED_RATIO = 0.25
 """Share of the retries that may be accumulated which escalations to larger
 models leave to failed requests: a poorer answer is better than none."""
-MAX_KEPT = 2.0
+MAX_RESERVED = 2.0
 """Most retries that escalations leave to failed requests: the limit grows
 immediately when the number of the other gateways becomes known, while retries
 are earned only as requests arrive."""
-_SLICES = 10
+_WINDOW_SLICES = 10
 
 
 class RepeatBudget:
@@ -66,11 +66,13 @@
         started_s: float,
         gateways: int | None,
     ) -> None:
-        self._unused_ratio = (1.0 - EARNED_RATIO) * ratio
+        self._accumulated_ratio = (1.0 - EARNED_RATIO) * ratio
         self._slack = SLACK_RATIO * slack
         self._window_s = window_s
         self._started_s = started_s
-        self._counts: collections.deque[tuple[int, int]] = collections.deque()
+        self._slice_counts: collections.deque[tuple[int, int]] = (
+            collections.deque()
+        )
         self._requests = 0
         self._bucket = RetryBudget(
             now_s,
@@ -93,40 +95,46 @@
                 gateways cannot discover each other.
         """
         if gateways is None:
-            gateways = UNKNOWN_GATEWAYS
+            gateways = ASSUMED_GATEWAYS
         elif now_s - self._started_s < self._window_s:
-            gateways = max(gateways, UNSURE_GATEWAYS)
+            gateways = max(gateways, MIN_STARTUP_GATEWAYS)
         share = self._slack / max(1, gateways)
-        return max(MIN_SAVED, share + self._unused_ratio * self._requests)
+        return max(MIN_LIMIT, share + self._accumulated_ratio * self._requests)
 
     def note_request(self, now_s: float, gateways: int | None) -> None:
         """Counts a request and adds the share of a retry that it earns."""
-        slice_s = self._window_s / _SLICES
-        number = int(now_s / slice_s)
-        while self._counts and self._counts[0][0] <= number - _SLICES:
-            self._requests -= self._counts.popleft()[1]
-        if self._counts and self._counts[-1][0] == number:
-            self._counts[-1] = (number, self._counts[-1][1] + 1)
+        slice_s = self._window_s / _WINDOW_SLICES
+        slice_index = int(now_s / slice_s)
+        while (
+            self._slice_counts
+            and self._slice_counts[0][0] <= slice_index - _WINDOW_SLICES
+        ):
+            self._requests -= self._slice_counts.popleft()[1]
+        if self._slice_counts and self._slice_counts[-1][0] == slice_index:
+            self._slice_counts[-1] = (
+                slice_index,
+                self._slice_counts[-1][1] + 1,
+            )
         else:
-            self._counts.append((number, 1))
+            self._slice_counts.append((slice_index, 1))
         self._requests += 1
         self._bucket.limit = self.get_limit(now_s, gateways)
         self._bucket.note_request(now_s)
 
-    def take(self, now_s: float) -> bool:
+    def try_acquire(self, now_s: float) -> bool:
         """Takes a retry for a failed request; False where none is left."""
         return self._bucket.take(now_s)
 
-    def take_larger(self, now_s: float) -> bool:
+    def try_acquire_escalation(self, now_s: float) -> bool:
         """Takes a retry for an escalation to a larger model.
 
         Returns:
             False where fewer retries would be left than are reserved for
                 failed requests.
         """
-        kept = min(MAX_KEPT, KEPT_RATIO * self._bucket.limit)
-        return self._bucket.take(now_s, kept)
+        reserve = min(MAX_RESERVED, RESERVED_RATIO * self._bucket.limit)
+        return self._bucket.take(now_s, reserve)
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Returns a retry that reached no upstream to the budget."""
         self._bucket.give_back()
--- a/src/lovagestage/gateway/risks.py
+++ b/src/lovagestage/gateway/risks.py
@@ -7,7 +7,7 @@
 
 from lovagestage.types import ServiceId
 
-RISK_GAIN = 0.04
+FAILURE_RATE_GAIN = 0.04
 """Weight of the newest answer in a route's failure rate. About the last 25
 answers count, so that a fault of both versions is known before it is taken for
 a fault of the new one."""
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Rate:
+class _RequestRate:
     """A request rate with exponential decay.
 
     Attributes:
@@ -38,14 +38,14 @@
         return self.per_s * math.exp((self.at_s - now_s) / RATE_SPAN_S)
 
 
-class RiskTable:
+class FailureRateTable:
     """Failure rates by route, and request rates by service."""
 
     def __init__(self) -> None:
-        self._risks: dict[tuple[ServiceId, str], float] = {}
-        self._rates: dict[ServiceId, _Rate] = {}
+        self._failure_rates: dict[tuple[ServiceId, str], float] = {}
+        self._request_rates: dict[ServiceId, _RequestRate] = {}
 
-    def add(
+    def record_answer(
         self, service: ServiceId, route: str, failed: bool, now_s: float
     ) -> None:
         """Records an answer of a version that is not being rolled out.
@@ -57,18 +57,20 @@
             now_s: Elapsed time in seconds.
         """
         key = (service, route)
-        known = self._risks.get(key, 0.0)
-        self._risks[key] = known + RISK_GAIN * (failed - known)
-        rate = self._rates.get(service, _Rate(0.0, now_s, now_s))
-        self._rates[service] = _Rate(
+        previous = self._failure_rates.get(key, 0.0)
+        self._failure_rates[key] = previous + FAILURE_RATE_GAIN * (
+            failed - previous
+        )
+        rate = self._request_rates.get(service, _RequestRate(0.0, now_s, now_s))
+        self._request_rates[service] = _RequestRate(
             rate.get(now_s) + 1.0 / RATE_SPAN_S, now_s, rate.first_s
         )
 
-    def get(self, service: ServiceId, route: str) -> float:
+    def get_failure_rate(self, service: ServiceId, route: str) -> float:
         """Returns the share of a route's requests that fail, from 0 to 1."""
-        return self._risks.get((service, route), 0.0)
+        return self._failure_rates.get((service, route), 0.0)
 
-    def get_rate(self, service: ServiceId, now_s: float) -> float:
+    def get_request_rate(self, service: ServiceId, now_s: float) -> float:
         """Returns the service's answers per second at this gateway.
 
         A count that is younger than its time constant is scaled up. Otherwise
@@ -77,7 +79,7 @@
         share, and a version that becomes faulty late would get more requests
         than it may.
         """
-        rate = self._rates.get(service)
+        rate = self._request_rates.get(service)
         if rate is None:
             return 0.0
         age_s = max(MIN_AGE_S, now_s - rate.first_s)
--- a/src/lovagestage/gateway/rollout_service.py
+++ b/src/lovagestage/gateway/rollout_service.py
@@ -22,19 +22,19 @@
     OutcomeNote,
     SessionsNote,
 )
-from lovagestage.gateway.risks import RiskTable
+from lovagestage.gateway.risks import FailureRateTable
 from lovagestage.gateway.rollouts import (
-    COUNT_RATIOS,
+    COUNT_REPORT_RATIOS,
     EVIDENCE_FLOOR,
-    SLOW_RISK,
+    SLOW_ANSWER_RATE,
     AnswerQuality,
     Assignment,
     OutcomeRecord,
     Rollout,
     RolloutOrder,
     RolloutOutcome,
-    get_evidence,
     get_first_share,
+    get_log_likelihood_ratio,
 )
 from lovagestage.gateway.settings import Bounds
 from lovagestage.gateway.upstream import Upstream
@@ -49,9 +49,9 @@
 
 _log = logging.getLogger(__name__)
 
-CHECK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 """Interval in seconds between checks for reports and outcomes that are due."""
-STAGGER_S = 0.4
+WRITE_STAGGER_S = 0.4
 """Time in seconds over which the gateways that see the same due outcome spread
 their writes, so that most of them learn that it has been written before they
 try."""
@@ -59,13 +59,13 @@
 RETRY_S = 0.5
 
 
-class _Followed:
+class _Progress:
     """Answers and evidence of one roll-out at this gateway, and its reports."""
 
     def __init__(self) -> None:
         self.answers = 0
-        self.counts_posted = 0
-        self.untold: dict[str, float] = {}
+        self.reported_counts = 0
+        self.unreported: dict[str, float] = {}
 
 
 class RolloutService(mode.Service):
@@ -90,15 +90,15 @@
         super().__init__()
         self._vm = vm
         self._bounds = bounds
-        self._risks = RiskTable()
-        self._followed: dict[ServiceId, _Followed] = {}
+        self._failure_rates = FailureRateTable()
+        self._progress: dict[ServiceId, _Progress] = {}
         self._store = store
         self._deployment = deployment
         self._rng = rng
         self._mailbox: Mailbox | None = None
         self._unresolved: dict[ServiceId, Rollout] = {}
-        self._announced: dict[ServiceId, int] = {}
-        self._try_at_s: dict[ServiceId, float] = {}
+        self._recorded_orders: dict[ServiceId, int] = {}
+        self._write_at_s: dict[ServiceId, float] = {}
 
     def set_mailbox(self, mailbox: Mailbox) -> None:
         """Sets the messenger to the other gateways; called once."""
@@ -124,11 +124,13 @@
         rollout = Rollout(order, offset, get_elapsed_s(), warmup_s)
         self._deployment.rollouts[order.service] = rollout
         self._unresolved[order.service] = rollout
-        self._followed[order.service] = _Followed()
+        self._progress[order.service] = _Progress()
 
     def _get_first_share(self, order: RolloutOrder) -> float:
         assert self._mailbox is not None
-        own_per_s = self._risks.get_rate(order.service, get_elapsed_s())
+        own_per_s = self._failure_rates.get_request_rate(
+            order.service, get_elapsed_s()
+        )
         expected = own_per_s * self._mailbox.gateways * order.duration_s
         share = get_first_share(
             self._bounds.exposure_ratio, self._bounds.exposure_slack, expected
@@ -167,7 +169,9 @@
         is_new = rollout is not None and assignment.is_new
         if not is_new:
             failed = quality is not AnswerQuality.GOOD
-            self._risks.add(service, route, failed, get_elapsed_s())
+            self._failure_rates.record_answer(
+                service, route, failed, get_elapsed_s()
+            )
             return
         assert rollout is not None
         if rollout.outcome is not RolloutOutcome.RUNNING:
@@ -182,22 +186,22 @@
         quality: AnswerQuality,
     ) -> None:
         service = rollout.order.service
-        followed = self._followed[service]
-        followed.answers += 1
-        rollout.note_answers(self._vm, followed.answers)
-        risk = self._risks.get(service, route)
+        progress = self._progress[service]
+        progress.answers += 1
+        rollout.record_answers(self._vm, progress.answers)
+        failure_rate = self._failure_rates.get_failure_rate(service, route)
         if quality is AnswerQuality.SLOW:
             if rollout.is_loaded(get_elapsed_s()):
                 # In the load step, a good version would be reverted for the
                 # queues that its few upstreams are meant to have; a slow
                 # version shows before that step.
                 return
-            risk = max(SLOW_RISK, risk)
+            failure_rate = max(SLOW_ANSWER_RATE, failure_rate)
         failed = quality is not AnswerQuality.GOOD
-        evidence = get_evidence(risk, failed)
+        evidence = get_log_likelihood_ratio(failure_rate, failed)
         rollout.add_evidence(route, evidence)
-        untold = followed.untold.get(route, 0.0) + evidence
-        followed.untold[route] = max(EVIDENCE_FLOOR, untold)
+        unreported = progress.unreported.get(route, 0.0) + evidence
+        progress.unreported[route] = max(EVIDENCE_FLOOR, unreported)
         if not failed:
             return
         note = FailureNote(
@@ -205,7 +209,7 @@
             rollout.offset,
             route,
             upstream.id,
-            followed.untold.pop(route),
+            progress.unreported.pop(route),
             rollout.get_age_s(get_elapsed_s()),
         )
         self._count_failure(rollout, note)
@@ -219,41 +223,41 @@
 
     def on_failure_note(self, note: FailureNote) -> None:
         """Applies another gateway's evidence on a new version."""
-        rollout = self._find(note.service, note.order, note.age_s)
+        rollout = self._find_rollout(note.service, note.order, note.age_s)
         if rollout is not None:
             rollout.add_evidence(note.route, note.evidence)
             self._count_failure(rollout, note)
 
     def on_count_note(self, note: CountNote) -> None:
         """Applies another gateway's number of answers from a new version."""
-        rollout = self._find(note.service, note.order, note.age_s)
+        rollout = self._find_rollout(note.service, note.order, note.age_s)
         if rollout is not None:
-            rollout.note_answers(note.gateway, note.answers)
+            rollout.record_answers(note.gateway, note.answers)
 
     def on_sessions_note(self, note: SessionsNote) -> None:
         """Applies the active sessions that another gateway has reported."""
-        rollout = self._find(note.service, note.order, note.age_s)
+        rollout = self._find_rollout(note.service, note.order, note.age_s)
         if rollout is not None:
-            rollout.held.update(note.sessions)
+            rollout.held_sessions.update(note.sessions)
 
     def on_outcome_note(self, note: OutcomeNote) -> None:
         """Applies an outcome that another gateway has written to the store."""
-        rollout = self._find(note.service, note.order, note.age_s)
+        rollout = self._find_rollout(note.service, note.order, note.age_s)
         if rollout is None:
             return
-        rollout.agree(note.first_share, get_elapsed_s())
+        rollout.set_first_share(note.first_share, get_elapsed_s())
         outcome = RolloutOutcome(note.outcome)
-        self._announced[note.service] = note.order
+        self._recorded_orders[note.service] = note.order
         if outcome is not RolloutOutcome.RUNNING:
-            self._settle(rollout, outcome, "peer")
+            self._conclude(rollout, outcome, "peer")
 
-    def _find(
+    def _find_rollout(
         self, service: ServiceId, order: int, age_s: float
     ) -> Rollout | None:
         rollout = self._deployment.rollouts.get(service)
         if rollout is None or rollout.offset != order:
             return None
-        rollout.note_age(age_s, get_elapsed_s())
+        rollout.apply_age(age_s, get_elapsed_s())
         return rollout
 
     def _count_failure(self, rollout: Rollout, note: FailureNote) -> None:
@@ -276,7 +280,7 @@
                 },
             )
 
-    def _settle(
+    def _conclude(
         self, rollout: Rollout, outcome: RolloutOutcome, source: str
     ) -> None:
         if rollout.outcome is not RolloutOutcome.RUNNING:
@@ -297,9 +301,9 @@
     async def _run(self) -> None:
         while not self.should_stop:
             try:
-                await self._resolve()
-                self._post_counts()
-                self._post_sessions()
+                await self._look_up_outcomes()
+                self._report_counts()
+                self._report_sessions()
                 await self._write_due()
             except StoreConflictError:
                 pass  # Another gateway wrote first; the next check reads it.
@@ -308,21 +312,21 @@
                     "rollout_not_written", extra={"reason": error.message}
                 )
                 await asyncio.sleep(RETRY_S)
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def _post_counts(self) -> None:
+    def _report_counts(self) -> None:
         now_s = get_elapsed_s()
         for service, rollout in self._deployment.rollouts.items():
-            followed = self._followed[service]
+            progress = self._progress[service]
             if rollout.outcome is not RolloutOutcome.RUNNING:
                 continue
-            if followed.counts_posted >= len(COUNT_RATIOS):
+            if progress.reported_counts >= len(COUNT_REPORT_RATIOS):
                 continue
-            due = COUNT_RATIOS[followed.counts_posted]
+            due = COUNT_REPORT_RATIOS[progress.reported_counts]
             if rollout.get_ratio(now_s) < due:
                 continue
-            followed.counts_posted += 1
-            if not followed.answers:
+            progress.reported_counts += 1
+            if not progress.answers:
                 continue
             age_s = rollout.get_age_s(now_s)
             self._post(
@@ -330,12 +334,12 @@
                     service,
                     rollout.offset,
                     self._vm,
-                    followed.answers,
+                    progress.answers,
                     age_s,
                 )
             )
 
-    def _post_sessions(self) -> None:
+    def _report_sessions(self) -> None:
         """Reports the active sessions that the first share would move.
 
         It does so until the share takes effect.
@@ -344,30 +348,30 @@
         for service, rollout in self._deployment.rollouts.items():
             if not rollout.first_share or not rollout.is_collecting(now_s):
                 continue
-            going_on = self._deployment.pins.get_going_on(
+            active_sessions = self._deployment.pins.get_active_elsewhere(
                 service, rollout.order.version, now_s
             )
             sessions = tuple(
                 session
-                for session in going_on
+                for session in active_sessions
                 if rollout.is_below_first_share(session)
-                and session not in rollout.held
+                and session not in rollout.held_sessions
             )
             if not sessions:
                 continue
-            rollout.held.update(sessions)
+            rollout.held_sessions.update(sessions)
             age_s = rollout.get_age_s(now_s)
             self._post(SessionsNote(service, rollout.offset, sessions, age_s))
 
-    async def _resolve(self) -> None:
+    async def _look_up_outcomes(self) -> None:
         if not self._unresolved:
             return
         page = await self._store.read_newest(OUTCOME_TOPIC, CALL_TIMEOUT_S)
         for service, rollout in list(self._unresolved.items()):
-            self._take_outcome(rollout, page)
+            self._apply_stored_outcome(rollout, page)
             del self._unresolved[service]
 
-    def _take_outcome(self, rollout: Rollout, page: Page) -> None:
+    def _apply_stored_outcome(self, rollout: Rollout, page: Page) -> None:
         """Applies the outcome that the store holds for an order."""
         key = make_outcome_key(rollout.order.service)
         for record in page.records:
@@ -380,10 +384,10 @@
                 continue
             if found.order != rollout.offset:
                 continue
-            self._announced[rollout.order.service] = rollout.offset
-            rollout.agree(found.first_share, get_elapsed_s())
+            self._recorded_orders[rollout.order.service] = rollout.offset
+            rollout.set_first_share(found.first_share, get_elapsed_s())
             if found.outcome is not RolloutOutcome.RUNNING:
-                self._settle(rollout, found.outcome, "store")
+                self._conclude(rollout, found.outcome, "store")
 
     async def _write_due(self) -> None:
         now_s = get_elapsed_s()
@@ -391,16 +395,16 @@
             if rollout.outcome is not RolloutOutcome.RUNNING:
                 continue
             due = rollout.get_due_outcome(now_s)
-            is_announced = self._announced.get(service) == rollout.offset
-            if due is RolloutOutcome.RUNNING and is_announced:
-                self._try_at_s.pop(service, None)
+            is_recorded = self._recorded_orders.get(service) == rollout.offset
+            if due is RolloutOutcome.RUNNING and is_recorded:
+                self._write_at_s.pop(service, None)
                 continue
-            if service not in self._try_at_s:
-                delay_s = STAGGER_S * self._rng.random()
-                self._try_at_s[service] = now_s + delay_s
-            elif now_s >= self._try_at_s[service]:
+            if service not in self._write_at_s:
+                delay_s = WRITE_STAGGER_S * self._rng.random()
+                self._write_at_s[service] = now_s + delay_s
+            elif now_s >= self._write_at_s[service]:
                 await self._write(rollout, due)
-                self._try_at_s.pop(service, None)
+                self._write_at_s.pop(service, None)
 
     async def _write(self, rollout: Rollout, outcome: RolloutOutcome) -> None:
         """Writes an outcome, unless a final one has been written already.
@@ -411,11 +415,11 @@
         """
         service = rollout.order.service
         page = await self._store.read_newest(OUTCOME_TOPIC, CALL_TIMEOUT_S)
-        self._take_outcome(rollout, page)
+        self._apply_stored_outcome(rollout, page)
         if rollout.outcome is not RolloutOutcome.RUNNING:
             return
-        is_announced = self._announced.get(service) == rollout.offset
-        if outcome is RolloutOutcome.RUNNING and is_announced:
+        is_recorded = self._recorded_orders.get(service) == rollout.offset
+        if outcome is RolloutOutcome.RUNNING and is_recorded:
             return
         share = rollout.first_share or self._get_first_share(rollout.order)
         record = OutcomeRecord(
@@ -427,10 +431,10 @@
             CALL_TIMEOUT_S,
             expected_end=page.end,
         )
-        self._announced[service] = rollout.offset
-        rollout.agree(share, get_elapsed_s())
+        self._recorded_orders[service] = rollout.offset
+        rollout.set_first_share(share, get_elapsed_s())
         if outcome is not RolloutOutcome.RUNNING:
-            self._settle(rollout, outcome, "own")
+            self._conclude(rollout, outcome, "own")
         age_s = rollout.get_age_s(get_elapsed_s())
         self._post(
             OutcomeNote(service, rollout.offset, outcome.value, share, age_s)
--- a/src/lovagestage/gateway/rollouts.py
+++ b/src/lovagestage/gateway/rollouts.py
@@ -25,26 +25,26 @@
 """Lower limit of the log-likelihood ratio: good answers lower it no further
 (Page's CUSUM), so that a version that becomes faulty late is found as fast as
 one that is faulty from the start."""
-BAD_RISE = 0.25
+BAD_FAILURE_RISE = 0.25
 """Rise of the failure rate that counts as bad; faulty versions fail a third of
 their answers and more."""
-MIN_RISK, MAX_RISK = 0.02, 0.5
+MIN_FAILURE_RATE, MAX_FAILURE_RATE = 0.02, 0.5
 """Lower and upper limit of the old version's failure rate in the
 log-likelihood ratio."""
 MIN_NEW_FAILURES = 3
 """Failures of the new version that are needed to stop it, whatever their
 likelihood: two failures can come from the crash of one upstream."""
-EXPOSURE_USE = 0.8
+EXPOSURE_USED_RATIO = 0.8
 """Share of the exposure that is used by the first share of sessions, out of
 what the last steps leave; the rest is for bursts."""
-SHARES = (0.015, 0.03, 0.05, 0.07, 0.1, 0.13, 0.16, 0.2, 0.25)
+FIRST_SHARES = (0.015, 0.03, 0.05, 0.07, 0.1, 0.13, 0.16, 0.2, 0.25)
 """Shares that a roll-out may begin with. They are few, so that gateways with
 about the same traffic choose the same one."""
 DEFAULT_SHARE = 0.05
 """First share where the gateway does not know the service's traffic yet."""
 
 
-SLOW_RISK = 0.1
+SLOW_ANSWER_RATE = 0.1
 """Least rate at which answers of a good version are assumed to be slow. Answer
 times vary with the queues, so a slow answer is weaker evidence than a failed
 one."""
@@ -122,14 +122,14 @@
 several times as long as failures take to occur and to be reported. Until then
 the share stays constant, so that no session changes its version in the first
 half."""
-TRIAL_LOAD = 1.25
+TRIAL_LOAD_FACTOR = 1.25
 """Load of an upstream of the new version on trial, as a multiple of its load
 once all traffic goes to the new version. Otherwise a version that fails only
 in a burst would be found out when the old version is gone."""
 MIN_TRIAL_UPSTREAMS = 2
 """Least number of upstreams on trial: a single upstream that fails is no
 evidence against its version."""
-COUNT_RATIOS = (0.77, 0.9)
+COUNT_REPORT_RATIOS = (0.77, 0.9)
 """Shares of the order's duration after which gateways report to each other how
 many answers of the new version they have received: before the load step and
 before the completion, which both depend on that number."""
@@ -160,11 +160,11 @@
     if expected_requests <= 0.0:
         return DEFAULT_SHARE
     allowed = exposure_ratio + exposure_slack / expected_requests
-    last = LOAD_STEP.share * (COMPLETE_RATIO - LOAD_STEP.from_ratio)
-    last += 1.0 - COMPLETE_RATIO
-    limit = EXPOSURE_USE * (allowed - last) / LOAD_STEP.from_ratio
-    fitting = [share for share in SHARES if share <= limit]
-    return max(fitting, default=SHARES[0])
+    last_steps = LOAD_STEP.share * (COMPLETE_RATIO - LOAD_STEP.from_ratio)
+    last_steps += 1.0 - COMPLETE_RATIO
+    limit = EXPOSURE_USED_RATIO * (allowed - last_steps) / LOAD_STEP.from_ratio
+    fitting = [share for share in FIRST_SHARES if share <= limit]
+    return max(fitting, default=FIRST_SHARES[0])
 
 
 def choose_trial(
@@ -183,23 +183,23 @@
         seed: Text that identifies the order.
         share: Share of the traffic that the chosen upstreams get together.
     """
-    count = math.ceil(share * len(names) / TRIAL_LOAD)
+    count = math.ceil(share * len(names) / TRIAL_LOAD_FACTOR)
     ranked = sorted(names, key=lambda name: get_share(f"{seed}/{name}"))
     return set(ranked[: max(MIN_TRIAL_UPSTREAMS, count)])
 
 
-def get_evidence(risk: float, failed: bool) -> float:
+def get_log_likelihood_ratio(failure_rate: float, failed: bool) -> float:
     """Returns the log-likelihood ratio of one answer of the new version.
 
     Args:
         failure_rate: Rate at which the old version fails such requests.
         failed: Whether the answer failed or was far too slow.
     """
-    risk = min(MAX_RISK, max(MIN_RISK, risk))
-    worse = min(0.95, risk + BAD_RISE)
+    failure_rate = min(MAX_FAILURE_RATE, max(MIN_FAILURE_RATE, failure_rate))
+    bad_rate = min(0.95, failure_rate + BAD_FAILURE_RISE)
     if failed:
-        return math.log(worse / risk)
-    return math.log((1.0 - worse) / (1.0 - risk))
+        return math.log(bad_rate / failure_rate)
+    return math.log((1.0 - bad_rate) / (1.0 - failure_rate))
 
 
 @dataclasses.dataclass(frozen=True)
@@ -221,7 +221,7 @@
     Args:
         order: The order.
         offset: Offset of the order in the store; identifies the order.
-        seen_s: Elapsed time in seconds at which this gateway received the
+        received_s: Elapsed time in seconds at which this gateway received the
             order.
         warmup_s: Time in seconds for which upstreams warm up after their
             start.
@@ -244,7 +244,7 @@
         self,
         order: RolloutOrder,
         offset: int,
-        seen_s: float,
+        received_s: float,
         warmup_s: float = 0.0,
     ) -> None:
         self.order = order
@@ -253,21 +253,23 @@
         self.is_stopped = False
         self.new_failures = 0
         self.first_share = 0.0
-        self.held: set[str] = set()
-        self._agreed_s: float | None = None
-        self._seen_s = seen_s
+        self.held_sessions: set[str] = set()
+        self._share_set_s: float | None = None
+        self._received_s = received_s
         # A session that is assigned to a version while this version's
         # upstreams are warming up finds no capacity there half of the time,
         # and would alternate between the versions.
-        self._collect_s = max(COLLECT_S, warmup_s + WARM_MARGIN_S)
+        self._collection_s = max(
+            SESSION_COLLECTION_S, warmup_s + START_MARGIN_S
+        )
         self._evidence: dict[str, float] = {}
         self._failed_upstreams: set[str] = set()
         self._answers: dict[str, int] = {}
 
-    def agree(self, first_share: float, now_s: float) -> None:
+    def set_first_share(self, first_share: float, now_s: float) -> None:
         """Sets the first share that all gateways follow."""
-        if self._agreed_s is None:
-            self._agreed_s = now_s
+        if self._share_set_s is None:
+            self._share_set_s = now_s
         self.first_share = first_share
 
     def is_below_first_share(self, session: str) -> bool:
@@ -277,10 +279,11 @@
     def is_collecting(self, now_s: float) -> bool:
         """Returns whether gateways still report their active sessions."""
         return (
-            self._agreed_s is None or now_s - self._agreed_s < self._collect_s
+            self._share_set_s is None
+            or now_s - self._share_set_s < self._collection_s
         )
 
-    def note_age(self, age_s: float, now_s: float) -> None:
+    def apply_age(self, age_s: float, now_s: float) -> None:
         """Applies the order's age as another gateway reported it.
 
         The earliest time at which a gateway received the order counts.
@@ -289,9 +292,9 @@
             age_s: Age of the order in seconds.
             now_s: Elapsed time in seconds.
         """
-        self._seen_s = min(self._seen_s, now_s - age_s)
+        self._received_s = min(self._received_s, now_s - age_s)
 
-    def note_answers(self, gateway: str, count: int) -> None:
+    def record_answers(self, gateway: str, count: int) -> None:
         """Records how many answers of the new version a gateway has had."""
         known = self._answers.get(gateway, 0)
         self._answers[gateway] = max(known, count)
@@ -302,7 +305,7 @@
 
     def get_age_s(self, now_s: float) -> float:
         """Returns the seconds since any gateway first received the order."""
-        return now_s - self._seen_s
+        return now_s - self._received_s
 
     def is_loaded(self, now_s: float) -> bool:
         """Returns whether the new version has reached its load step."""
@@ -384,14 +387,14 @@
         return f"{self.order.service}/{self.order.version}/{seed}"
 
 
-HALF_RATIO = 0.51
+SESSION_HOLD_RATIO = 0.51
 """Share of the duration until which a session stays on the old version if it
 began there; a little over the half, since gateways receive an order at
 different moments."""
-WARM_MARGIN_S = 0.5
+START_MARGIN_S = 0.5
 """Time in seconds that upstreams of a new version may take to start after the
 order."""
-COLLECT_S = 2.0
+SESSION_COLLECTION_S = 2.0
 """Time in seconds in which gateways report their active sessions, before any
 session is moved to the new version. A session's requests arrive at any
 gateway, so a single gateway does not know all sessions: a report waits up to
@@ -399,12 +402,12 @@
 store's peer messages are read up to 1 s apart."""
 
 
-def choose_versions(
+def choose_version(
     rollout: Rollout | None,
     versions: Sequence[VersionId],
     seed: str,
     now_s: float,
-    is_pinned_off: bool = False,
+    is_pinned_elsewhere: bool = False,
 ) -> Assignment:
     """Chooses the version of a request.
 
@@ -431,7 +434,9 @@
         # A reverted version still serves requests where no other version is
         # left.
         return Assignment(target, True)
-    is_held = is_pinned_off or seed in rollout.held
-    is_held = is_held and rollout.get_ratio(now_s) < HALF_RATIO
-    is_new = rollout.is_new(seed, now_s) and not is_held
+    stays_on_old = is_pinned_elsewhere or seed in rollout.held_sessions
+    stays_on_old = (
+        stays_on_old and rollout.get_ratio(now_s) < SESSION_HOLD_RATIO
+    )
+    is_new = rollout.is_new(seed, now_s) and not stays_on_old
     return Assignment(target if is_new else old[0], is_new)
--- a/src/lovagestage/gateway/rotation.py
+++ b/src/lovagestage/gateway/rotation.py
@@ -14,12 +14,12 @@
 
 _log = logging.getLogger(__name__)
 
-LAPSE_GRACE_S = 1.4
+EXPIRED_GRACE_S = 1.4
 """Time in seconds for which an upstream is still used whose entry expired
 while the store was unavailable: its next heartbeat writes the entry again. It
 is shorter than the shortest time for which a leaving upstream still serves
 requests, so one that has really left is never sent a request too late."""
-FORGET_S = 600.0
+GONE_RETENTION_S = 600.0
 """Time in seconds for which upstreams that are gone are remembered, for stale
 reads of the store and for entries that are written late. Where 655 upstreams
 leave in a day, about five are held in memory."""
@@ -58,7 +58,7 @@
         entry: UpstreamEntry | None,
         offset: int,
         now_s: float,
-        was_away: bool,
+        was_store_unavailable: bool,
     ) -> None:
         """Applies an entry of the store, or its removal.
 
@@ -79,10 +79,10 @@
         if entry is None:
             if known is not None:
                 known.offset = offset
-                self._remove(known, now_s, was_away)
+                self._remove(known, now_s, was_store_unavailable)
             return
-        if known is not None and entry.born_ms in known.past_born_ms:
-            _log_late(known, entry, offset)
+        if known is not None and entry.born_ms in known.past_start_ms:
+            _log_late_entry(known, entry, offset)
             return
         upstream = self._get_process(name, entry, offset, now_s)
         if upstream.entry.born_ms != entry.born_ms:
@@ -102,7 +102,7 @@
         entries: Iterable[tuple[InstanceId, UpstreamEntry, int]],
         end: int,
         now_s: float,
-        was_away: bool,
+        was_store_unavailable: bool,
     ) -> None:
         """Applies a full list; upstreams that it does not name were removed.
 
@@ -115,10 +115,10 @@
         listed = set()
         for name, entry, offset in entries:
             listed.add(name)
-            self.apply(name, entry, offset, now_s, was_away)
+            self.apply(name, entry, offset, now_s, was_store_unavailable)
         for upstream in self._upstreams.values():
             if upstream.id not in listed and upstream.offset < end:
-                self._remove(upstream, now_s, was_away)
+                self._remove(upstream, now_s, was_store_unavailable)
         self._ready.clear()
 
     def expire(self, now_s: float) -> None:
@@ -128,11 +128,14 @@
         """
         for upstream in list(self._upstreams.values()):
             age_s = now_s - upstream.changed_s
-            if upstream.state is UpstreamState.LAPSED:
-                if age_s > LAPSE_GRACE_S:
+            if upstream.state is UpstreamState.EXPIRED:
+                if age_s > EXPIRED_GRACE_S:
                     upstream.set_state(UpstreamState.GONE, now_s)
                     self._ready.clear()
-            elif upstream.state is UpstreamState.GONE and age_s > FORGET_S:
+            elif (
+                upstream.state is UpstreamState.GONE
+                and age_s > GONE_RETENTION_S
+            ):
                 self._drop(upstream)
 
     def get_ready(self, service: ServiceId) -> list[Upstream]:
@@ -142,7 +145,7 @@
         """
         ready = self._ready.get(service)
         if ready is None:
-            usable = (UpstreamState.READY, UpstreamState.LAPSED)
+            usable = (UpstreamState.READY, UpstreamState.EXPIRED)
             ready = [
                 upstream
                 for upstream in self._by_service.get(service, ())
@@ -234,19 +237,21 @@
         )
         return upstream
 
-    def _remove(self, upstream: Upstream, now_s: float, was_away: bool) -> None:
+    def _remove(
+        self, upstream: Upstream, now_s: float, was_store_unavailable: bool
+    ) -> None:
         if upstream.state is UpstreamState.GONE:
             return
-        is_lapse = was_away and upstream.state in (
+        is_expiry = was_store_unavailable and upstream.state in (
             UpstreamState.READY,
-            UpstreamState.LAPSED,
+            UpstreamState.EXPIRED,
         )
         upstream.set_state(
-            UpstreamState.LAPSED if is_lapse else UpstreamState.GONE, now_s
+            UpstreamState.EXPIRED if is_expiry else UpstreamState.GONE, now_s
         )
 
 
-def _log_late(known: Upstream, entry: UpstreamEntry, offset: int) -> None:
+def _log_late_entry(known: Upstream, entry: UpstreamEntry, offset: int) -> None:
     _log.info(
         "upstream_entry_late",
         extra={
--- a/src/lovagestage/gateway/suspects.py
+++ b/src/lovagestage/gateway/suspects.py
@@ -63,7 +63,7 @@
             upstream: The upstream whose connection was lost.
         """
         task = asyncio.get_running_loop().create_task(
-            self._confirm(fingerprint, run, upstream)
+            self._confirm_crash(fingerprint, run, upstream)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -79,7 +79,7 @@
         """Applies another gateway's report."""
         self._table.apply(report, get_elapsed_s())
 
-    async def _confirm(
+    async def _confirm_crash(
         self, fingerprint: Fingerprint, run: str, upstream: Upstream
     ) -> None:
         try:
@@ -99,8 +99,8 @@
         # probe, or it began in the moment before the last strike was
         # confirmed.
         strikes = self._table.get_strikes(fingerprint, now_s)
-        is_last = strikes >= STRIKES_TO_PROBE
-        report = self._table.add_crash(fingerprint, run, is_last, now_s)
+        is_final_strike = strikes >= STRIKES_TO_PROBE
+        report = self._table.add_crash(fingerprint, run, is_final_strike, now_s)
         _log.warning(
             "upstream_crashed",
             extra={
--- a/src/lovagestage/gateway/told_waits.py
+++ b/src/lovagestage/gateway/told_waits.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self) -> None:
-        self._told: dict[int, Mapping[int, int]] = {}
+        self._reported: dict[int, Mapping[int, int]] = {}
         self._totals: dict[int, int] = {}
 
     def replace(self, gateway: int, waits: Mapping[int, int]) -> set[int]:
@@ -31,14 +31,14 @@
         Returns:
             Upstreams whose sum may have changed.
         """
-        before = self._told.get(gateway, {})
-        self._told[gateway] = waits
+        before = self._reported.get(gateway, {})
+        self._reported[gateway] = waits
         changed = before.keys() | waits.keys()
-        for name in changed:
-            change = waits.get(name, 0) - before.get(name, 0)
-            total = self._totals.pop(name, 0) + change
+        for upstream in changed:
+            difference = waits.get(upstream, 0) - before.get(upstream, 0)
+            total = self._totals.pop(upstream, 0) + difference
             if total:
-                self._totals[name] = total
+                self._totals[upstream] = total
         return set(changed)
 
     def get(self, upstream: int) -> int:
--- a/src/lovagestage/gateway/trust.py
+++ b/src/lovagestage/gateway/trust.py
@@ -29,8 +29,8 @@
     def __init__(self, limit_s: float, apply_s: float) -> None:
         self.limit_s = limit_s
         self.apply_s = apply_s
-        self._proved_s: float | None = None
-        self._news_s: float | None = None
+        self._checked_s: float | None = None
+        self._notified_s: float | None = None
 
     def note_proof(self, at_s: float) -> None:
         """Records a freshness check; it cancels earlier update notifications.
@@ -39,17 +39,17 @@
             at_s: Elapsed time in seconds at which the configuration was
                 current.
         """
-        self._news_s = None
-        if self._proved_s is None or at_s > self._proved_s:
-            self._proved_s = at_s
+        self._notified_s = None
+        if self._checked_s is None or at_s > self._checked_s:
+            self._checked_s = at_s
 
-    def note_news(self, at_s: float) -> None:
+    def record_update_notification(self, at_s: float) -> None:
         """Records an update notification: a newer configuration exists.
 
         Args:
             at_s: Elapsed time in seconds of the notification.
         """
-        self._news_s = at_s
+        self._notified_s = at_s
 
     def is_superseded(self, now_s: float) -> bool:
         """Returns whether a newer configuration must be in force by now.
@@ -62,12 +62,16 @@
         still served.
         """
         age_s = self.get_age_s(now_s)
-        has_news = self._news_s is not None and now_s - self._news_s < NEWS_S
-        return has_news and (age_s is None or age_s >= self.apply_s - MARGIN_S)
+        is_notified = (
+            self._notified_s is not None and now_s - self._notified_s < NEWS_S
+        )
+        return is_notified and (
+            age_s is None or age_s >= self.apply_s - MARGIN_S
+        )
 
     def get_age_s(self, now_s: float) -> float | None:
-        """Returns the age of the last freshness check; None before the first."""
-        return None if self._proved_s is None else now_s - self._proved_s
+        """Returns the age of the last freshness check; None without one."""
+        return None if self._checked_s is None else now_s - self._checked_s
 
     def holds(self, now_s: float) -> bool:
         """Returns whether API keys of the configuration may be accepted."""
--- a/src/lovagestage/gateway/upstream.py
+++ b/src/lovagestage/gateway/upstream.py
@@ -18,7 +18,7 @@
 """Most replaced processes of an upstream id whose late writes are recognized.
 A write is carried out seconds late at most, and a process takes as long to
 start."""
-MAX_SUBJECTS = 4096
+MAX_PREFIXES = 4096
 """Most prompt prefixes that are tracked after a restart: several times as many
 as an engine's cache holds. Once as many have been sent, the cache is full of
 them."""
@@ -57,7 +57,7 @@
 
     READY = "ready"
     DRAINING = "draining"
-    LAPSED = "lapsed"
+    EXPIRED = "lapsed"
     """The upstream's entry expired while the store was unavailable; the
     upstream may write it again."""
     GONE = "gone"
@@ -92,9 +92,9 @@
         self.changed_s = now_s
         self.performance = Performance()
         self.warmup = WarmupLog()
-        self.past_born_ms: tuple[int | None, ...] = ()
+        self.past_start_ms: tuple[int | None, ...] = ()
         self._name = name.encode()
-        self._sent_subjects: set[str] | None = None
+        self._sent_prefixes: set[str] | None = None
 
     @property
     def incarnation(self) -> str:
@@ -102,7 +102,7 @@
         return f"{self.id}/{self.entry.born_ms}"
 
     def get_rank(self, seed: int) -> int:
-        """Returns the upstream's hash rank, which is the same at all gateways."""
+        """Returns the upstream's hash rank; the same at all gateways."""
         return int(xxhash.xxh3_64_intdigest(self._name, seed))
 
     def make_successor(
@@ -120,27 +120,27 @@
             now_s: Elapsed time in seconds.
         """
         successor = Upstream(self.id, entry, offset, now_s)
-        past = (*self.past_born_ms, self.entry.born_ms)
-        successor.past_born_ms = past[-MAX_PAST_STARTS:]
-        successor._sent_subjects = set()
+        past = (*self.past_start_ms, self.entry.born_ms)
+        successor.past_start_ms = past[-MAX_PAST_STARTS:]
+        successor._sent_prefixes = set()
         return successor
 
-    def note_sent_prompt(self, subject: str) -> None:
+    def record_sent_prefix(self, prefix: str) -> None:
         """Records that a prompt with this shared prefix is sent."""
-        if self._sent_subjects is None:
+        if self._sent_prefixes is None:
             return
-        self._sent_subjects.add(subject)
-        if len(self._sent_subjects) >= MAX_SUBJECTS:
-            self._sent_subjects = None
+        self._sent_prefixes.add(prefix)
+        if len(self._sent_prefixes) >= MAX_PREFIXES:
+            self._sent_prefixes = None
 
-    def has_likely_read(self, subject: str) -> bool:
+    def has_likely_cached(self, prefix: str) -> bool:
         """Returns whether a prefix that is hashed here is most likely cached.
 
         Other gateways send prompts with such prefixes to the same upstream as
         well, so the answer is False only where the upstream is known to have
         started with an empty cache.
         """
-        return self._sent_subjects is None or subject in self._sent_subjects
+        return self._sent_prefixes is None or prefix in self._sent_prefixes
 
     def note_cold(self, left_s: float, now_s: float) -> None:
         """Records for how long the upstream still warms up.
--- a/src/lovagestage/gateway/warmups.py
+++ b/src/lovagestage/gateway/warmups.py
@@ -35,13 +35,13 @@
         policy: WarmupPolicy,
         zone: ZoneId,
         own: PeerAddress | None,
-        get_neighbours: Callable[[], Collection[PeerAddress]],
+        get_zone_peers: Callable[[], Collection[PeerAddress]],
         started_s: float,
     ) -> None:
         self._policy = policy
         self._zone = zone
         self._own = own
-        self._get_neighbours = get_neighbours
+        self._get_zone_peers = get_zone_peers
         self._started_s = started_s
 
     def has_room(
@@ -67,12 +67,12 @@
         return upstream.warmup.has_room(pace, now_s)
 
     def _get_gateways(self, now_s: float) -> Gateways:
-        neighbours = None
+        peer_names = None
         if self._own is not None:
-            neighbours = [format_peer(peer) for peer in self._get_neighbours()]
+            peer_names = [format_peer(peer) for peer in self._get_zone_peers()]
         return Gateways(
             "" if self._own is None else format_peer(self._own),
             self._zone,
-            neighbours,
+            peer_names,
             now_s - self._started_s >= SETTLE_S,
         )
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -69,13 +69,13 @@
     # Its memory is empty: a prompt that the process before had read takes as
     # long as any other, until it has been sent here again.
     rotation = make_rotation()
-    assert get_only(rotation).has_likely_read("s1")
+    assert get_only(rotation).has_likely_cached("s1")
     rotation.apply("w1", AGAIN, 2, 1.0, False)
     upstream = get_only(rotation)
-    assert not upstream.has_likely_read("s1")
-    upstream.note_sent_prompt("s1")
-    assert upstream.has_likely_read("s1")
-    assert not upstream.has_likely_read("s2")
+    assert not upstream.has_likely_cached("s1")
+    upstream.record_sent_prefix("s1")
+    assert upstream.has_likely_cached("s1")
+    assert not upstream.has_likely_cached("s2")
 
 
 def test_an_upstream_that_left_is_back_once_it_starts_again():
--- a/tests/test_gateway_placement.py
+++ b/tests/test_gateway_placement.py
@@ -140,7 +140,7 @@
     # of a second old, sends a prompt away from the upstream that keeps its
     # subject; it is read again there, and all others wait for it.
     weighted_tokens, weighted_s = play()
-    monkeypatch.setattr(choice, "READING_WEIGHT", 1.0)
+    monkeypatch.setattr(choice, "PREFILL_WEIGHT", 1.0)
     plain_tokens, plain_s = play()
     assert weighted_tokens < FEWER_READ * plain_tokens
     assert weighted_s <= AS_SOON * plain_s
@@ -192,7 +192,7 @@
         rotation.apply(f"w{number}", entry, number, 0.0, False)
     upstreams = rotation.get_ready("pool")
     subjects = [f"{number:x}" for number in range(956)]
-    homes = [choice.get_home(upstreams, s).id for s in subjects]
+    homes = [choice.get_prefix_upstream(upstreams, s).id for s in subjects]
     counts = collections.Counter(homes)
     mean = len(subjects) / len(upstreams)
     assert max(counts.values()) < 2 * mean
@@ -200,4 +200,4 @@
     left = [u for u in upstreams if u.id != "w5"]
     for subject, home in zip(subjects, homes, strict=True):
         if home != "w5":
-            assert choice.get_home(left, subject).id == home
+            assert choice.get_prefix_upstream(left, subject).id == home
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -14,7 +14,7 @@
 from lovagestage.gateway.reading import (
     MIN_TOKENS,
     OVERHEAD_S,
-    Prompt,
+    PrefillTokens,
     ReadingTimes,
     make_prompt,
 )
@@ -71,8 +71,8 @@
     system = PromptPart("a", 2_000)
     subject = PromptPart("b", 300)
     own = PromptPart("c", 40)
-    assert make_prompt((system, subject, own)) == Prompt(340, 40)
-    assert make_prompt((own,)) == Prompt(40, 40)
+    assert make_prompt((system, subject, own)) == PrefillTokens(340, 40)
+    assert make_prompt((own,)) == PrefillTokens(40, 40)
     assert make_prompt(()) is None
 
 
--- a/tests/test_gateway_repeats.py
+++ b/tests/test_gateway_repeats.py
@@ -9,10 +9,10 @@
 
 from lab import worker as lab
 from lovagestage.gateway.repeats import (
-    MAX_KEPT,
+    ASSUMED_GATEWAYS,
+    MAX_RESERVED,
+    MIN_STARTUP_GATEWAYS,
     SLACK_RATIO,
-    UNKNOWN_GATEWAYS,
-    UNSURE_GATEWAYS,
     RepeatBudget,
 )
 from tests.gateway_stage import run_stage
@@ -39,7 +39,7 @@
 
 def drain(budget, now_s):
     taken = 0
-    while budget.take(now_s):
+    while budget.try_acquire(now_s):
         taken += 1
     return taken
 
@@ -55,23 +55,23 @@
 def test_larger_models_leave_a_part_to_requests_that_fail():
     budget = make_budget()
     now_s = fill(budget, 13.0, 30.0, gateways=4)
-    while budget.take_larger(now_s):
+    while budget.try_acquire_escalation(now_s):
         pass
-    assert drain(budget, now_s) >= MAX_KEPT - 1.0
+    assert drain(budget, now_s) >= MAX_RESERVED - 1.0
 
 
 def test_a_young_process_reckons_with_gateways_unheard_of():
     share = SLACK_RATIO * SLACK
-    assert make_budget().get_limit(1.0, 1) == share / UNSURE_GATEWAYS
+    assert make_budget().get_limit(1.0, 1) == share / MIN_STARTUP_GATEWAYS
     assert make_budget().get_limit(WINDOW_S, 1) == share
-    assert make_budget().get_limit(99.0, None) == share / UNKNOWN_GATEWAYS
+    assert make_budget().get_limit(99.0, None) == share / ASSUMED_GATEWAYS
 
 
 def test_a_repeat_that_reached_nobody_is_given_back():
     budget = make_budget()
     before = drain(budget, 0.0)
     assert before >= 1
-    budget.give_back()
+    budget.release()
     assert drain(budget, 0.0) == 1
 
 
--- a/tests/test_gateway_risks.py
+++ b/tests/test_gateway_risks.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from lovagestage.gateway.risks import RATE_SPAN_S, RiskTable
+from lovagestage.gateway.risks import RATE_SPAN_S, FailureRateTable
 
 PER_S = 10.0
 
 
 def play(span_s):
     """Answers of a steady service, from time 0 on."""
-    table = RiskTable()
+    table = FailureRateTable()
     for number in range(round(span_s * PER_S)):
-        table.add("pool", "r", False, number / PER_S)
+        table.record_answer("pool", "r", False, number / PER_S)
     return table
 
 
@@ -22,17 +22,20 @@
     # An order comes two seconds after the first request. Were the service
     # taken for a quarter of its size, the new version would get three times
     # the share, and more requests than it may before a late fault shows.
-    assert play(span_s).get_rate("pool", span_s) == pytest.approx(
+    assert play(span_s).get_request_rate("pool", span_s) == pytest.approx(
         PER_S, rel=0.15
     )
 
 
 def test_rate_falls_when_requests_end():
-    assert play(20.0).get_rate("pool", 20.0 + 4 * RATE_SPAN_S) < 0.05 * PER_S
+    assert (
+        play(20.0).get_request_rate("pool", 20.0 + 4 * RATE_SPAN_S)
+        < 0.05 * PER_S
+    )
 
 
 def test_first_request_alone_is_no_high_rate():
-    table = RiskTable()
-    table.add("pool", "r", False, 5.0)
-    assert table.get_rate("pool", 5.0) <= 1.1
-    assert table.get_rate("other", 5.0) == 0.0
+    table = FailureRateTable()
+    table.record_answer("pool", "r", False, 5.0)
+    assert table.get_request_rate("pool", 5.0) <= 1.1
+    assert table.get_request_rate("other", 5.0) == 0.0
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -24,24 +24,24 @@
 from lovagestage.gateway.pins import SessionPins
 from lovagestage.gateway.rollout_service import RolloutService
 from lovagestage.gateway.rollouts import (
-    COLLECT_S,
     COMPLETE_ANSWERS,
     COMPLETE_RATIO,
     DEFAULT_SHARE,
+    FIRST_SHARES,
     LATE_ANSWERS,
     LATE_RATIO,
     LOAD_STEP,
-    SHARES,
-    TRIAL_LOAD,
+    SESSION_COLLECTION_S,
+    TRIAL_LOAD_FACTOR,
     AnswerQuality,
     Assignment,
     Rollout,
     RolloutOrder,
     RolloutOutcome,
     choose_trial,
-    choose_versions,
-    get_evidence,
+    choose_version,
     get_first_share,
+    get_log_likelihood_ratio,
 )
 from lovagestage.gateway.trust import Trust
 from lovagestage.gateway.upstream import UpstreamEntry
@@ -55,7 +55,7 @@
 
 def make_rollout():
     rollout = Rollout(ORDER, 7, 100.0)
-    rollout.agree(DEFAULT_SHARE, 99.0 - COLLECT_S)
+    rollout.set_first_share(DEFAULT_SHARE, 99.0 - SESSION_COLLECTION_S)
     return rollout
 
 
@@ -69,7 +69,7 @@
     return {
         seed
         for seed in range(count)
-        if choose_versions(rollout, BOTH, str(seed), now_s).is_new
+        if choose_version(rollout, BOTH, str(seed), now_s).is_new
     }
 
 
@@ -90,19 +90,21 @@
     assert 25 < len(get_new(rollout, 105.0)) < 90
 
 
-def add_answers(rollout, pattern, risk, route="r", upstreams=2):
+def add_answers(rollout, pattern, failure_rate, route="r", upstreams=2):
     """Plays answers of the new version: `x` failed, `.` did not."""
     for number, letter in enumerate(pattern):
         failed = letter == "x"
-        rollout.add_evidence(route, get_evidence(risk, failed))
-        rollout.note_answers("edge-1", number + 1)
+        rollout.add_evidence(
+            route, get_log_likelihood_ratio(failure_rate, failed)
+        )
+        rollout.record_answers("edge-1", number + 1)
         if failed:
             rollout.add_failure(f"n{number % upstreams}", 2)
 
 
 def test_failures_on_the_new_version_alone_stop_it():
     rollout = make_rollout()
-    add_answers(rollout, ".x.xx", risk=0.0)
+    add_answers(rollout, ".x.xx", failure_rate=0.0)
     assert rollout.is_stopped
     assert get_new(rollout, 105.0) == set()
     assert rollout.get_due_outcome(105.0) is RolloutOutcome.REVERTED
@@ -112,14 +114,14 @@
     # A zone or a link fails half of the requests of all: the old version's
     # rate is known, and the new one's failures are no more than that.
     rollout = make_rollout()
-    add_answers(rollout, "x.x..xx." * 20, risk=0.5)
+    add_answers(rollout, "x.x..xx." * 20, failure_rate=0.5)
     assert not rollout.is_stopped
 
 
 def test_the_usual_failures_of_a_route_stop_nothing():
     # One answer in seven of the route fails whichever version answers.
     rollout = make_rollout()
-    add_answers(rollout, "......x" * 30, risk=0.14)
+    add_answers(rollout, "......x" * 30, failure_rate=0.14)
     assert not rollout.is_stopped
 
 
@@ -128,22 +130,22 @@
     # answers would outweigh the failures of the other one.
     rollout = make_rollout()
     for _ in range(8):
-        add_answers(rollout, "." * 6, risk=0.02, route="fine")
-        add_answers(rollout, ".xx", risk=0.02, route="bad")
+        add_answers(rollout, "." * 6, failure_rate=0.02, route="fine")
+        add_answers(rollout, ".xx", failure_rate=0.02, route="bad")
     assert rollout.is_stopped
 
 
 def test_a_version_that_turns_bad_late_is_stopped_as_fast():
     # A hundred good answers must not have to be made up for.
     rollout = make_rollout()
-    add_answers(rollout, "." * 100 + "xx.xx", risk=0.02)
+    add_answers(rollout, "." * 100 + "xx.xx", failure_rate=0.02)
     assert rollout.is_stopped
 
 
 def test_one_upstream_that_fails_is_no_evidence_against_its_version():
     # One of two upstreams of the new version fails part of its requests.
     rollout = make_rollout()
-    add_answers(rollout, "x.xxx" * 5, risk=0.02, upstreams=1)
+    add_answers(rollout, "x.xxx" * 5, failure_rate=0.02, upstreams=1)
     assert not rollout.is_stopped
 
 
@@ -163,17 +165,17 @@
         total += 1.0 - COMPLETE_RATIO
         assert total * expected <= ratio * expected + 30.0
     assert get_first_share(0.15, 30.0, 0.0) == DEFAULT_SHARE
-    assert get_first_share(0.01, 0.0, 1e6) == min(SHARES)
+    assert get_first_share(0.01, 0.0, 1e6) == min(FIRST_SHARES)
 
 
 def test_the_load_step_waits_for_answers():
     # Few requests: without answers of the new version nothing is known of
     # it, and most traffic must not go there because time has passed.
     rollout = make_rollout()
-    rollout.note_answers("edge-1", 10)
+    rollout.record_answers("edge-1", 10)
     first = rollout.get_share(100.0)
     assert rollout.get_share(118.5) == first
-    rollout.note_answers("edge-2", 10)
+    rollout.record_answers("edge-2", 10)
     assert rollout.get_share(110.0) == first
     assert rollout.get_share(118.5) == LOAD_STEP.share
 
@@ -182,19 +184,19 @@
     rollout = make_rollout()
     due_s = 100.0 + COMPLETE_RATIO * ORDER.duration_s
     assert rollout.get_due_outcome(due_s + 5.0) is RolloutOutcome.RUNNING
-    rollout.note_answers("edge-1", COMPLETE_ANSWERS)
+    rollout.record_answers("edge-1", COMPLETE_ANSWERS)
     assert rollout.get_due_outcome(due_s - 0.1) is RolloutOutcome.RUNNING
     assert rollout.get_due_outcome(due_s + 0.01) is RolloutOutcome.COMPLETED
 
 
 def test_a_service_with_few_requests_is_completed_a_little_later():
     rollout = make_rollout()
-    add_answers(rollout, "." * LATE_ANSWERS, risk=0.02)
+    add_answers(rollout, "." * LATE_ANSWERS, failure_rate=0.02)
     late_s = 100.0 + LATE_RATIO * ORDER.duration_s
     assert rollout.get_due_outcome(late_s - 0.1) is RolloutOutcome.RUNNING
     assert rollout.get_due_outcome(late_s + 0.01) is RolloutOutcome.COMPLETED
     suspected = make_rollout()
-    add_answers(suspected, "...xx", risk=0.02)
+    add_answers(suspected, "...xx", failure_rate=0.02)
     assert suspected.get_due_outcome(late_s + 0.01) is RolloutOutcome.RUNNING
 
 
@@ -202,7 +204,7 @@
     # The process was killed in the middle; its clock starts anew, and
     # another gateway's note says how old the order is.
     rollout = Rollout(ORDER, 7, 110.0)
-    rollout.note_age(10.0, 110.0)
+    rollout.apply_age(10.0, 110.0)
     assert rollout.get_age_s(112.0) == 12.0
 
 
@@ -210,7 +212,7 @@
     rollout = make_rollout()
     rollout.outcome = RolloutOutcome.COMPLETED
     chosen = {
-        choose_versions(rollout, BOTH, str(seed), 101.0).version
+        choose_version(rollout, BOTH, str(seed), 101.0).version
         for seed in range(50)
     }
     assert chosen == {"v2"}
@@ -243,16 +245,16 @@
     # next one comes here. Its gateway has told of it while sessions were
     # collected, before anything went to the new version.
     rollout = Rollout(ORDER, 7, 100.0)
-    rollout.agree(0.1, 100.0)
-    assert rollout.get_share(100.0 + COLLECT_S - 0.1) == 0.0
+    rollout.set_first_share(0.1, 100.0)
+    assert rollout.get_share(100.0 + SESSION_COLLECTION_S - 0.1) == 0.0
     going_on = next(
         s for s in map(str, range(99)) if rollout.is_below_first_share(s)
     )
-    rollout.held.add(going_on)
-    assert not choose_versions(rollout, BOTH, going_on, 105.0).is_new
-    assert choose_versions(rollout, BOTH, going_on, 111.0).is_new
-    rollout.held.clear()
-    assert choose_versions(rollout, BOTH, going_on, 105.0).is_new
+    rollout.held_sessions.add(going_on)
+    assert not choose_version(rollout, BOTH, going_on, 105.0).is_new
+    assert choose_version(rollout, BOTH, going_on, 111.0).is_new
+    rollout.held_sessions.clear()
+    assert choose_version(rollout, BOTH, going_on, 105.0).is_new
 
 
 async def test_gateways_tell_each_other_which_sessions_go_on():
@@ -264,8 +266,10 @@
             )
         await put_order(stage, duration_s=30.0)
         (rollout,) = stage.gateway.deployment.rollouts.values()
-        await stage.wait_until(lambda: rollout.held)
-        assert all(rollout.is_below_first_share(s) for s in rollout.held)
+        await stage.wait_until(lambda: rollout.held_sessions)
+        assert all(
+            rollout.is_below_first_share(s) for s in rollout.held_sessions
+        )
 
         def count_letters():
             letters = map(
@@ -278,7 +282,9 @@
                 if isinstance(note, SessionsNote)
             )
 
-        await stage.wait_until(lambda: count_letters() == len(rollout.held))
+        await stage.wait_until(
+            lambda: count_letters() == len(rollout.held_sessions)
+        )
 
 
 async def put_order(stage, version="v2", duration_s=4.0):
@@ -396,23 +402,25 @@
 
     @rule(
         failed=st.booleans(),
-        risk=st.floats(0.0, 1.0),
+        failure_rate=st.floats(0.0, 1.0),
         route=st.sampled_from("ab"),
         upstream=st.sampled_from(["n1", "n2"]),
     )
-    def answer(self, failed, risk, route, upstream):
-        self.rollout.add_evidence(route, get_evidence(risk, failed))
+    def answer(self, failed, failure_rate, route, upstream):
+        self.rollout.add_evidence(
+            route, get_log_likelihood_ratio(failure_rate, failed)
+        )
         if failed:
             self.rollout.add_failure(upstream, 2)
 
     @rule(gateway=st.sampled_from("xy"), count=st.integers(0, 60))
     def count(self, gateway, count):
-        self.rollout.note_answers(gateway, count)
+        self.rollout.record_answers(gateway, count)
 
     @rule(age_s=st.floats(0.0, 25.0))
     def hear(self, age_s):
         age_s = min(age_s, self.now_s - 100.0)
-        self.rollout.note_age(age_s, self.now_s)
+        self.rollout.apply_age(age_s, self.now_s)
 
     @rule()
     def settle(self):
@@ -454,7 +462,7 @@
         entry = UpstreamEntry("pool", f"h:{number}", "a", version, 12, False)
         deployment.rotation.apply(f"w{number}", entry, number, 0.0, False)
     rollout = Rollout(ORDER, 7, 0.0)
-    rollout.agree(0.015, 0.0)
+    rollout.set_first_share(0.015, 0.0)
     deployment.rollouts["pool"] = rollout
     ends: dict[str, list[float]] = {}
     total = int(240 * COMPLETE_RATIO * ORDER.duration_s)
@@ -468,8 +476,8 @@
         active = [end_s for end_s in ends.get(name, ()) if end_s > now_s]
         ends[name] = [*active, now_s + 0.3]
         failed = len(active) >= fails_from
-        rollout.note_answers("edge", rollout.get_answers() + 1)
-        rollout.add_evidence("r", get_evidence(0.02, failed))
+        rollout.record_answers("edge", rollout.get_answers() + 1)
+        rollout.add_evidence("r", get_log_likelihood_ratio(0.02, failed))
         if failed:
             rollout.add_failure(name, 47)
         if rollout.is_stopped:
@@ -499,7 +507,7 @@
     names = [f"w{number}" for number in range(47)]
     chosen = choose_trial(names, "7", LOAD_STEP.share)
     assert chosen == choose_trial(names[::-1], "7", LOAD_STEP.share)
-    assert len(chosen) * TRIAL_LOAD >= LOAD_STEP.share * len(names)
+    assert len(chosen) * TRIAL_LOAD_FACTOR >= LOAD_STEP.share * len(names)
     assert choose_trial(names, "7", 0.015) < chosen
     assert choose_trial(names[:1], "7", 0.015) == {"w0"}
 
@@ -577,9 +585,9 @@
     # Its few upstreams are loaded as in a burst, and what others send there
     # is known late. Failures count all the same.
     loaded = ServiceOnTrial()
-    loaded.rollout.agree(0.05, get_elapsed_s() - COLLECT_S)
-    loaded.rollout.note_answers("other", LOAD_STEP.min_answers)
-    loaded.rollout.note_age(0.9 * ORDER.duration_s, get_elapsed_s())
+    loaded.rollout.set_first_share(0.05, get_elapsed_s() - SESSION_COLLECTION_S)
+    loaded.rollout.record_answers("other", LOAD_STEP.min_answers)
+    loaded.rollout.apply_age(0.9 * ORDER.duration_s, get_elapsed_s())
     for _ in range(30):
         loaded.answer(SLOW)
     assert not loaded.rollout.is_stopped
--- a/tests/test_gateway_rotation.py
+++ b/tests/test_gateway_rotation.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from lovagestage.gateway.rotation import LAPSE_GRACE_S, Rotation
+from lovagestage.gateway.rotation import EXPIRED_GRACE_S, Rotation
 from lovagestage.gateway.upstream import (
     MAX_PAST_STARTS,
     UpstreamEntry,
@@ -77,9 +77,9 @@
     rotation = Rotation()
     rotation.apply("w1", ENTRY, 1, 0.0, False)
     rotation.apply("w1", None, 2, 10.0, True)
-    rotation.expire(10.0 + LAPSE_GRACE_S + 0.25)
+    rotation.expire(10.0 + EXPIRED_GRACE_S + 0.25)
     assert get_names(rotation) == []
-    assert LAPSE_GRACE_S + 0.25 < DRAIN_S
+    assert EXPIRED_GRACE_S + 0.25 < DRAIN_S
 
 
 def test_an_upstream_missing_in_a_full_list_is_gone():
@@ -135,8 +135,10 @@
         if len(history) <= back:
             return
         offset, entry = history[-1 - back]
-        was_away = self.now_s - self.away_s < 2.0
-        self.rotation.apply(name, entry, offset, self.now_s, was_away)
+        was_store_unavailable = self.now_s - self.away_s < 2.0
+        self.rotation.apply(
+            name, entry, offset, self.now_s, was_store_unavailable
+        )
         known = self.heard.setdefault(name, [])
         is_new = not known or offset > known[-1][0]
         if not is_new or (entry is None and not known):
@@ -154,7 +156,7 @@
             # Removed already; the first removal counts.
             known[-1] = (offset, *known[-1][1:])
             return
-        known.append((offset, entry, self.now_s, was_away))
+        known.append((offset, entry, self.now_s, was_store_unavailable))
 
     @rule(seconds=st.floats(0.05, 3.0))
     def wait(self, seconds):
@@ -172,9 +174,9 @@
             if not known:
                 continue
             drained = any(e is not None and e.is_draining for _, e, *_ in known)
-            _, entry, at_s, was_away = known[-1]
-            is_lapse = entry is None and was_away
-            in_grace = is_lapse and self.now_s - at_s <= LAPSE_GRACE_S
+            _, entry, at_s, was_store_unavailable = known[-1]
+            is_expiry = entry is None and was_store_unavailable
+            in_grace = is_expiry and self.now_s - at_s <= EXPIRED_GRACE_S
             expected = not drained and (entry is not None or in_grace)
             assert (name in ready) == expected, (name, known)
 
--- a/tests/test_gateway_trust.py
+++ b/tests/test_gateway_trust.py
@@ -183,9 +183,9 @@
 def test_news_end_trust_once_they_must_be_in_force():
     trust = Trust(5.0, 3.0)
     trust.note_proof(10.0)
-    trust.note_news(10.5)
+    trust.record_update_notification(10.5)
     assert not trust.is_superseded(12.0)
-    trust.note_news(12.5)
+    trust.record_update_notification(12.5)
     assert trust.is_superseded(13.0)
     # What was heard of long ago may be out of reach.
     assert not trust.is_superseded(12.5 + NEWS_S)
