--- a/tests/test_gateway_absence.py
+++ b/tests/test_gateway_absence.py
@@ -1,4 +1,4 @@
-"""Upstreams that are not there: how many requests find out."""
+"""Unreachable upstreams: how many requests are lost until they are excluded."""
 
 from __future__ import annotations
 
@@ -11,24 +11,27 @@
 from lovagestage.gateway.performance import SLOW_CONNECT_S, Performance
 from tests.gateway_stage import make_route, run_stage
 
-INTERVAL_S = 0.01
-DARK_S = 3.0
-BEGIN_S = 0.1
-"""Busy enough that an upstream without any request looks the best."""
-MOST_TRIALS = 10
-"""Five of the first moment, one each after 0.5, 1 and 2 s, and two more."""
-PATIENT_ROUTE = make_route(
+ARRIVAL_INTERVAL_S = 0.01
+OUTAGE_S = 3.0
+FIRST_EVENT_S = 0.1
+"""Time in seconds to the first event: long enough that an upstream without any
+request looks like the best one."""
+MAX_FAILED_ATTEMPTS = 10
+"""Limit on failed attempts: five of the first moment, one each after 0.5, 1
+and 2 s, and two more."""
+LONG_TARGET_ROUTE = make_route(
     "stream", "streaming", Resumable=True, TargetGapMs=300, TargetLatencyMs=2000
 )
-"""Callers, gateway and upstreams share a process here. With a shorter aim a
-stall of 0.35 s on a busy machine passes for the silence of all upstreams."""
+"""Route with a long target latency. Callers, gateway and upstreams share a
+process in this test; with a shorter target, a stall of 0.35 s on a busy
+machine would be taken for the inactivity of all upstreams."""
 
 
 @contextlib.contextmanager
-def open_dark_address():
-    """An address whose VM answers no opening packet.
+def open_unresponsive_address():
+    """Yields an address whose VM answers no packet that opens a connection.
 
-    The queue of its listener is full: the kernel drops what comes.
+    The queue of its listener is full, so the kernel drops such packets.
     """
     with socket.socket() as listener, contextlib.ExitStack() as stack:
         listener.bind(("127.0.0.1", 0))
@@ -41,39 +44,42 @@
 
 
 async def test_few_requests_find_out_that_a_vm_is_dark(caplog):
-    # A VM goes dark; the store lists it still. Each request that is sent
-    # there loses the time limit of a connection. One shows that the upstream
-    # is away, and one now and then asks whether it is back; the others, which
-    # come a hundred times a second, must not be sent after it meanwhile.
-    script = lab.make_stream(1, first_s=BEGIN_S)
-    with open_dark_address() as address:
-        async with run_stage(workers=2, script=script) as stage:
-            stage.put_configuration(version=2, routes=[PATIENT_ROUTE])
-            stage.put_entry("w2", Address=address)
-            dark = next(
+    # A VM stops responding while the store still lists its upstream. Each
+    # request that is sent there loses the time limit of a connection. One
+    # failure shows that the upstream is unreachable, and a single probe now
+    # and then checks whether it has recovered; the other requests, a hundred a
+    # second, must not follow a probe while its result is open.
+    script = lab.make_stream(1, first_s=FIRST_EVENT_S)
+    with open_unresponsive_address() as address:
+        async with run_stage(workers=2, script=script) as harness:
+            harness.put_configuration(version=2, routes=[LONG_TARGET_ROUTE])
+            harness.put_entry("w2", Address=address)
+            unresponsive = next(
                 u
-                for u in stage.gateway.deployment.rotation.get_all()
+                for u in harness.gateway.deployment.rotation.get_all()
                 if u.id == "w2"
             )
-            await stage.wait_until(lambda: dark.entry.address == address)
-            deployment = stage.gateway.deployment
-            await stage.wait_until(
+            await harness.wait_until(
+                lambda: unresponsive.entry.address == address
+            )
+            deployment = harness.gateway.deployment
+            await harness.wait_until(
                 lambda: deployment.configuration.version == 2
             )
-            end_s = get_elapsed_s() + DARK_S
+            end_s = get_elapsed_s() + OUTAGE_S
             calls = []
             while get_elapsed_s() < end_s:
-                calls.append(asyncio.ensure_future(stage.call("/stream/x")))
-                await asyncio.sleep(INTERVAL_S)
+                calls.append(asyncio.ensure_future(harness.call("/stream/x")))
+                await asyncio.sleep(ARRIVAL_INTERVAL_S)
             replies = await asyncio.gather(*calls)
     assert {reply.status for reply in replies} == {200}
     failed = [r for r in caplog.records if r.message == "attempt_failed"]
     assert {r.upstream for r in failed} == {"w2"}
     assert failed[0].left_out_s > 0.0
-    assert 2 <= len(failed) <= MOST_TRIALS, len(failed)
+    assert 2 <= len(failed) <= MAX_FAILED_ATTEMPTS, len(failed)
 
 
-def make_absent():
+def make_failed_performance():
     performance = Performance()
     performance.note_absent(0.0)
     assert performance.is_suspect(0.4)
@@ -82,27 +88,28 @@
 
 
 def test_one_request_tries_an_upstream_that_failed():
-    performance = make_absent()
+    performance = make_failed_performance()
     performance.note_sent(0.6)
     assert performance.is_suspect(0.61)
 
 
 def test_others_follow_once_the_trial_is_answered():
-    performance = make_absent()
+    performance = make_failed_performance()
     performance.note_sent(0.6)
     performance.note_heard()
     assert not performance.is_suspect(0.61)
 
 
 def test_a_trial_that_hangs_does_not_keep_others_away_for_long():
-    # It waits in a long queue there, or its answer was lost on the way.
-    performance = make_absent()
+    # The probe waits in a long queue at the upstream, or its answer was lost
+    # on the way.
+    performance = make_failed_performance()
     performance.note_sent(0.6)
     assert not performance.is_suspect(1.2)
 
 
 def test_each_failed_trial_doubles_the_time():
-    performance = make_absent()
+    performance = make_failed_performance()
     performance.note_sent(0.6)
     performance.note_absent(1.0)
     assert performance.is_suspect(1.9)
@@ -112,7 +119,7 @@
 
 
 def test_failures_of_one_moment_count_once():
-    performance = make_absent()
+    performance = make_failed_performance()
     performance.note_absent(0.1)
     assert not performance.is_suspect(0.6)
 
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under the id that they had, and junk entries."""
+"""Upstreams that restart under the same id, and entries that are invalid."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from lovagestage.platform.configuration import decode_upstream
 from tests.gateway_stage import run_stage
 
-BORN_MS = 1_700_000_000_000
-ENTRY = UpstreamEntry("pool", "10.0.0.1:80", "a", "v1", 4, False, BORN_MS)
-AGAIN = dataclasses.replace(ENTRY, born_ms=BORN_MS + 5_000)
+START_MS = 1_700_000_000_000
+ENTRY = UpstreamEntry("pool", "10.0.0.1:80", "a", "v1", 4, False, START_MS)
+RESTARTED = dataclasses.replace(ENTRY, born_ms=START_MS + 5_000)
 FIELDS = {
     "Service": "pool",
     "Address": "10.0.0.1:80",
@@ -38,25 +38,26 @@
     return rotation
 
 
-def get_only(rotation):
+def get_single(rotation):
     (upstream,) = rotation.get_ready("pool")
     return upstream
 
 
 def test_a_restarted_upstream_has_no_record_of_before():
-    # An upstream crashes while it works on requests, is slow and fails some,
-    # and starts again under its id. What was known of it is of a process that
-    # is gone: its failures, its speed and the requests that it ran.
+    # An upstream crashes while it works on requests, is slow and fails some of
+    # them, and starts again under its id. The gateway's record of its
+    # failures, its speed and its running requests belongs to a process that is
+    # gone.
     rotation = make_rotation()
-    before = get_only(rotation)
+    before = get_single(rotation)
     before.performance.running = 9
     before.performance.waiting_s = 3.0
     before.performance.note_time(1.0, 0.1)
     before.performance.note_absent(0.5)
     for _ in range(9):
         before.performance.note_answer(True)
-    rotation.apply("w1", AGAIN, 2, 1.0, False)
-    after = get_only(rotation)
+    rotation.apply("w1", RESTARTED, 2, 1.0, False)
+    after = get_single(rotation)
     assert after is not before
     assert after.performance.get_wait_s() == 0.0
     assert after.performance.slowness == 1.0
@@ -66,12 +67,13 @@
 
 
 def test_a_restarted_upstream_has_read_no_prompt():
-    # Its memory is empty: a prompt that the process before had read takes as
-    # long as any other, until it has been sent here again.
+    # The new process's cache is empty: a prompt prefix that the previous
+    # process had cached takes as long as any other, until a prompt with it has
+    # been sent here again.
     rotation = make_rotation()
-    assert get_only(rotation).has_likely_cached("s1")
-    rotation.apply("w1", AGAIN, 2, 1.0, False)
-    upstream = get_only(rotation)
+    assert get_single(rotation).has_likely_cached("s1")
+    rotation.apply("w1", RESTARTED, 2, 1.0, False)
+    upstream = get_single(rotation)
     assert not upstream.has_likely_cached("s1")
     upstream.record_sent_prefix("s1")
     assert upstream.has_likely_cached("s1")
@@ -79,42 +81,45 @@
 
 
 def test_an_upstream_that_left_is_back_once_it_starts_again():
-    # A draining process takes nothing any more, whatever is written of it. A
-    # new one under its id does, and a removal in between changes neither.
+    # A draining process gets no more requests, whatever is written of it
+    # later. A new process under its id does, and a removal in between changes
+    # neither.
     rotation = make_rotation()
     leaving = dataclasses.replace(ENTRY, is_draining=True)
     rotation.apply("w1", leaving, 2, 1.0, False)
     rotation.apply("w1", None, 3, 2.0, False)
     assert rotation.get_ready("pool") == []
-    rotation.apply("w1", AGAIN, 4, 3.0, False)
-    assert get_only(rotation).entry == AGAIN
+    rotation.apply("w1", RESTARTED, 4, 3.0, False)
+    assert get_single(rotation).entry == RESTARTED
 
 
 @pytest.mark.parametrize("is_draining", [False, True])
 def test_a_late_entry_of_the_process_before_is_ignored(is_draining):
-    # A write of the old process is carried out seconds late, after its
-    # successor's first. It must neither bring the old one's record back nor
-    # take the new one out.
+    # A write of the old process is carried out seconds late, after the first
+    # one of its successor. It must neither restore the record of the old
+    # process nor remove the new one.
     rotation = make_rotation()
-    rotation.apply("w1", AGAIN, 2, 1.0, False)
-    after = get_only(rotation)
+    rotation.apply("w1", RESTARTED, 2, 1.0, False)
+    after = get_single(rotation)
     late = dataclasses.replace(ENTRY, is_draining=is_draining)
     rotation.apply("w1", late, 3, 1.5, False)
-    assert get_only(rotation) is after
-    assert after.entry == AGAIN
+    assert get_single(rotation) is after
+    assert after.entry == RESTARTED
 
 
 def test_a_clock_that_was_set_back_hides_no_restart():
     rotation = make_rotation()
-    back = dataclasses.replace(ENTRY, born_ms=BORN_MS - 60_000)
-    before = get_only(rotation)
+    back = dataclasses.replace(ENTRY, born_ms=START_MS - 60_000)
+    before = get_single(rotation)
     rotation.apply("w1", back, 2, 1.0, False)
-    assert get_only(rotation) is not before
+    assert get_single(rotation) is not before
 
 
 def test_a_restart_may_move_to_another_service_and_address():
     rotation = make_rotation()
-    other = dataclasses.replace(AGAIN, service="desk", address="10.0.0.9:80")
+    other = dataclasses.replace(
+        RESTARTED, service="desk", address="10.0.0.9:80"
+    )
     rotation.apply("w1", other, 2, 1.0, False)
     assert rotation.get_ready("pool") == []
     assert [u.entry for u in rotation.get_ready("desk")] == [other]
@@ -123,12 +128,12 @@
 
 
 def test_decodes_born_where_it_is_told():
-    data = json.dumps({**FIELDS, "born": BORN_MS}).encode()
-    assert decode_upstream(data).born_ms == BORN_MS
+    data = json.dumps({**FIELDS, "born": START_MS}).encode()
+    assert decode_upstream(data).born_ms == START_MS
     assert decode_upstream(json.dumps(FIELDS).encode()).born_ms is None
 
 
-WRONG = [
+INVALID_FIELDS = [
     *({k: v for k, v in FIELDS.items() if k != name} for name in FIELDS),
     *({**FIELDS, name: None} for name in FIELDS),
     *({**FIELDS, name: [1]} for name in FIELDS),
@@ -142,7 +147,7 @@
 ]
 
 
-@pytest.mark.parametrize("fields", WRONG)
+@pytest.mark.parametrize("fields", INVALID_FIELDS)
 def test_an_entry_that_is_not_whole_names_no_upstream(fields):
     with pytest.raises(CodecError):
         decode_upstream(json.dumps(fields).encode())
@@ -179,53 +184,54 @@
 
 
 async def test_junk_beside_good_entries_harms_none(caplog):
-    # Another writer leaves entries that can't be read, under keys of its own
-    # and under that of an upstream. Callers are served by the others; the
-    # junk is told once each, and its key names no upstream until it writes a
-    # whole entry again.
+    # Another writer leaves entries that cannot be decoded, under keys of its
+    # own and under the key of an upstream. Callers are served by the other
+    # upstreams; each invalid entry is logged once, and its key names no
+    # upstream until a valid entry is written under it again.
     caplog.set_level(logging.ERROR)
-    async with run_stage(3) as stage:
+    async with run_stage(3) as harness:
         for name, data in (
             ("x1", b"\xff\xfe{"),
             ("x2", b'{"Service":"pool"}'),
             ("x3", json.dumps({**FIELDS, "Address": 5}).encode()),
             ("w1", b"[]"),
         ):
-            stage.store.put("keyed.servers", name, data)
-            stage.store.put("keyed.servers", name, data)
-        rotation = stage.gateway.deployment.rotation
-        await stage.wait_until(lambda: len(rotation.get_ready("pool")) == 2)
+            harness.store.put("keyed.servers", name, data)
+            harness.store.put("keyed.servers", name, data)
+        rotation = harness.gateway.deployment.rotation
+        await harness.wait_until(lambda: len(rotation.get_ready("pool")) == 2)
         replies = await asyncio.gather(
-            *(stage.call("/safe/x", request_id=f"r{n}") for n in range(8))
+            *(harness.call("/safe/x", request_id=f"r{n}") for n in range(8))
         )
         assert [reply.status for reply in replies] == [200] * 8
-        assert not stage.workers["w1"].arrivals
+        assert not harness.workers["w1"].arrivals
         refused = [
             record.upstream
             for record in caplog.records
             if record.msg == "upstream_record_refused"
         ]
         assert sorted(refused) == ["w1", "x1", "x2", "x3"]
-        stage.put_entry("w1")
-        await stage.wait_until(lambda: len(rotation.get_ready("pool")) == 3)
+        harness.put_entry("w1")
+        await harness.wait_until(lambda: len(rotation.get_ready("pool")) == 3)
 
 
 async def test_kept_connections_of_the_process_before_are_not_used():
-    # An upstream goes dark with kept connections and starts again under its
-    # id. A request on one of them would wait for an answer of nobody.
-    async with run_stage(1) as stage:
-        stage.put_entry("w1", born=BORN_MS)
-        rotation = stage.gateway.deployment.rotation
-        await stage.wait_until(
-            lambda: get_only(rotation).entry.born_ms == BORN_MS
+    # An upstream's VM stops responding while connections to it are pooled, and
+    # the upstream starts again under its id. A request on one of these
+    # connections would wait for an answer that never comes.
+    async with run_stage(1) as harness:
+        harness.put_entry("w1", born=START_MS)
+        rotation = harness.gateway.deployment.rotation
+        await harness.wait_until(
+            lambda: get_single(rotation).entry.born_ms == START_MS
         )
-        assert (await stage.call("/safe/x")).status == 200
-        assert (await stage.call("/safe/x")).status == 200
-        worker = stage.workers["w1"]
+        assert (await harness.call("/safe/x")).status == 200
+        assert (await harness.call("/safe/x")).status == 200
+        worker = harness.workers["w1"]
         assert worker.connections == 1
-        stage.put_entry("w1", born=BORN_MS + 1)
-        await stage.wait_until(
-            lambda: get_only(rotation).entry.born_ms == BORN_MS + 1
+        harness.put_entry("w1", born=START_MS + 1)
+        await harness.wait_until(
+            lambda: get_single(rotation).entry.born_ms == START_MS + 1
         )
-        assert (await stage.call("/safe/x")).status == 200
+        assert (await harness.call("/safe/x")).status == 200
         assert worker.connections == 2
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of the load of its upstreams."""
+"""The load of the upstreams as a gateway measures it."""
 
 from __future__ import annotations
 
@@ -10,37 +10,45 @@
 from lovagestage.gateway.latency import UNKNOWN_S, LoadGauge
 from tests.gateway_stage import MODELS, make_route, run_stage
 
-AIM_S = 1.5
+TARGET_LATENCY_S = 1.5
 BURST = 20
-DOUBT = {"small": 40, "large": 90}
+CONFIDENCE = {"small": 40, "large": 90}
 SLOW_START_S = 0.25
 
 
 def test_idle_upstreams_put_no_pressure():
     gauge = LoadGauge()
-    gauge.add(0.05, AIM_S)
-    assert gauge.get_pressure(0.0, AIM_S) == 0.0
+    gauge.add(0.05, TARGET_LATENCY_S)
+    assert gauge.get_pressure(0.0, TARGET_LATENCY_S) == 0.0
 
 
 @pytest.mark.parametrize(
-    ("begun_s", "wait_s"), [(AIM_S, 0.0), (0.05, AIM_S), (AIM_S, AIM_S)]
+    ("begun_s", "wait_s"),
+    [
+        (TARGET_LATENCY_S, 0.0),
+        (0.05, TARGET_LATENCY_S),
+        (TARGET_LATENCY_S, TARGET_LATENCY_S),
+    ],
 )
 def test_late_answers_and_long_waits_are_full_pressure(begun_s, wait_s):
     gauge = LoadGauge()
-    gauge.add(begun_s, AIM_S)
-    assert gauge.get_pressure(wait_s, AIM_S) == 1.0
+    gauge.add(begun_s, TARGET_LATENCY_S)
+    assert gauge.get_pressure(wait_s, TARGET_LATENCY_S) == 1.0
 
 
 async def test_burst_is_not_escalated_before_its_first_answers():
-    # All gateways have just started, and the callers that waited come at
-    # once. The first answer begins soon and is in doubt, while the upstream
-    # works off all the others: a larger model, asked now, would make them
-    # late, though no answer has been late so far.
-    soon = lab.make_stream(2, confidence=DOUBT, first_s=SLOW_START_S)
-    late = lab.make_stream(2, first_s=4 * SLOW_START_S)
+    # All gateways have just started, and the callers that waited arrive at the
+    # same moment. The first answer begins early and has a low confidence,
+    # while the upstream works through all the other requests: an escalation to
+    # a larger model now would make them late, though no answer has been late
+    # so far.
+    fast_script = lab.make_stream(
+        2, confidence=CONFIDENCE, first_s=SLOW_START_S
+    )
+    slow_script = lab.make_stream(2, first_s=4 * SLOW_START_S)
 
     async def run(arrival, writer):
-        script = soon if arrival.request_id == "first" else late
+        script = fast_script if arrival.request_id == "first" else slow_script
         await script(arrival, writer)
 
     route = make_route(
@@ -48,12 +56,12 @@
         "streaming",
         Sizes=MODELS,
         Resumable=True,
-        TargetLatencyMs=AIM_S * 1000,
+        TargetLatencyMs=TARGET_LATENCY_S * 1000,
     )
-    async with run_stage(1, run, routes=[route]) as stage:
+    async with run_stage(1, run, routes=[route]) as harness:
         calls = [
             asyncio.ensure_future(
-                stage.call("/sized/x", request_id=name, Model_Name="*")
+                harness.call("/sized/x", request_id=name, Model_Name="*")
             )
             for name in ("first", *(f"b{number}" for number in range(BURST)))
         ]
@@ -63,15 +71,16 @@
 
 
 async def test_requests_count_before_any_answer_is_known():
-    # Nothing has been answered yet, so no time is known for such a request.
-    # It must count as load all the same, or all would go to one upstream.
+    # No request has been answered yet, so the time of such a request is not
+    # known. It must count as load nevertheless, or all requests would be sent
+    # to one upstream.
     script = lab.make_stream(1, first_s=SLOW_START_S)
-    async with run_stage(workers=1, script=script) as stage:
-        (upstream,) = stage.gateway.deployment.rotation.get_all()
+    async with run_stage(workers=1, script=script) as harness:
+        (upstream,) = harness.gateway.deployment.rotation.get_all()
         call = asyncio.ensure_future(
-            stage.call("/stream/x", body=b"p", Model_Name="m")
+            harness.call("/stream/x", body=b"p", Model_Name="m")
         )
-        await stage.wait_until(lambda: upstream.performance.running == 1)
+        await harness.wait_until(lambda: upstream.performance.running == 1)
         assert upstream.performance.waiting_s == UNKNOWN_S
         assert (await call).status == 200
         assert upstream.performance.waiting_s == 0.0
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -1,4 +1,4 @@
-"""How long prompts take by themselves, and where they are sent for it."""
+"""Prefill times of prompts, and the upstream that they are sent to."""
 
 from __future__ import annotations
 
@@ -31,16 +31,17 @@
 
 
 def test_waits_are_not_taken_for_reading():
-    # Most answers have waited behind others, by very different times. Were
-    # they taken for the prompt's own, a queue of ten would count each wait
-    # ten times over, and its upstream would seem to be full.
+    # Most answers have waited behind others, by very different times. If these
+    # times were taken for the prompt's own prefill, a queue of ten requests
+    # would count each wait ten times over, and its upstream would seem to be
+    # full.
     rng = random.Random(1)
     waits_s = [rng.choice((0.0, 0.0, 0.2, 0.5, 1.5)) for _ in range(300)]
     expected_s = OVERHEAD_S + 4_000 * TOKEN_S
-    read_s = make_times(waits_s).get("large", 4_000)
-    assert read_s == pytest.approx(expected_s, rel=0.5)
+    prefill_s = make_times(waits_s).get("large", 4_000)
+    assert prefill_s == pytest.approx(expected_s, rel=0.5)
     mean_s = sum(waits_s) / len(waits_s)
-    assert read_s < mean_s + expected_s
+    assert prefill_s < mean_s + expected_s
 
 
 def test_first_answer_that_waited_is_soon_outweighed():
@@ -69,21 +70,23 @@
 
 def test_what_is_read_of_a_prompt():
     system = PromptPart("a", 2_000)
-    subject = PromptPart("b", 300)
-    own = PromptPart("c", 40)
-    assert make_prompt((system, subject, own)) == PrefillTokens(340, 40)
-    assert make_prompt((own,)) == PrefillTokens(40, 40)
+    prefix = PromptPart("b", 300)
+    own_part = PromptPart("c", 40)
+    assert make_prompt((system, prefix, own_part)) == PrefillTokens(340, 40)
+    assert make_prompt((own_part,)) == PrefillTokens(40, 40)
     assert make_prompt(()) is None
 
 
-def get_home(work):
-    placements = place(make_rotation().get_ready("pool"), work, range(60))
-    homes = {p.upstream.id for p in placements if p.is_cached}
-    assert len(homes) == 1
-    return homes.pop()
+def get_prefix_upstream_id(work):
+    placements = choose_placements(
+        make_rotation().get_ready("pool"), work, range(60)
+    )
+    prefix_upstreams = {p.upstream.id for p in placements if p.is_cached}
+    assert len(prefix_upstreams) == 1
+    return prefix_upstreams.pop()
 
 
-def place(upstreams, work, seeds):
+def choose_placements(upstreams, work, seeds):
     return [
         choose_upstream(upstreams, (), work, "a", 0.0, random.Random(seed))
         for seed in seeds
@@ -94,16 +97,19 @@
 def test_subject_leaves_its_upstream_only_for_a_shorter_total(
     wait_s, goes_home
 ):
-    # The subject's upstream has a queue. Another one is free, but would read
-    # the shared part again, which takes 0.4 s of its time from all: three
-    # times that is worth a wait of 1.1 s and not one of 1.3 s. What the
-    # attempt adds to the queue follows.
+    # The upstream that has cached the prompt prefix has a queue. Another
+    # upstream is free, but would have to prefill the shared prefix again,
+    # which takes 0.4 s of its time from all requests: three times that is
+    # worth a wait of 1.1 s and not one of 1.3 s. The time that the attempt
+    # adds to the queue follows from the choice.
     work = Work(0.5, 0.1, "subject")
     rotation = make_rotation()
     upstreams = rotation.get_ready("pool")
-    home = get_home(work)
-    next(u for u in upstreams if u.id == home).performance.waiting_s = wait_s
-    for placement in place(upstreams, work, range(60)):
-        assert (placement.upstream.id == home) is goes_home
+    prefix_upstream = get_prefix_upstream_id(work)
+    next(
+        u for u in upstreams if u.id == prefix_upstream
+    ).performance.waiting_s = wait_s
+    for placement in choose_placements(upstreams, work, range(60)):
+        assert (placement.upstream.id == prefix_upstream) is goes_home
         assert placement.is_cached is goes_home
         assert placement.work_s == (0.1 if goes_home else 0.5)
--- a/tests/test_gateway_repeats.py
+++ b/tests/test_gateway_repeats.py
@@ -1,4 +1,4 @@
-"""How often requests are sent again, and whose repeats count."""
+"""How often requests are retried, and which retries count."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 SLACK = 54.0
 STREAMS = 32
 EVENTS = 12
-STEP_S = 0.05
+EVENT_INTERVAL_S = 0.05
 
 
 def make_budget(ratio=RATIO, slack=SLACK):
     return RepeatBudget(0.0, ratio, WINDOW_S, slack, 0.0, 1)
 
 
-def fill(budget, per_s, seconds, gateways=1, start_s=0.0):
+def record_requests(budget, per_s, seconds, gateways=1, start_s=0.0):
     count = int(per_s * seconds)
     for number in range(count):
         budget.note_request(start_s + number / per_s, gateways)
     return start_s + seconds
 
 
-def drain(budget, now_s):
+def acquire_all(budget, now_s):
     taken = 0
     while budget.try_acquire(now_s):
         taken += 1
@@ -45,19 +45,20 @@
 
 
 def test_what_was_left_unused_is_there_when_many_fail_at_once():
-    # 13 requests a second, none of which failed so far. Four upstreams of
-    # nine crash, and 20 streams of this gateway are to go on at others.
+    # 13 requests a second arrive, none of which has failed so far. Four
+    # upstreams of nine crash, and 20 streams of this gateway have to continue
+    # at others.
     budget = make_budget()
-    now_s = fill(budget, 13.0, 30.0, gateways=4)
-    assert drain(budget, now_s) >= 30
+    now_s = record_requests(budget, 13.0, 30.0, gateways=4)
+    assert acquire_all(budget, now_s) >= 30
 
 
 def test_larger_models_leave_a_part_to_requests_that_fail():
     budget = make_budget()
-    now_s = fill(budget, 13.0, 30.0, gateways=4)
+    now_s = record_requests(budget, 13.0, 30.0, gateways=4)
     while budget.try_acquire_escalation(now_s):
         pass
-    assert drain(budget, now_s) >= MAX_RESERVED - 1.0
+    assert acquire_all(budget, now_s) >= MAX_RESERVED - 1.0
 
 
 def test_a_young_process_reckons_with_gateways_unheard_of():
@@ -69,10 +70,10 @@
 
 def test_a_repeat_that_reached_nobody_is_given_back():
     budget = make_budget()
-    before = drain(budget, 0.0)
+    before = acquire_all(budget, 0.0)
     assert before >= 1
     budget.release()
-    assert drain(budget, 0.0) == 1
+    assert acquire_all(budget, 0.0) == 1
 
 
 @settings(max_examples=60, deadline=None)
@@ -82,9 +83,9 @@
     slack=st.floats(0.0, 90.0),
 )
 def test_all_gateways_together_keep_the_rule(gateways, rates, slack):
-    # Every gateway takes each repeat as soon as there is one, or saves all up
-    # and takes them at the worst moment. The rule counts repeats in any
-    # window against the requests of that window or the one before it.
+    # Each gateway takes each retry as soon as one is earned, or accumulates
+    # them and takes all at the worst moment. The rule counts retries in any
+    # window against the requests of that window or of the one before it.
     budgets = [
         RepeatBudget(0.0, RATIO, WINDOW_S, slack, 0.0, gateways)
         for _ in range(gateways)
@@ -95,12 +96,12 @@
         start_s = index * WINDOW_S / 2
         for budget in budgets:
             if per_s:
-                fill(budget, per_s, WINDOW_S / 2, gateways, start_s)
+                record_requests(budget, per_s, WINDOW_S / 2, gateways, start_s)
         now_s = start_s + WINDOW_S / 2
         arrivals.append(gateways * int(per_s * WINDOW_S / 2))
         taken = 0
         if index % 2:
-            taken = sum(drain(budget, now_s) for budget in budgets)
+            taken = sum(acquire_all(budget, now_s) for budget in budgets)
         repeats.append(taken)
     for index in range(1, len(rates)):
         most = max(
@@ -108,22 +109,24 @@
             for end in (index, index - 1, index - 2)
             if end >= 0
         )
-        # One is always left to a gateway, however small the slack.
+        # One retry is always left to each gateway, however small the slack is.
         allowed = RATIO * most + slack + 2 * gateways
         assert sum(repeats[index - 1 : index + 1]) <= allowed
 
 
 async def test_streams_go_on_when_several_upstreams_crash_at_once(caplog):
     # 32 streams run at four upstreams, and two of these crash. Each broken
-    # stream is to go on at one of the others, also where its first new
-    # upstream is the other crashed one; callers see all events once.
-    script = lab.make_stream(EVENTS, pause_s=STEP_S)
-    async with run_stage(4, script) as stage:
-        # Longer than the window, so that the budget knows its gateways.
+    # stream has to continue at one of the other upstreams, also where the
+    # first upstream of its retry is the other crashed one; callers receive
+    # every event exactly once.
+    script = lab.make_stream(EVENTS, pause_s=EVENT_INTERVAL_S)
+    async with run_stage(4, script) as harness:
+        # The pause is longer than the window, so that the budget knows the
+        # number of gateways.
         await asyncio.sleep(1.1)
         calls = [
             asyncio.ensure_future(
-                stage.call(
+                harness.call(
                     "/stream/x",
                     body=b"p",
                     Model_Name="m",
@@ -132,9 +135,9 @@
             )
             for number in range(STREAMS)
         ]
-        await asyncio.sleep(5 * STEP_S)
+        await asyncio.sleep(5 * EVENT_INTERVAL_S)
         for name in ("w1", "w2"):
-            await stage.workers[name].stop()
+            await harness.workers[name].stop()
         replies = await asyncio.gather(*calls)
         assert all(reply.whole for reply in replies)
         assert all(get_ids(r) == list(range(1, EVENTS + 1)) for r in replies)
@@ -143,14 +146,15 @@
 
 
 async def test_an_upstream_that_is_gone_is_no_refusal(caplog):
-    # Four of five upstreams have crashed and their entries still stand. The
-    # caller is served by the fifth, however many of the others were tried.
-    async with run_stage(5) as stage:
+    # Four of five upstreams have crashed while the store still lists their
+    # entries. The caller is served by the fifth, however many of the others
+    # were tried first.
+    async with run_stage(5) as harness:
         for name in ("w1", "w2", "w3", "w4"):
-            await stage.workers[name].stop()
+            await harness.workers[name].stop()
         replies = await asyncio.gather(
             *(
-                stage.call("/unsafe/x", request_id=f"r{number}")
+                harness.call("/unsafe/x", request_id=f"r{number}")
                 for number in range(6)
             )
         )
@@ -158,16 +162,16 @@
 
 
 async def test_a_request_sent_on_a_kept_connection_may_have_run():
-    # A request is written to a kept connection, which is reset; the new
-    # connection is refused since the upstream has crashed. Nobody knows
-    # whether it ran: the answer must not promise that it did not.
+    # A request is written to a kept-alive connection, which is reset; the new
+    # connection is refused since the upstream has crashed. It is not known
+    # whether the request ran, so the answer must not promise that it did not.
     async def run(arrival, writer):
         if arrival.request_id == "last":
-            await stage.workers["w1"].stop()
+            await harness.workers["w1"].stop()
             return
         await lab.answer_plain(arrival, writer)
 
-    async with run_stage(1, run) as stage:
-        assert (await stage.call("/safe/x", request_id="first")).status == 200
-        reply = await stage.call("/safe/x", request_id="last")
+    async with run_stage(1, run) as harness:
+        assert (await harness.call("/safe/x", request_id="first")).status == 200
+        reply = await harness.call("/safe/x", request_id="last")
         assert reply.status == 502
--- a/tests/test_gateway_risks.py
+++ b/tests/test_gateway_risks.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of a service's usual rates."""
+"""A service's failure and request rates as a gateway measures them."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 PER_S = 10.0
 
 
-def play(span_s):
-    """Answers of a steady service, from time 0 on."""
+def record_steady_answers(span_s):
+    """Records the answers of a service with a steady rate, from time 0 on."""
     table = FailureRateTable()
     for number in range(round(span_s * PER_S)):
         table.record_answer("pool", "r", False, number / PER_S)
@@ -19,17 +19,19 @@
 
 @pytest.mark.parametrize("span_s", [2.0, RATE_SPAN_S, 10 * RATE_SPAN_S])
 def test_rate_is_right_from_the_second_second_on(span_s):
-    # An order comes two seconds after the first request. Were the service
+    # An order arrives two seconds after the first request. If the service were
     # taken for a quarter of its size, the new version would get three times
-    # the share, and more requests than it may before a late fault shows.
-    assert play(span_s).get_request_rate("pool", span_s) == pytest.approx(
-        PER_S, rel=0.15
-    )
+    # its share, and more requests than it may before a late fault shows.
+    assert record_steady_answers(span_s).get_request_rate(
+        "pool", span_s
+    ) == pytest.approx(PER_S, rel=0.15)
 
 
 def test_rate_falls_when_requests_end():
     assert (
-        play(20.0).get_request_rate("pool", 20.0 + 4 * RATE_SPAN_S)
+        record_steady_answers(20.0).get_request_rate(
+            "pool", 20.0 + 4 * RATE_SPAN_S
+        )
         < 0.05 * PER_S
     )
 
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs: who goes to the new version, and what stops it."""
+"""Roll-outs: which requests go to the new version, and what stops it."""
 
 from __future__ import annotations
 
@@ -60,12 +60,12 @@
 
 
 def test_nothing_goes_to_the_new_version_before_a_share_is_agreed():
-    # Gateways that begin with shares of their own would move a session back
-    # and forth as its requests come to one or the other.
+    # If gateways began with shares of their own, a session would alternate
+    # between the versions as its requests arrive at one gateway or another.
     assert Rollout(ORDER, 7, 100.0).get_share(105.0) == 0.0
 
 
-def get_new(rollout, now_s, count=1000):
+def get_new_seeds(rollout, now_s, count=1000):
     return {
         seed
         for seed in range(count)
@@ -74,24 +74,24 @@
 
 
 def test_sessions_only_ever_move_to_the_new_version():
-    # A session that was answered by the new version must not go back to the
-    # old one while the new one is good.
+    # A session that was answered by the new version must not return to the old
+    # one while the new one is good.
     rollout = make_rollout()
     moved = set()
     for now_s in range(100, 120):
-        new = get_new(rollout, now_s)
+        new = get_new_seeds(rollout, now_s)
         assert moved <= new
         moved = new
 
 
 def test_the_share_stands_still_in_the_first_half():
     rollout = make_rollout()
-    assert get_new(rollout, 100.0) == get_new(rollout, 109.9)
-    assert 25 < len(get_new(rollout, 105.0)) < 90
+    assert get_new_seeds(rollout, 100.0) == get_new_seeds(rollout, 109.9)
+    assert 25 < len(get_new_seeds(rollout, 105.0)) < 90
 
 
 def add_answers(rollout, pattern, failure_rate, route="r", upstreams=2):
-    """Plays answers of the new version: `x` failed, `.` did not."""
+    """Records answers of the new version: `x` failed, `.` did not."""
     for number, letter in enumerate(pattern):
         failed = letter == "x"
         rollout.add_evidence(
@@ -106,28 +106,30 @@
     rollout = make_rollout()
     add_answers(rollout, ".x.xx", failure_rate=0.0)
     assert rollout.is_stopped
-    assert get_new(rollout, 105.0) == set()
+    assert get_new_seeds(rollout, 105.0) == set()
     assert rollout.get_due_outcome(105.0) is RolloutOutcome.REVERTED
 
 
 def test_failures_on_both_versions_stop_nothing():
-    # A zone or a link fails half of the requests of all: the old version's
-    # rate is known, and the new one's failures are no more than that.
+    # A zone or a network link fails half of the requests of both versions: the
+    # old version's rate is known, and the new one's failures are no more
+    # frequent than that.
     rollout = make_rollout()
     add_answers(rollout, "x.x..xx." * 20, failure_rate=0.5)
     assert not rollout.is_stopped
 
 
 def test_the_usual_failures_of_a_route_stop_nothing():
-    # One answer in seven of the route fails whichever version answers.
+    # One answer in seven of the route fails, whichever version answers.
     rollout = make_rollout()
     add_answers(rollout, "......x" * 30, failure_rate=0.14)
     assert not rollout.is_stopped
 
 
 def test_a_version_that_is_bad_on_one_route_is_stopped():
-    # Most traffic is on a route that is fine. Weighed together, its good
-    # answers would outweigh the failures of the other one.
+    # Most traffic is on a route without faults. If all routes were weighed
+    # together, its good answers would outweigh the failures of the other
+    # route.
     rollout = make_rollout()
     for _ in range(8):
         add_answers(rollout, "." * 6, failure_rate=0.02, route="fine")
@@ -136,23 +138,23 @@
 
 
 def test_a_version_that_turns_bad_late_is_stopped_as_fast():
-    # A hundred good answers must not have to be made up for.
+    # A hundred good answers must not outweigh the failures that follow them.
     rollout = make_rollout()
     add_answers(rollout, "." * 100 + "xx.xx", failure_rate=0.02)
     assert rollout.is_stopped
 
 
 def test_one_upstream_that_fails_is_no_evidence_against_its_version():
-    # One of two upstreams of the new version fails part of its requests.
+    # One of two upstreams of the new version fails some of its requests.
     rollout = make_rollout()
     add_answers(rollout, "x.xxx" * 5, failure_rate=0.02, upstreams=1)
     assert not rollout.is_stopped
 
 
 def test_the_first_share_keeps_within_the_allowed_exposure():
-    # Over the whole roll-out, 15 in 100 and 30 more may reach a bad version,
-    # also one whose fault never shows: the load step and what follows the
-    # completion count as well.
+    # Over the whole roll-out, 15 in 100 requests and 30 more may reach a bad
+    # version, also one whose fault never shows: the load step and the time
+    # after the completion count as well.
     for ratio, expected in (
         (0.15, 100.0),
         (0.15, 470.0),
@@ -169,8 +171,9 @@
 
 
 def test_the_load_step_waits_for_answers():
-    # Few requests: without answers of the new version nothing is known of
-    # it, and most traffic must not go there because time has passed.
+    # The service has few requests: without answers of the new version nothing
+    # is known of it, and most traffic must not be sent to it only because time
+    # has passed.
     rollout = make_rollout()
     rollout.record_answers("edge-1", 10)
     first = rollout.get_share(100.0)
@@ -201,8 +204,9 @@
 
 
 def test_a_restarted_gateway_learns_the_orders_age():
-    # The process was killed in the middle; its clock starts anew, and
-    # another gateway's note says how old the order is.
+    # The process was killed in the middle of the roll-out. The new process
+    # counts time from its own start, and another gateway's message reports how
+    # old the order is.
     rollout = Rollout(ORDER, 7, 110.0)
     rollout.apply_age(10.0, 110.0)
     assert rollout.get_age_s(112.0) == 12.0
@@ -221,13 +225,13 @@
 def test_a_session_that_goes_on_stays_on_the_old_version_in_the_first_half():
     # A session had a request on the old version a moment before the share was
     # agreed. Its hash is below the share, but in the first half it must not
-    # change; one that begins later goes to the new version.
+    # change its version; a session that begins later goes to the new version.
     deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
     for number, version in enumerate(BOTH):
         entry = UpstreamEntry("pool", f"h:{number}", "a", version, 4, False)
         deployment.rotation.apply(f"w{number}", entry, number, 0.0, False)
     rollout = make_rollout()
-    moved = str(next(iter(get_new(rollout, 100.0))))
+    moved = str(next(iter(get_new_seeds(rollout, 100.0))))
     assert not deployment.assign("pool", moved, "q1", 98.0).is_new
     deployment.rollouts["pool"] = rollout
     assert not deployment.assign("pool", moved, "q2", 102.0).is_new
@@ -242,150 +246,151 @@
 
 def test_sessions_of_other_gateways_stay_where_they_are_in_the_first_half():
     # A session had a request on the old version at another gateway, and its
-    # next one comes here. Its gateway has told of it while sessions were
-    # collected, before anything went to the new version.
+    # next one arrives here. The other gateway has reported the session while
+    # sessions were collected, before any request went to the new version.
     rollout = Rollout(ORDER, 7, 100.0)
     rollout.set_first_share(0.1, 100.0)
     assert rollout.get_share(100.0 + SESSION_COLLECTION_S - 0.1) == 0.0
-    going_on = next(
+    active_session = next(
         s for s in map(str, range(99)) if rollout.is_below_first_share(s)
     )
-    rollout.held_sessions.add(going_on)
-    assert not choose_version(rollout, BOTH, going_on, 105.0).is_new
-    assert choose_version(rollout, BOTH, going_on, 111.0).is_new
+    rollout.held_sessions.add(active_session)
+    assert not choose_version(rollout, BOTH, active_session, 105.0).is_new
+    assert choose_version(rollout, BOTH, active_session, 111.0).is_new
     rollout.held_sessions.clear()
-    assert choose_version(rollout, BOTH, going_on, 105.0).is_new
+    assert choose_version(rollout, BOTH, active_session, 105.0).is_new
 
 
 async def test_gateways_tell_each_other_which_sessions_go_on():
-    async with run_stage() as stage:
-        await stage.add_worker("n1", Version="v2")
+    async with run_stage() as harness:
+        await harness.add_worker("n1", Version="v2")
         for number in range(200):
-            await stage.call(
+            await harness.call(
                 "/safe/x", request_id=f"q{number}", Session=f"s{number}"
             )
-        await put_order(stage, duration_s=30.0)
-        (rollout,) = stage.gateway.deployment.rollouts.values()
-        await stage.wait_until(lambda: rollout.held_sessions)
+        await put_order(harness, duration_s=30.0)
+        (rollout,) = harness.gateway.deployment.rollouts.values()
+        await harness.wait_until(lambda: rollout.held_sessions)
         assert all(
             rollout.is_below_first_share(s) for s in rollout.held_sessions
         )
 
-        def count_letters():
-            letters = map(
-                decode_letter, stage.store.get_topic(TOPIC).read(0, 99)
+        def count_reported_sessions():
+            batches = map(
+                decode_letter, harness.store.get_topic(TOPIC).read(0, 99)
             )
             return sum(
                 len(note.sessions)
-                for letter in letters
+                for letter in batches
                 for note in letter.notes
                 if isinstance(note, SessionsNote)
             )
 
-        await stage.wait_until(
-            lambda: count_letters() == len(rollout.held_sessions)
+        await harness.wait_until(
+            lambda: count_reported_sessions() == len(rollout.held_sessions)
         )
 
 
-async def put_order(stage, version="v2", duration_s=4.0):
+async def put_order(harness, version="v2", duration_s=4.0):
     data = {"Service": "pool", "Target": version, "DurationS": duration_s}
-    stage.store.put("keyed.op", "rollout/pool", json.dumps(data).encode())
-    await stage.wait_until(lambda: stage.gateway.deployment.rollouts)
+    harness.store.put("keyed.op", "rollout/pool", json.dumps(data).encode())
+    await harness.wait_until(lambda: harness.gateway.deployment.rollouts)
 
 
-def get_status(stage):
-    topic = stage.store.get_topic("keyed.status")
+def get_status(harness):
+    topic = harness.store.get_topic("keyed.status")
     found = topic.newest.get("rollout/pool")
     return json.loads(found[1]) if found else {}
 
 
 async def test_a_bad_version_is_reverted_for_the_operators_to_see():
     # The new version fails every request. The callers are served by the old
-    # one, and once the evidence is there the roll-out's end is written.
-    async with run_stage() as stage:
-        await stage.add_worker("n1", lab.fail, Version="v2")
-        await stage.add_worker("n2", lab.fail, Version="v2")
-        await put_order(stage, duration_s=30.0)
-        await stage.wait_until(
-            lambda: len(stage.gateway.deployment.rotation) == 4
+    # one, and once the evidence suffices the roll-out's outcome is written to
+    # the store.
+    async with run_stage() as harness:
+        await harness.add_worker("n1", lab.fail, Version="v2")
+        await harness.add_worker("n2", lab.fail, Version="v2")
+        await put_order(harness, duration_s=30.0)
+        await harness.wait_until(
+            lambda: len(harness.gateway.deployment.rotation) == 4
         )
-        await call_until(stage, "reverted")
-        assert get_status(stage)["Target"] == "v2"
+        await call_until(harness, "reverted")
+        assert get_status(harness)["Target"] == "v2"
 
 
-async def call_until(stage, state):
+async def call_until(harness, state):
     number = 0
     async with asyncio.timeout(25):
-        while get_status(stage).get("State") != state:
+        while get_status(harness).get("State") != state:
             number += 1
-            reply = await stage.call("/safe/x", request_id=f"a{number}")
+            reply = await harness.call("/safe/x", request_id=f"a{number}")
             assert reply.status == 200
 
 
 async def test_a_good_version_is_completed_and_gets_all():
-    async with run_stage() as stage:
-        await stage.add_worker("n1", Version="v2")
-        await put_order(stage, duration_s=3.0)
-        await call_until(stage, "completed")
+    async with run_stage() as harness:
+        await harness.add_worker("n1", Version="v2")
+        await put_order(harness, duration_s=3.0)
+        await call_until(harness, "completed")
         for number in range(5):
-            await stage.call("/safe/x", request_id=f"c{number}")
-        arrivals = stage.workers["n1"].arrivals
+            await harness.call("/safe/x", request_id=f"c{number}")
+        arrivals = harness.workers["n1"].arrivals
         assert {f"c{n}" for n in range(5)} <= {a.request_id for a in arrivals}
 
 
 async def test_an_outcome_is_written_once_though_its_answer_is_lost():
-    # The store does the append and the answer is lost. The gateway looks
-    # again, finds its own record and writes no second one.
-    async with run_stage() as stage:
-        await stage.add_worker("n1", Version="v2")
-        stage.store.faults.lose_appends = 2
-        await put_order(stage, duration_s=3.0)
-        await call_until(stage, "completed")
+    # The store carries out the append and its answer is lost. The gateway
+    # reads the topic again, finds its own record and writes no second one.
+    async with run_stage() as harness:
+        await harness.add_worker("n1", Version="v2")
+        harness.store.faults.lose_appends = 2
+        await put_order(harness, duration_s=3.0)
+        await call_until(harness, "completed")
         await asyncio.sleep(1.0)
-        assert stage.store.get_topic("keyed.status").end == 2
+        assert harness.store.get_topic("keyed.status").end == 2
 
 
 async def test_a_final_outcome_in_the_store_wins():
-    # Another gateway has reverted the order; this one starts cold and must
-    # not send anything to the new version.
-    async with run_stage() as stage:
-        await stage.add_worker("n1", Version="v2")
-        offset = stage.store.get_topic("keyed.op").end
+    # Another gateway has reverted the order; this one has just started and
+    # must not send any request to the new version.
+    async with run_stage() as harness:
+        await harness.add_worker("n1", Version="v2")
+        offset = harness.store.get_topic("keyed.op").end
         record = {"State": "reverted", "Target": "v2", "Order": offset}
-        stage.store.put(
+        harness.store.put(
             "keyed.status", "rollout/pool", json.dumps(record).encode()
         )
-        await put_order(stage, duration_s=2.0)
-        await stage.wait_until(lambda: stage.gateway.is_ready())
+        await put_order(harness, duration_s=2.0)
+        await harness.wait_until(lambda: harness.gateway.is_ready())
         for number in range(40):
-            await stage.call("/safe/x", request_id=f"c{number}")
-        assert stage.workers["n1"].arrivals == []
-        assert get_status(stage)["State"] == "reverted"
+            await harness.call("/safe/x", request_id=f"c{number}")
+        assert harness.workers["n1"].arrivals == []
+        assert get_status(harness)["State"] == "reverted"
 
 
 async def test_all_gateways_follow_the_first_share_that_was_written():
-    async with run_stage() as stage:
-        await stage.add_worker("n1", Version="v2")
-        offset = stage.store.get_topic("keyed.op").end
+    async with run_stage() as harness:
+        await harness.add_worker("n1", Version="v2")
+        offset = harness.store.get_topic("keyed.op").end
         record = {
             "State": "in_progress",
             "Target": "v2",
             "Order": offset,
             "Share": 0.42,
         }
-        stage.store.put(
+        harness.store.put(
             "keyed.status", "rollout/pool", json.dumps(record).encode()
         )
-        await put_order(stage, duration_s=30.0)
-        (rollout,) = stage.gateway.deployment.rollouts.values()
-        await stage.wait_until(lambda: rollout.first_share == 0.42)
+        await put_order(harness, duration_s=30.0)
+        (rollout,) = harness.gateway.deployment.rollouts.values()
+        await harness.wait_until(lambda: rollout.first_share == 0.42)
 
 
 class RolloutMachine(RuleBasedStateMachine):
-    """Failures, time and other gateways' notes in any order.
+    """Records failures, time and other gateways' messages in any order.
 
-    Model: an outcome is final; a stopped version gets nothing and is never
-    completed; the share never falls otherwise.
+    By the model an outcome is final; a stopped version gets no requests and is
+    never completed; otherwise the share never falls.
     """
 
     def __init__(self):
@@ -449,11 +454,14 @@
 TestRollout = RolloutMachine.TestCase
 
 
-def play_trial(fails_from, seed):
-    """Plays a roll-out, 240 requests a second, 0.3 s each at an upstream.
+def simulate_trial(fails_from, seed):
+    """Simulates a roll-out at 240 requests a second, 0.3 s each at an upstream.
 
-    An upstream of the new version fails what it gets beyond so many at once.
-    Returns the upstreams that answered, and the roll-out.
+    An upstream of the new version fails requests while it runs `fails_from` or
+    more at once.
+
+    Returns:
+        The upstreams that answered, and the roll-out.
     """
     rng = random.Random(seed)
     deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
@@ -471,8 +479,8 @@
         assignment = deployment.assign("pool", None, f"q{number}", now_s)
         if not assignment.is_new:
             continue
-        able = deployment.get_upstreams("pool", assignment, now_s)
-        name = rng.choice(able).id
+        candidates = deployment.get_upstreams("pool", assignment, now_s)
+        name = rng.choice(candidates).id
         active = [end_s for end_s in ends.get(name, ()) if end_s > now_s]
         ends[name] = [*active, now_s + 0.3]
         failed = len(active) >= fails_from
@@ -486,24 +494,24 @@
 
 
 def test_a_version_that_fails_in_bursts_is_found_out_before_it_has_all():
-    # On an average day an upstream has 1.5 requests at once, in a burst 3.
-    # The new version fails beyond 4, which comes with the first burst after
-    # its completion: by then the old version is gone, and callers get its
-    # failures until the operators act.
+    # On an average day an upstream runs 1.5 requests at once, in a burst 3.
+    # The new version fails from the fifth concurrent request on, which would
+    # occur with the first burst after its completion: by then the old version
+    # is gone, and callers would get failures until the operators act.
     for seed in range(6):
-        _, rollout = play_trial(4, seed)
+        _, rollout = simulate_trial(4, seed)
         assert rollout.is_stopped
 
 
 def test_a_version_that_bears_bursts_passes_its_trial():
     for seed in range(6):
-        used, rollout = play_trial(12, seed)
+        used, rollout = simulate_trial(12, seed)
         assert rollout.get_due_outcome(19.5) is RolloutOutcome.COMPLETED
         assert len(used) > 2
 
 
 def test_all_gateways_try_the_new_version_at_the_same_upstreams():
-    # Each gateway learns of the upstreams in another order.
+    # Each gateway discovers the upstreams in another order.
     names = [f"w{number}" for number in range(47)]
     chosen = choose_trial(names, "7", LOAD_STEP.share)
     assert chosen == choose_trial(names[::-1], "7", LOAD_STEP.share)
@@ -513,7 +521,7 @@
 
 
 def test_a_version_without_others_is_not_kept_to_a_few_upstreams():
-    # The old version's upstreams crashed while the new one is on trial.
+    # The old version's upstreams have crashed while the new one is on trial.
     deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
     for number in range(9):
         entry = UpstreamEntry("pool", f"h:{number}", "a", "v2", 4, False)
@@ -524,10 +532,11 @@
 
 
 def test_a_full_upstream_is_not_taken_for_a_slow_version():
-    # The new version's upstreams have read no prompt and are as full as in a
-    # burst. A prompt that the old version begins to answer after 0.15 s waits
-    # 0.2 s there and is read anew for 0.2 s; the version is as fast as ever.
-    # One that is eight times slower shows with nothing waiting.
+    # The new version's upstreams have cached no prompt prefix and are as full
+    # as in a burst. A prompt that the old version begins to answer after 0.15
+    # s waits 0.2 s there and is prefilled again for 0.2 s, although the
+    # version is as fast as the old one. A version that is eight times slower
+    # is found even without a queue.
     times = LatencyTable()
     for _ in range(20):
         times.add("stream", 0.15)
@@ -539,8 +548,8 @@
 GOOD, SLOW = AnswerQuality.GOOD, AnswerQuality.SLOW
 
 
-class ServiceOnTrial:
-    """One gateway's answers of a new version, from three upstreams."""
+class RolloutServiceHarness:
+    """Records one gateway's answers of a new version, from three upstreams."""
 
     def __init__(self):
         deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
@@ -565,26 +574,28 @@
 
 
 def test_a_few_slow_answers_say_less_than_failed_ones():
-    # Of the answers of a good version on trial one in ten is slow: now and
-    # then three in a row. Of one that is several times slower all are.
-    good = ServiceOnTrial()
+    # Of the answers of a good version on trial one in ten is slow, sometimes
+    # three in a row. Of a version that is several times slower, all answers
+    # are slow.
+    good = RolloutServiceHarness()
     for quality in (SLOW, SLOW, SLOW, *[GOOD] * 27) * 20:
         good.answer(quality)
     assert not good.rollout.is_stopped
-    slow = ServiceOnTrial()
+    slow = RolloutServiceHarness()
     for _ in range(5):
         slow.answer(SLOW)
     assert slow.rollout.is_stopped
-    failing = ServiceOnTrial()
+    failing = RolloutServiceHarness()
     for _ in range(3):
         failing.answer(AnswerQuality.FAILED)
     assert failing.rollout.is_stopped
 
 
 def test_queues_at_the_load_step_do_not_stop_a_version():
-    # Its few upstreams are loaded as in a burst, and what others send there
-    # is known late. Failures count all the same.
-    loaded = ServiceOnTrial()
+    # The few upstreams of the new version are loaded as in a burst, and the
+    # requests that other gateways send there are known with a delay. Failures
+    # count nevertheless.
+    loaded = RolloutServiceHarness()
     loaded.rollout.set_first_share(0.05, get_elapsed_s() - SESSION_COLLECTION_S)
     loaded.rollout.record_answers("other", LOAD_STEP.min_answers)
     loaded.rollout.apply_age(0.9 * ORDER.duration_s, get_elapsed_s())
--- a/tests/test_gateway_rotation.py
+++ b/tests/test_gateway_rotation.py
@@ -1,4 +1,4 @@
-"""Which upstreams are in rotation, whatever the store shows of them."""
+"""Which upstreams are in rotation, also where reads of the store are stale."""
 
 from __future__ import annotations
 
@@ -20,31 +20,32 @@
 DRAIN_S = 2.0
 
 
-def get_names(rotation):
+def get_ready_ids(rotation):
     return [upstream.id for upstream in rotation.get_ready("pool")]
 
 
 def test_a_draining_upstream_never_comes_back():
-    # A read that shows the past brings an upstream's earlier entry after its
-    # notice that it leaves, and later a newer one says ready again.
+    # A stale read returns an upstream's earlier entry after the entry that
+    # said that the upstream is draining, and later a newer entry says that it
+    # is ready again.
     rotation = Rotation()
     rotation.apply("w1", ENTRY, 1, 0.0, False)
     rotation.apply("w1", DRAINING, 2, 1.0, False)
     rotation.apply("w1", ENTRY, 1, 1.1, False)
-    assert get_names(rotation) == []
+    assert get_ready_ids(rotation) == []
     rotation.apply("w1", ENTRY, 3, 1.2, False)
-    assert get_names(rotation) == []
+    assert get_ready_ids(rotation) == []
 
 
 def test_a_draining_upstream_does_not_come_back_after_its_removal():
-    # An upstream says that it leaves, its entry is removed, and is written
-    # once more as ready by what it sent late. It still leaves: a request that
-    # is sent there after the drain time may be cut.
+    # An upstream's entry says that it is draining, the entry is removed, and a
+    # late write adds it again as ready. The upstream still leaves: a request
+    # that is sent there after the drain time may be cut off.
     rotation = Rotation()
     rotation.apply("w1", DRAINING, 1, 0.0, False)
     rotation.apply("w1", None, 2, 1.0, False)
     rotation.apply("w1", ENTRY, 3, 1.2, False)
-    assert get_names(rotation) == []
+    assert get_ready_ids(rotation) == []
 
 
 def test_a_leaver_is_remembered_for_minutes():
@@ -55,30 +56,31 @@
     rotation.expire(122.0)
     rotation.apply("w1", ENTRY, 1, 122.0, False)
     rotation.apply("w1", ENTRY, 4, 122.0, False)
-    assert get_names(rotation) == []
+    assert get_ready_ids(rotation) == []
 
 
 def test_an_entry_that_lapsed_while_the_store_was_away_may_come_back():
-    # The store was away, so upstreams could not write and their entries
-    # ended. They serve on and write again within seconds.
+    # The store was unavailable, so upstreams could not write and their entries
+    # expired. They still serve requests and write their entries again within
+    # seconds.
     rotation = Rotation()
     rotation.apply("w1", ENTRY, 1, 0.0, False)
     rotation.apply("w1", None, 2, 10.0, True)
-    assert get_names(rotation) == ["w1"]
+    assert get_ready_ids(rotation) == ["w1"]
     rotation.apply("w1", ENTRY, 3, 11.0, False)
     rotation.expire(20.0)
-    assert get_names(rotation) == ["w1"]
+    assert get_ready_ids(rotation) == ["w1"]
 
 
 def test_a_lapsed_entry_that_stays_away_is_gone_before_the_drain_is_over():
-    # An upstream left in the moment when the store came back, without a
-    # notice. It must get nothing after the drain time, though its removal
-    # looks like a lapse.
+    # An upstream left at the moment when the store recovered, without writing
+    # that it drains. It must get no requests after the drain time, though its
+    # removal looks like an expiry.
     rotation = Rotation()
     rotation.apply("w1", ENTRY, 1, 0.0, False)
     rotation.apply("w1", None, 2, 10.0, True)
     rotation.expire(10.0 + EXPIRED_GRACE_S + 0.25)
-    assert get_names(rotation) == []
+    assert get_ready_ids(rotation) == []
     assert EXPIRED_GRACE_S + 0.25 < DRAIN_S
 
 
@@ -87,32 +89,33 @@
     rotation.apply("w1", ENTRY, 1, 0.0, False)
     rotation.apply("w2", ENTRY, 2, 0.0, False)
     rotation.replace_all([("w2", ENTRY, 2)], 9, 1.0, False)
-    assert get_names(rotation) == ["w2"]
+    assert get_ready_ids(rotation) == ["w2"]
 
 
 def test_a_full_list_of_the_past_takes_nothing_away():
     rotation = Rotation()
     rotation.apply("w1", ENTRY, 7, 0.0, False)
     rotation.replace_all([], 5, 1.0, False)
-    assert get_names(rotation) == ["w1"]
+    assert get_ready_ids(rotation) == ["w1"]
 
 
 class RotationMachine(RuleBasedStateMachine):
-    """Records arrive late, twice and out of order; the store goes away.
+    """Applies records late, twice and out of order; the store may be lost.
 
-    The naive model keeps each upstream's whole history and looks at it anew.
+    The naive model stores each upstream's whole history and evaluates it again
+    after each step.
     """
 
     def __init__(self):
         super().__init__()
         self.rotation = Rotation()
         self.now_s = 100.0
-        self.away_s = -100.0
+        self.store_lost_s = -100.0
         self.offset = 0
         self.history = {}
-        self.heard = {}
-        self.born = {}
-        self.past = {}
+        self.applied = {}
+        self.start_ms = {}
+        self.past_starts = {}
 
     @rule(
         name=st.sampled_from("abc"),
@@ -121,8 +124,8 @@
     def write(self, name, kind):
         self.offset += 1
         if kind == "restart":
-            self.born[name] = self.born.get(name, 1) + 1
-        born_ms = self.born.get(name, 1) - (kind == "late")
+            self.start_ms[name] = self.start_ms.get(name, 1) + 1
+        born_ms = self.start_ms.get(name, 1) - (kind == "late")
         entry = DRAINING if kind == "drain" else ENTRY
         entry = dataclasses.replace(entry, born_ms=born_ms)
         if kind == "end":
@@ -135,25 +138,26 @@
         if len(history) <= back:
             return
         offset, entry = history[-1 - back]
-        was_store_unavailable = self.now_s - self.away_s < 2.0
+        was_store_unavailable = self.now_s - self.store_lost_s < 2.0
         self.rotation.apply(
             name, entry, offset, self.now_s, was_store_unavailable
         )
-        known = self.heard.setdefault(name, [])
+        known = self.applied.setdefault(name, [])
         is_new = not known or offset > known[-1][0]
         if not is_new or (entry is None and not known):
             return
-        past = self.past.setdefault(name, [])
+        past_starts = self.past_starts.setdefault(name, [])
         last = next((e for _, e, *_ in known[::-1] if e is not None), None)
         if entry is not None and last is not None:
-            if entry.born_ms in past:
+            if entry.born_ms in past_starts:
                 return
             if entry.born_ms != last.born_ms:
-                past.append(last.born_ms)
-                del past[:-MAX_PAST_STARTS]
+                past_starts.append(last.born_ms)
+                del past_starts[:-MAX_PAST_STARTS]
                 known.clear()
         if entry is None and known[-1][1] is None:
-            # Removed already; the first removal counts.
+            # The upstream was removed already; the time of the first removal
+            # counts.
             known[-1] = (offset, *known[-1][1:])
             return
         known.append((offset, entry, self.now_s, was_store_unavailable))
@@ -164,13 +168,13 @@
 
     @rule()
     def lose_store(self):
-        self.away_s = self.now_s
+        self.store_lost_s = self.now_s
 
     @invariant()
     def serves_no_leaver(self):
         self.rotation.expire(self.now_s)
-        ready = get_names(self.rotation)
-        for name, known in self.heard.items():
+        ready = get_ready_ids(self.rotation)
+        for name, known in self.applied.items():
             if not known:
                 continue
             drained = any(e is not None and e.is_draining for _, e, *_ in known)
--- a/tests/test_gateway_routing.py
+++ b/tests/test_gateway_routing.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and backends by weight."""
+"""Choice of routes by host and longest prefix, and of backends by weight."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
     )
 
 
-def find_naively(routes, host, path):
-    fitting = [
+def find_route_by_scan(routes, host, path):
+    matching = [
         route
         for route in routes
         if route.host == host and path.startswith(route.prefix)
     ]
-    return max(fitting, key=lambda route: len(route.prefix), default=None)
+    return max(matching, key=lambda route: len(route.prefix), default=None)
 
 
 @given(
@@ -62,7 +62,7 @@
     path = "/" + "/".join(parts) + end
     configuration = Configuration(1, routes, ClientLimits(), None)
     found = configuration.get_route(host.upper(), path)
-    assert found == find_naively(routes, host, path)
+    assert found == find_route_by_scan(routes, host, path)
 
 
 def test_backends_get_their_share_and_a_session_keeps_its_own():
