--- a/src/lovagestage/gateway/attempts.py
+++ b/src/lovagestage/gateway/attempts.py
@@ -344,7 +344,7 @@
 
         Returns:
             The refusal: 503 where no attempt can have run, 504 where too
-                little time is left until the deadline, 502 otherwise.
+            little time is left until the deadline, 502 otherwise.
         """
         if self.runs == 0:
             retry_after_s = COME_BACK_S if comes_back else None
--- a/src/lovagestage/gateway/cascades.py
+++ b/src/lovagestage/gateway/cascades.py
@@ -40,8 +40,8 @@
 
     Returns:
         The smallest model of the route where the caller leaves the choice to
-            the gateway; otherwise the model that the caller named, None for
-            none.
+        the gateway; otherwise the model that the caller named, None for
+        none.
     """
     if request.model != ANY_MODEL or not route.models:
         return request.model
--- a/src/lovagestage/gateway/choice.py
+++ b/src/lovagestage/gateway/choice.py
@@ -27,13 +27,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Work:
-    """Time that an attempt takes of an upstream.
+    """Time for which an attempt occupies an upstream.
 
     Attributes:
         fresh_s: Time in seconds for which the attempt by itself occupies an
             upstream that has not cached the shared prompt prefix.
-        cached_s: Time in seconds for which it occupies an upstream that has
-            cached the prefix.
+        cached_s: Time in seconds for which the attempt by itself occupies an
+            upstream that has cached the prefix.
         subject: Key of the prompt prefix that the request shares with others;
             None for none.
     """
@@ -145,7 +145,7 @@
     excluded: Collection[InstanceId],
     now_s: float,
 ) -> list[Upstream]:
-    """Returns the usable upstreams that are not excluded.
+    """Returns the best of the upstreams that are not excluded.
 
     Suspect upstreams are omitted where others are left, and so are those with
     grey failures.
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -14,7 +14,7 @@
     Assignment,
     Rollout,
     RolloutOutcome,
-    choose_trial,
+    choose_trial_upstreams,
     choose_version,
 )
 from lovagestage.gateway.rotation import Rotation
@@ -92,7 +92,7 @@
 
         Returns:
             The upstreams that are ready and lie neither in an evacuated
-                availability zone nor outside the allowed regions.
+            availability zone nor outside the allowed regions.
         """
         ready = self.rotation.get_ready(service)
         if allowed_regions is None and not len(self.evacuations):
@@ -213,7 +213,7 @@
             self.get_ready(service, allowed_regions)
         ):
             return version_upstreams
-        trial = choose_trial(
+        trial = choose_trial_upstreams(
             [u.id for u in version_upstreams],
             str(rollout.offset),
             rollout.get_share(now_s),
--- a/src/lovagestage/gateway/pins.py
+++ b/src/lovagestage/gateway/pins.py
@@ -68,7 +68,7 @@
         self._pins[key] = (version, now_s)
         self._pins.move_to_end(key)
         while len(self._pins) > MAX_SESSIONS:
-            self._pins.popitem(last_version=False)
+            self._pins.popitem(last=False)
 
     def get_active_elsewhere(
         self, service: ServiceId, version: VersionId, now_s: float
--- a/src/lovagestage/gateway/reading.py
+++ b/src/lovagestage/gateway/reading.py
@@ -114,7 +114,7 @@
 
         Returns:
             The time with the overhead; a default while no time of the model is
-                known.
+            known.
         """
         token_time = self._token_times.get(model)
         if token_time is None:
--- a/src/lovagestage/gateway/repeats.py
+++ b/src/lovagestage/gateway/repeats.py
@@ -130,7 +130,7 @@
 
         Returns:
             False where fewer retries would be left than are reserved for
-                failed requests.
+            failed requests.
         """
         reserve = min(MAX_RESERVED, RESERVED_RATIO * self._bucket.limit)
         return self._bucket.take(now_s, reserve)
--- a/src/lovagestage/gateway/risks.py
+++ b/src/lovagestage/gateway/risks.py
@@ -1,4 +1,4 @@
-"""Failure and request rates of answers from versions not in a roll-out."""
+"""Failure and request rates, from answers of versions not being rolled out."""
 
 from __future__ import annotations
 
--- a/src/lovagestage/gateway/rollout_service.py
+++ b/src/lovagestage/gateway/rollout_service.py
@@ -275,7 +275,7 @@
                     "failures": rollout.new_failures,
                     "route": note.route,
                     "upstream": note.upstream,
-                    "answers": rollout.get_answers(),
+                    "answers": rollout.get_answer_count(),
                     "age_s": round(note.age_s, 2),
                 },
             )
@@ -323,7 +323,7 @@
             if progress.reported_counts >= len(COUNT_REPORT_RATIOS):
                 continue
             due = COUNT_REPORT_RATIOS[progress.reported_counts]
-            if rollout.get_ratio(now_s) < due:
+            if rollout.get_elapsed_ratio(now_s) < due:
                 continue
             progress.reported_counts += 1
             if not progress.answers:
--- a/src/lovagestage/gateway/rollouts.py
+++ b/src/lovagestage/gateway/rollouts.py
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Step:
+class RolloutStep:
     """A share of sessions on the new version from a point in time on.
 
     Attributes:
@@ -117,11 +117,11 @@
     min_answers: int
 
 
-LOAD_STEP = Step(0.8, 0.25, 20)
-"""The step before the end, in which the new version gets more traffic, for
-several times as long as failures take to occur and to be reported. Until then
-the share stays constant, so that no session changes its version in the first
-half."""
+LOAD_STEP = RolloutStep(0.8, 0.25, 20)
+"""Step that raises the load before the end of a roll-out: the new version gets
+more traffic for several times as long as failures take to occur and to be
+reported. Until then the share stays constant, so that no session changes its
+version in the first half."""
 TRIAL_LOAD_FACTOR = 1.25
 """Load of an upstream of the new version on trial, as a multiple of its load
 once all traffic goes to the new version. Otherwise a version that fails only
@@ -163,11 +163,11 @@
     last_steps = LOAD_STEP.share * (COMPLETE_RATIO - LOAD_STEP.from_ratio)
     last_steps += 1.0 - COMPLETE_RATIO
     limit = EXPOSURE_USED_RATIO * (allowed - last_steps) / LOAD_STEP.from_ratio
-    fitting = [share for share in FIRST_SHARES if share <= limit]
-    return max(fitting, default=FIRST_SHARES[0])
+    allowed_shares = [share for share in FIRST_SHARES if share <= limit]
+    return max(allowed_shares, default=FIRST_SHARES[0])
 
 
-def choose_trial(
+def choose_trial_upstreams(
     names: Sequence[InstanceId], seed: str, share: float
 ) -> set[InstanceId]:
     """Chooses the upstreams of the new version that take its share.
@@ -299,7 +299,7 @@
         known = self._answers.get(gateway, 0)
         self._answers[gateway] = max(known, count)
 
-    def get_answers(self) -> int:
+    def get_answer_count(self) -> int:
         """Returns how many answers the new version gave, over all gateways."""
         return sum(self._answers.values())
 
@@ -311,7 +311,7 @@
         """Returns whether the new version has reached its load step."""
         return self.get_share(now_s) >= LOAD_STEP.share
 
-    def get_ratio(self, now_s: float) -> float:
+    def get_elapsed_ratio(self, now_s: float) -> float:
         """Returns the share of the order's duration that has passed."""
         return self.get_age_s(now_s) / max(1.0, self.order.duration_s)
 
@@ -323,8 +323,8 @@
             return 0.0
         if self.is_collecting(now_s):
             return 0.0
-        is_due = self.get_ratio(now_s) >= LOAD_STEP.from_ratio
-        if is_due and self.get_answers() >= LOAD_STEP.min_answers:
+        is_due = self.get_elapsed_ratio(now_s) >= LOAD_STEP.from_ratio
+        if is_due and self.get_answer_count() >= LOAD_STEP.min_answers:
             return LOAD_STEP.share
         return self.first_share
 
@@ -375,7 +375,7 @@
             return RolloutOutcome.RUNNING
         if self.is_stopped:
             return RolloutOutcome.REVERTED
-        ratio, answers = self.get_ratio(now_s), self.get_answers()
+        ratio, answers = self.get_elapsed_ratio(now_s), self.get_answer_count()
         if ratio >= COMPLETE_RATIO and answers >= COMPLETE_ANSWERS:
             return RolloutOutcome.COMPLETED
         is_clean = max(self._evidence.values(), default=0.0) <= 0.0
@@ -420,7 +420,8 @@
             another version than the new one.
 
     Returns:
-        The version; None in it where upstreams of any version may be used.
+        The assignment; its version is None where upstreams of any version may
+        be used.
     """
     if rollout is None:
         return Assignment(None)
@@ -436,7 +437,7 @@
         return Assignment(target, True)
     stays_on_old = is_pinned_elsewhere or seed in rollout.held_sessions
     stays_on_old = (
-        stays_on_old and rollout.get_ratio(now_s) < SESSION_HOLD_RATIO
+        stays_on_old and rollout.get_elapsed_ratio(now_s) < SESSION_HOLD_RATIO
     )
     is_new = rollout.is_new(seed, now_s) and not stays_on_old
     return Assignment(target if is_new else old[0], is_new)
--- a/src/lovagestage/gateway/suspects.py
+++ b/src/lovagestage/gateway/suspects.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash their upstreams from being retried on and on."""
+"""Keeps requests that crash their upstreams from being retried endlessly."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def admit(self, fingerprint: Fingerprint) -> Admission:
-        """Returns how a request may run now."""
+        """Returns whether a request may run now, and whether as a probe."""
         return self._table.admit(fingerprint, get_elapsed_s())
 
     def start_probe(self, fingerprint: Fingerprint, run: str) -> None:
--- a/src/lovagestage/gateway/told_waits.py
+++ b/src/lovagestage/gateway/told_waits.py
@@ -1,7 +1,8 @@
 """Sums the queue times that gateways report, by upstream.
 
 A gateway receives a hundred datagrams a second, each of which names a few of
-thousands of upstreams, so each report updates only the sums that it changes.
+thousands of upstreams. A report therefore updates only the sums of the
+upstreams that it or the gateway's previous report names.
 """
 
 from __future__ import annotations
--- a/tests/test_gateway_placement.py
+++ b/tests/test_gateway_placement.py
@@ -129,7 +129,7 @@
 
     Returns:
         Shared tokens prefilled repeatedly, and mean time in seconds until an
-            answer begins.
+        answer begins.
     """
     simulations = [Simulation(seed) for seed in SEEDS]
     for simulation in simulations:
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -38,7 +38,7 @@
     Rollout,
     RolloutOrder,
     RolloutOutcome,
-    choose_trial,
+    choose_trial_upstreams,
     choose_version,
     get_first_share,
     get_log_likelihood_ratio,
@@ -484,7 +484,7 @@
         active = [end_s for end_s in ends.get(name, ()) if end_s > now_s]
         ends[name] = [*active, now_s + 0.3]
         failed = len(active) >= fails_from
-        rollout.record_answers("edge", rollout.get_answers() + 1)
+        rollout.record_answers("edge", rollout.get_answer_count() + 1)
         rollout.add_evidence("r", get_log_likelihood_ratio(0.02, failed))
         if failed:
             rollout.add_failure(name, 47)
@@ -513,11 +513,11 @@
 def test_all_gateways_try_the_new_version_at_the_same_upstreams():
     # Each gateway discovers the upstreams in another order.
     names = [f"w{number}" for number in range(47)]
-    chosen = choose_trial(names, "7", LOAD_STEP.share)
-    assert chosen == choose_trial(names[::-1], "7", LOAD_STEP.share)
+    chosen = choose_trial_upstreams(names, "7", LOAD_STEP.share)
+    assert chosen == choose_trial_upstreams(names[::-1], "7", LOAD_STEP.share)
     assert len(chosen) * TRIAL_LOAD_FACTOR >= LOAD_STEP.share * len(names)
-    assert choose_trial(names, "7", 0.015) < chosen
-    assert choose_trial(names[:1], "7", 0.015) == {"w0"}
+    assert choose_trial_upstreams(names, "7", 0.015) < chosen
+    assert choose_trial_upstreams(names[:1], "7", 0.015) == {"w0"}
 
 
 def test_a_version_without_others_is_not_kept_to_a_few_upstreams():
