--- a/src/lovagestage/gateway/admission.py
+++ b/src/lovagestage/gateway/admission.py
@@ -17,13 +17,14 @@
 from lovagestage.types import ServiceId
 
 COME_BACK_S = 0.4
-"""Time in seconds after which a refused caller should send its request again:
-long enough for a retry by way of another gateway's upstreams, and within a
-third of the shortest deadline."""
+"""Time in seconds after which a refused caller should retry: long enough for a
+retry at the upstreams of another gateway, and within a third of the shortest
+deadline."""
 DEADLINE_MARGIN_S = 0.06
 """Time in seconds between the end of the gateway's work and the caller's
 deadline, so that the answer still reaches the caller in time."""
 MAX_PRIORITY = 9
+"""Rank of the least urgent requests."""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/lovagestage/gateway/attempts.py
+++ b/src/lovagestage/gateway/attempts.py
@@ -22,11 +22,13 @@
 _log = logging.getLogger(__name__)
 
 MAX_REFUSALS = 3
-"""Upstreams that may refuse a request before its caller is asked to retry
-later: where three upstreams are full, the next one most likely is, too."""
+"""Number of upstreams that may refuse a request before its caller is asked to
+retry later: where three upstreams are full, the next one most likely is, too.
+"""
 MAX_SAMPLED_UPSTREAMS = 100
-"""Most upstreams among which the shortest queue is searched: a load gauge
-needs no more of them, and the search is made for the head of each answer."""
+"""Maximum number of upstreams among which the shortest queue is searched: a
+load gauge needs no more of them, and the search is made for the head of each
+answer."""
 MIN_REMAINING_S = 0.05
 """Time in seconds that must be left until the deadline for another attempt to
 be of use."""
@@ -125,8 +127,8 @@
         """Chooses the next upstream and counts the attempt.
 
         Args:
-            work: Time that the attempt takes of an upstream, and its shared
-                prefix.
+            work: Time for which the attempt occupies an upstream, and its
+                shared prompt prefix.
 
         Returns:
             The chosen upstream.
@@ -287,7 +289,7 @@
         self._has_new_version_failed |= self.assignment.is_new
 
     def has_other(self) -> bool:
-        """Returns whether an upstream is left that has not yet failed it."""
+        """Returns whether any upstream has not failed the request yet."""
         return any(
             upstream.id not in self._excluded
             for upstreams in self._get_upstream_groups()
--- a/src/lovagestage/gateway/beliefs.py
+++ b/src/lovagestage/gateway/beliefs.py
@@ -30,8 +30,8 @@
 was unavailable write them again within about this time."""
 
 MAX_REFUSED_KEYS = 256
-"""Most keys of refused entries that are remembered so that each refusal is
-logged once."""
+"""Maximum number of keys whose refused entries are remembered, so that each
+refusal is logged once."""
 
 
 class OperatorBeliefs:
--- a/src/lovagestage/gateway/choice.py
+++ b/src/lovagestage/gateway/choice.py
@@ -77,10 +77,10 @@
     times the prefill of the prefix.
 
     Args:
-        upstreams: Upstreams that take requests of the version.
+        upstreams: Upstreams that accept requests of the version.
         excluded: Upstreams that have already failed or refused this request.
-        work: Time that the attempt takes of an upstream, and its shared
-            prefix.
+        work: Time for which the attempt occupies an upstream, and its shared
+            prompt prefix.
         zone: The gateway's availability zone.
         now_s: Elapsed time in seconds.
         rng: Source of randomness.
--- a/src/lovagestage/gateway/configuration.py
+++ b/src/lovagestage/gateway/configuration.py
@@ -47,7 +47,8 @@
             full value.
         gap_s: Longest interval in seconds between two events of a stream that
             is still on time.
-        max_attempts: Most upstreams that may run one request.
+        max_attempts: Maximum number of attempts of one request that may run at
+            an upstream.
         priority: Rank of the requests; 0 is the most urgent.
         is_public: Whether requests need no API key.
         is_resumable: Whether a stream can be resumed at another upstream.
--- a/src/lovagestage/gateway/pins.py
+++ b/src/lovagestage/gateway/pins.py
@@ -10,7 +10,7 @@
 """Time in seconds that is added to a session's timeout: the timeout counts
 from the end of a request, while this gateway stores the request's start."""
 MAX_SESSIONS = 20_000
-"""Most sessions that are stored; the least recently used one is evicted first.
+"""Maximum number of stored sessions; the least recently used is evicted first.
 """
 
 _SessionKey = tuple[ServiceId, str]
--- a/src/lovagestage/gateway/reading.py
+++ b/src/lovagestage/gateway/reading.py
@@ -32,6 +32,7 @@
 """Step for the first `START_SAMPLES` answers, relative to the estimate. It is
 larger, since any of these answers may have waited for long."""
 START_SAMPLES = 8
+"""Number of first answers whose step is `START_GAIN`."""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/lovagestage/gateway/repeats.py
+++ b/src/lovagestage/gateway/repeats.py
@@ -23,23 +23,24 @@
 """Share of the slack that the running gateways divide among them; the rest is
 for gateways that restart within a window and begin with tokens of their own."""
 MIN_STARTUP_GATEWAYS = 8
-"""Least number of gateways that is assumed while the process is younger than a
-window: it discovers the other gateways one by one, and small deployments have
-fewer than this."""
+"""Minimum number of gateways that is assumed while the process is younger than
+a window: it discovers the other gateways one by one, and small deployments
+have fewer than this."""
 ASSUMED_GATEWAYS = 32
 """Number of gateways that is assumed where gateways cannot discover each
 other: too high a number denies retries, too low a number exceeds the limit."""
 MIN_LIMIT = 1.0
-"""Least number of retries that may be accumulated: the first request of an
+"""Minimum number of retries that may be accumulated: the first request of an
 idle gateway may fail, too."""
 RESERVED_RATIO = 0.25
-"""Share of the retries that may be accumulated which escalations to larger
-models leave to failed requests: a poorer answer is better than none."""
+"""Share of the limit on accumulated retries that escalations to larger models
+leave to failed requests: a poorer answer is better than none."""
 MAX_RESERVED = 2.0
-"""Most retries that escalations leave to failed requests: the limit grows
-immediately when the number of the other gateways becomes known, while retries
-are earned only as requests arrive."""
+"""Maximum number of retries that escalations leave to failed requests: the
+limit grows immediately when the number of the other gateways becomes known,
+while retries are earned only as requests arrive."""
 _WINDOW_SLICES = 10
+"""Slices of the window, in each of which requests are counted."""
 
 
 class RepeatBudget:
--- a/src/lovagestage/gateway/risks.py
+++ b/src/lovagestage/gateway/risks.py
@@ -15,8 +15,8 @@
 """Time constant in seconds of the decaying request count; bursts last a few
 seconds."""
 MIN_AGE_S = 1.0
-"""Least age in seconds that is assumed for a service's request count. A
-service's first request alone tells nothing of its rate; after a second a few
+"""Minimum age in seconds that is assumed for a service's request count. A
+service's first request alone says nothing of its rate; after a second a few
 requests have arrived."""
 
 
--- a/src/lovagestage/gateway/rollout_service.py
+++ b/src/lovagestage/gateway/rollout_service.py
@@ -56,7 +56,9 @@
 their writes, so that most of them learn that it has been written before they
 try."""
 CALL_TIMEOUT_S = 1.0
+"""Time limit in seconds of a call to the store."""
 RETRY_S = 0.5
+"""Pause in seconds after a call to the store has failed."""
 
 
 class _Progress:
@@ -342,7 +344,7 @@
     def _report_sessions(self) -> None:
         """Reports the active sessions that the first share would move.
 
-        It does so until the share takes effect.
+        Reports are sent until the share takes effect.
         """
         now_s = get_elapsed_s()
         for service, rollout in self._deployment.rollouts.items():
--- a/src/lovagestage/gateway/rollouts.py
+++ b/src/lovagestage/gateway/rollouts.py
@@ -45,9 +45,9 @@
 
 
 SLOW_ANSWER_RATE = 0.1
-"""Least rate at which answers of a good version are assumed to be slow. Answer
-times vary with the queues, so a slow answer is weaker evidence than a failed
-one."""
+"""Minimum rate at which answers of a good version are assumed to be slow.
+Answer times vary with the queues, so a slow answer is weaker evidence than a
+failed one."""
 
 
 class AnswerQuality(enum.Enum):
@@ -127,7 +127,7 @@
 once all traffic goes to the new version. Otherwise a version that fails only
 in a burst would be found out when the old version is gone."""
 MIN_TRIAL_UPSTREAMS = 2
-"""Least number of upstreams on trial: a single upstream that fails is no
+"""Minimum number of upstreams on trial: a single upstream that fails is no
 evidence against its version."""
 COUNT_REPORT_RATIOS = (0.77, 0.9)
 """Shares of the order's duration after which gateways report to each other how
@@ -138,7 +138,10 @@
 completed. It is late, so that a fault that never showed still keeps within the
 allowed exposure."""
 COMPLETE_ANSWERS = 20
+"""Answers of the new version that are needed for its completion at
+`COMPLETE_RATIO`."""
 LATE_RATIO = 0.97
+"""Share of the order's duration after which fewer answers suffice."""
 LATE_ANSWERS = 5
 """Answers that complete the roll-out of a service with little traffic after
 `LATE_RATIO` of the duration, if the evidence does not speak against the
@@ -170,7 +173,7 @@
 def choose_trial_upstreams(
     names: Sequence[InstanceId], seed: str, share: float
 ) -> set[InstanceId]:
-    """Chooses the upstreams of the new version that take its share.
+    """Chooses the upstreams on which a new version is tried.
 
     If the small share of the new version were spread over as many upstreams as
     the whole traffic needs, a version that fails under load would not meet
--- a/src/lovagestage/gateway/rotation.py
+++ b/src/lovagestage/gateway/rotation.py
@@ -122,9 +122,9 @@
         self._ready.clear()
 
     def expire(self, now_s: float) -> None:
-        """Removes upstreams whose entries expired and were not written again.
+        """Marks upstreams whose expired entries were not renewed as gone.
 
-        Upstreams that have been gone for long enough are forgotten.
+        Upstreams that have been gone for `GONE_RETENTION_S` are forgotten.
         """
         for upstream in list(self._upstreams.values()):
             age_s = now_s - upstream.changed_s
--- a/src/lovagestage/gateway/trust.py
+++ b/src/lovagestage/gateway/trust.py
@@ -1,4 +1,4 @@
-"""How long a gateway may take its configuration for the current one."""
+"""Freshness of the configuration: how long it counts as the current one."""
 
 from __future__ import annotations
 
--- a/src/lovagestage/gateway/upstream.py
+++ b/src/lovagestage/gateway/upstream.py
@@ -15,13 +15,13 @@
 _log = logging.getLogger(__name__)
 
 MAX_PAST_STARTS = 8
-"""Most replaced processes of an upstream id whose late writes are recognized.
-A write is carried out seconds late at most, and a process takes as long to
-start."""
+"""Maximum number of replaced processes of an upstream id whose late writes are
+recognized. A write is carried out seconds late at most, and a process takes as
+long to start."""
 MAX_PREFIXES = 4096
-"""Most prompt prefixes that are tracked after a restart: several times as many
-as an engine's cache holds. Once as many have been sent, the cache is full of
-them."""
+"""Maximum number of prompt prefixes that are tracked after a restart: several
+times as many as an engine's cache holds. Once as many have been sent, the
+cache is full of them."""
 
 
 @dataclasses.dataclass(frozen=True)
