--- a/src/lovagestage/gateway/rollouts.py
+++ b/src/lovagestage/gateway/rollouts.py
@@ -35,8 +35,8 @@
 """Failures of the new version that are needed to stop it, whatever their
 likelihood: two failures can come from the crash of one upstream."""
 EXPOSURE_USED_RATIO = 0.8
-"""Share of the exposure that is used by the first share of sessions, out of
-what the last steps leave; the rest is for bursts."""
+"""Share of the allowed exposure, less the exposure by the last steps, that the
+first share of sessions uses; the rest is for bursts."""
 FIRST_SHARES = (0.015, 0.03, 0.05, 0.07, 0.1, 0.13, 0.16, 0.2, 0.25)
 """Shares that a roll-out may begin with. They are few, so that gateways with
 about the same traffic choose the same one."""
