--- a/src/lovagestage/gateway/reading.py
+++ b/src/lovagestage/gateway/reading.py
@@ -26,8 +26,9 @@
 high load most answers have waited, and under low load the quantile is as good
 as any other."""
 GAIN = 0.1
-"""Step by which the estimate changes, relative to itself: it grows in ten
-answers to no more than double."""
+"""Step by which the estimate changes, relative to itself. Ten answers raise
+the estimate at most 1.28-fold, so that it never doubles within them, and lower
+it at most to 0.46 of itself."""
 START_GAIN = 0.4
 """Step for the first `START_SAMPLES` answers, relative to the estimate. It is
 larger, since any of these answers may have waited for long."""
