--- a/src/lovagestage/gateway/beliefs.py
+++ b/src/lovagestage/gateway/beliefs.py
@@ -1,4 +1,4 @@
-"""Turns what the store holds into what the gateway believes."""
+"""Applies records of the store to the gateway's state view."""
 
 from __future__ import annotations
 
@@ -24,21 +24,24 @@
 
 _log = logging.getLogger(__name__)
 
-AWAY_MEMORY_S = 2.0
-"""A removal is taken for a lapse for so long after the store was out of reach:
-entries that lapsed meanwhile are written again within about this time."""
+STORE_OUTAGE_MEMORY_S = 2.0
+"""Time in seconds after an outage of the store during which the removal of an
+entry is taken for an expiry: upstreams whose entries expired while the store
+was unavailable write them again within about this time."""
 
-MAX_REFUSED = 256
-"""Keys of refused entries that are remembered so that each is logged once."""
+MAX_REFUSED_KEYS = 256
+"""Maximum number of keys whose refused entries are remembered, so that each
+refusal is logged once."""
 
 
 class OperatorBeliefs:
-    """Takes configurations, roll-out orders and evacuations of zones.
+    """Applies configurations, roll-out orders and evacuations of zones.
 
     Args:
-        deployment: What is in force.
-        on_order: Called with each new order.
-        on_configuration: Called with version and bytes of each configuration.
+        deployment: The state that the records are applied to.
+        on_order: Called with each new roll-out order and its offset.
+        on_configuration: Called with the version and the bytes of each
+            configuration.
     """
 
     def __init__(
@@ -52,21 +55,24 @@
         self._on_configuration = on_configuration
 
     def on_newest(self, page: Page) -> None:
-        """Takes the newest record of each key; what has none was removed."""
+        """Applies the newest record of each key.
+
+        An evacuation without a record in the list has ended.
+        """
         self.on_records(page)
-        standing = {
+        evacuated = {
             zone: Offset(record.offset)
             for record in page.records
             if (zone := get_evacuated_zone(record.key)) is not None
         }
         changes = self._deployment.evacuations.replace_all(
-            standing, Offset(page.end)
+            evacuated, Offset(page.end)
         )
-        for zone, is_standing in changes.items():
-            self._note_evacuation(zone, is_standing, page.end)
+        for zone, is_evacuated in changes.items():
+            self._on_evacuation_changed(zone, is_evacuated, page.end)
 
     def on_records(self, page: Page) -> None:
-        """Takes records in order."""
+        """Applies records in order; logs a record that cannot be decoded."""
         for record in page.records:
             try:
                 self._apply(record)
@@ -77,12 +83,24 @@
                 )
 
     def on_proof(self, at_s: float) -> None:
-        """Renews the trust in the configuration."""
+        """Records a freshness check of the configuration.
+
+        Args:
+            at_s: Elapsed time in seconds at which no newer configuration
+                existed.
+        """
         self._deployment.trust.note_proof(at_s)
 
     def on_news(self, at_s: float) -> None:
-        """Ends the trust in the configuration, if it takes too long."""
-        self._deployment.trust.note_news(at_s)
+        """Records an update notification: a newer configuration exists.
+
+        The configuration in force counts as superseded if the newer one takes
+        too long to arrive.
+
+        Args:
+            at_s: Elapsed time in seconds of the notification.
+        """
+        self._deployment.trust.record_update_notification(at_s)
 
     def _apply(self, record: Record) -> None:
         zone = get_evacuated_zone(record.key)
@@ -99,20 +117,20 @@
             self._apply_order(record)
 
     def _apply_evacuation(self, zone: ZoneId, record: Record) -> None:
-        is_standing = record.value is not None
+        is_evacuated = record.value is not None
         if self._deployment.evacuations.apply(
-            zone, Offset(record.offset), is_standing
+            zone, Offset(record.offset), is_evacuated
         ):
-            self._note_evacuation(zone, is_standing, record.offset)
+            self._on_evacuation_changed(zone, is_evacuated, record.offset)
 
-    def _note_evacuation(
-        self, zone: ZoneId, is_standing: bool, offset: int
+    def _on_evacuation_changed(
+        self, zone: ZoneId, is_evacuated: bool, offset: int
     ) -> None:
-        if is_standing:
+        if is_evacuated:
             _log.info("zone_evacuated", extra={"zone": zone, "offset": offset})
             return
         _log.info("zone_given_back", extra={"zone": zone, "offset": offset})
-        self._deployment.note_given_back(zone, get_elapsed_s())
+        self._deployment.mark_zone_restored(zone, get_elapsed_s())
 
     def _apply_order(self, record: Record) -> None:
         assert record.value is not None
@@ -133,17 +151,20 @@
 
 
 class EntrySource(Protocol):
-    """Where the upstreams' entries come from."""
+    """The feed from which the upstreams' entries are read."""
 
     def get_lost_age_s(self, now_s: float) -> float | None:
-        """Time since it was last out of reach; None for never."""
+        """Returns the seconds since the store was last out of reach, or None.
+
+        None means that the store was never out of reach.
+        """
 
 
 class UpstreamBeliefs:
-    """Takes the upstreams' entries.
+    """Applies the upstreams' entries to the rotation.
 
     Args:
-        deployment: What is in force.
+        deployment: The state that the entries are applied to.
     """
 
     def __init__(self, deployment: Deployment) -> None:
@@ -152,11 +173,11 @@
         self._refused: dict[InstanceId, str] = {}
 
     def set_source(self, source: EntrySource) -> None:
-        """Names the feed that reads the entries; called once."""
+        """Sets the feed that reads the entries; called once."""
         self._source = source
 
     def on_newest(self, page: Page) -> None:
-        """Takes the newest entry of each upstream."""
+        """Applies the newest entry of each upstream; others were removed."""
         now_s = get_elapsed_s()
         entries = [
             (name, entry, offset)
@@ -164,26 +185,29 @@
             if entry is not None
         ]
         self._deployment.rotation.replace_all(
-            entries, page.end, now_s, self._was_away(now_s)
+            entries, page.end, now_s, self._was_store_unavailable(now_s)
         )
 
     def on_records(self, page: Page) -> None:
-        """Takes entries and removals in order."""
+        """Applies entries and removals in order."""
         now_s = get_elapsed_s()
-        rotation, was_away = self._deployment.rotation, self._was_away(now_s)
+        rotation, was_store_unavailable = (
+            self._deployment.rotation,
+            self._was_store_unavailable(now_s),
+        )
         for name, entry, offset in self._decode(page.records):
-            rotation.apply(name, entry, offset, now_s, was_away)
+            rotation.apply(name, entry, offset, now_s, was_store_unavailable)
 
     def on_proof(self, at_s: float) -> None:
-        """Nothing depends on the age of the upstreams' list alone."""
+        """Ignores freshness checks, which matter only to configurations."""
 
     def on_news(self, at_s: float) -> None:
-        """Nor on the age of what is missing from it."""
+        """Ignores update notifications, which matter only to configurations."""
 
-    def _was_away(self, now_s: float) -> bool:
+    def _was_store_unavailable(self, now_s: float) -> bool:
         assert self._source is not None
         age_s = self._source.get_lost_age_s(now_s)
-        return age_s is not None and age_s < AWAY_MEMORY_S
+        return age_s is not None and age_s < STORE_OUTAGE_MEMORY_S
 
     def _decode(
         self, records: Iterable[Record]
@@ -195,18 +219,21 @@
                 try:
                     entry = decode_upstream(record.value)
                 except CodecError as error:
-                    self._note_refused(name, error.message, record.offset)
+                    self._log_refused_entry(name, error.message, record.offset)
             yield name, entry, record.offset
 
-    def _note_refused(self, name: InstanceId, reason: str, offset: int) -> None:
-        """Logs an entry that names no upstream, once for each reason.
+    def _log_refused_entry(
+        self, name: InstanceId, reason: str, offset: int
+    ) -> None:
+        """Logs an entry that cannot be decoded, once for each key and reason.
 
-        It counts as ended: what stood under its key has been overwritten, and
-        an upstream that is there writes again with its next heartbeat.
+        The upstream counts as removed: its previous entry has been
+        overwritten, and an upstream that is running writes a valid entry with
+        its next heartbeat.
         """
         if self._refused.get(name) == reason:
             return
-        while len(self._refused) >= MAX_REFUSED:
+        while len(self._refused) >= MAX_REFUSED_KEYS:
             del self._refused[next(iter(self._refused))]
         self._refused[name] = reason
         _log.error(
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of the deployment that it serves."""
+"""A gateway's state view of the deployment that it serves."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     Assignment,
     Rollout,
     RolloutOutcome,
-    choose_trial,
-    choose_versions,
+    choose_trial_upstreams,
+    choose_version,
 )
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.trust import Trust
@@ -30,18 +30,19 @@
     """Configuration, upstreams and roll-outs in force.
 
     Args:
-        trust: Age of the configuration's last proof.
-        pins: Versions that sessions are on.
-        warmup_guard: Says which cold upstreams may get a request; None where
-            upstreams bear all from their start.
+        trust: Freshness of the configuration.
+        pins: Versions that sessions were last answered by.
+        warmup_guard: Decides which upstreams that are warming up may get a
+            request; None where upstreams handle their full load from the
+            start.
 
     Attributes:
-        configuration: The newest one; None before the first.
-        trust: Age of its last proof.
-        rotation: Upstreams.
-        rollouts: The last order of each service.
-        pins: Versions that sessions are on.
-        evacuations: Availability zones whose upstreams get nothing.
+        configuration: The newest configuration; None before the first one.
+        trust: Freshness of the configuration.
+        rotation: All known upstreams and their states.
+        rollouts: The last roll-out order of each service.
+        pins: Versions that sessions were last answered by.
+        evacuations: Availability zones whose upstreams get no requests.
         regions: Region of each availability zone.
     """
 
@@ -61,9 +62,10 @@
         self._warmup_guard = warmup_guard
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Takes a configuration; an older one than known is ignored.
+        """Applies a configuration, unless a newer or the same one is known.
 
-        A read that shows the past must not bring back what was taken away.
+        A stale read of the store must not restore routes or keys that were
+        removed.
         """
         known = self.configuration
         if known is not None and configuration.version <= known.version:
@@ -79,53 +81,66 @@
         self.configuration = configuration
 
     def get_ready(
-        self, service: ServiceId, homes: Homes | None
+        self, service: ServiceId, allowed_regions: Homes | None
     ) -> list[Upstream]:
-        """Upstreams of a service to which requests may be sent.
+        """Returns the upstreams of a service to which requests may be sent.
 
         Args:
             service: The service.
-            homes: Regions where the requests may run; None for any.
+            allowed_regions: Regions where the requests may run; None for any
+                region.
+
+        Returns:
+            The upstreams that are ready and lie neither in an evacuated
+            availability zone nor outside the allowed regions.
         """
         ready = self.rotation.get_ready(service)
-        if homes is None and not len(self.evacuations):
+        if allowed_regions is None and not len(self.evacuations):
             return ready
         return [
             upstream
             for upstream in ready
             if upstream.entry.zone not in self.evacuations
-            and is_home(self.regions.get(upstream.entry.zone), homes)
+            and is_home(self.regions.get(upstream.entry.zone), allowed_regions)
         ]
 
     def get_warmup(self, service: ServiceId) -> Warmup | None:
-        """What upstreams of a service bear after their start."""
+        """Returns the warm-up of a service's upstreams; None for no warm-up."""
         if self.configuration is None:
             return None
         return self.configuration.warmups.get(service)
 
-    def note_given_back(self, zone: ZoneId, now_s: float) -> None:
-        """Takes that a zone is no longer to be empty.
+    def mark_zone_restored(self, zone: ZoneId, now_s: float) -> None:
+        """Marks a restored zone's upstreams as warming up.
+
+        Its upstreams may have begun to warm up shortly before, and report that
+        only with their next heartbeat.
 
-        Its upstreams may have become cold shortly before, and tell it only
-        with their next heartbeat.
+        Args:
+            zone: Availability zone that is no longer evacuated.
+            now_s: Elapsed time in seconds.
         """
         for upstream in self.rotation.get_all():
             warmup = self.get_warmup(upstream.entry.service)
             if warmup is not None and upstream.entry.zone == zone:
                 self.rotation.note_cold(upstream, warmup.duration_s, now_s)
 
-    def get_cold(
+    def filter_warming_up(
         self, upstreams: Sequence[Upstream], now_s: float
     ) -> Sequence[Upstream]:
-        """Those that are cold."""
+        """Returns those of the upstreams that are warming up."""
         if now_s >= self.rotation.cold_until_s:
             return ()
         return [u for u in upstreams if u.warmup.is_cold(now_s)]
 
-    def get_open(
+    def filter_available(
         self, upstreams: Sequence[Upstream], now_s: float
     ) -> Sequence[Upstream]:
-        """Those that are warm, or may get one more request from here."""
+        """Returns the upstreams that may get a request from this gateway now.
+
+        An upstream that is warming up is included only while this gateway may
+        send it another request.
+        """
         guard = self._warmup_guard
         if guard is None or now_s >= self.rotation.cold_until_s:
             return upstreams
@@ -142,31 +157,38 @@
         session: str | None,
         request: str,
         now_s: float,
-        homes: Homes | None = None,
+        allowed_regions: Homes | None = None,
     ) -> Assignment:
-        """Chooses the version that a request's session is on.
+        """Chooses the version that a request's session is assigned to.
 
         Args:
             service: The service.
-            session: The session; None for a request by itself.
+            session: The session; None for a request without a session.
             request: Id of the request.
-            now_s: Elapsed time.
-            homes: Regions where the request may run; None for any.
+            now_s: Elapsed time in seconds.
+            allowed_regions: Regions where the request may run; None for any
+                region.
+
+        Returns:
+            The version, and whether it is the new version of a roll-out.
         """
         rollout = self.rollouts.get(service)
         versions: list[VersionId] = []
         if rollout is not None:
-            ready = self.get_ready(service, homes)
+            ready = self.get_ready(service, allowed_regions)
             versions = sorted({upstream.entry.version for upstream in ready})
         if session is None:
-            return choose_versions(rollout, versions, request, now_s)
-        is_pinned_off = rollout is not None and self.pins.is_pinned_off(
-            service, session, rollout.order.version, now_s
+            return choose_version(rollout, versions, request, now_s)
+        is_pinned_elsewhere = (
+            rollout is not None
+            and self.pins.is_pinned_elsewhere(
+                service, session, rollout.order.version, now_s
+            )
         )
-        assignment = choose_versions(
-            rollout, versions, session, now_s, is_pinned_off
+        assignment = choose_version(
+            rollout, versions, session, now_s, is_pinned_elsewhere
         )
-        self.pins.note(service, session, assignment.version, now_s)
+        self.pins.record_request(service, session, assignment.version, now_s)
         return assignment
 
     def get_upstreams(
@@ -174,28 +196,38 @@
         service: ServiceId,
         assignment: Assignment,
         now_s: float,
-        homes: Homes | None = None,
+        allowed_regions: Homes | None = None,
     ) -> list[Upstream]:
-        """Upstreams that take requests of an assignment."""
-        own = self.get_version_upstreams(service, assignment, homes)
+        """Returns the upstreams that take requests of an assignment.
+
+        The new version of a roll-out gets its share on a few trial upstreams,
+        unless all ready upstreams are of that version.
+        """
+        version_upstreams = self.get_version_upstreams(
+            service, assignment, allowed_regions
+        )
         rollout = self.rollouts.get(service)
         if rollout is None or not assignment.is_new:
-            return own
-        if len(own) == len(self.get_ready(service, homes)):
-            return own
-        trial = choose_trial(
-            [u.id for u in own], str(rollout.offset), rollout.get_share(now_s)
+            return version_upstreams
+        if len(version_upstreams) == len(
+            self.get_ready(service, allowed_regions)
+        ):
+            return version_upstreams
+        trial = choose_trial_upstreams(
+            [u.id for u in version_upstreams],
+            str(rollout.offset),
+            rollout.get_share(now_s),
         )
-        return [u for u in own if u.id in trial]
+        return [u for u in version_upstreams if u.id in trial]
 
     def get_version_upstreams(
         self,
         service: ServiceId,
         assignment: Assignment,
-        homes: Homes | None = None,
+        allowed_regions: Homes | None = None,
     ) -> list[Upstream]:
-        """Upstreams of an assignment's version, on trial or not."""
-        ready = self.get_ready(service, homes)
+        """Returns all upstreams of an assignment's version, on trial or not."""
+        ready = self.get_ready(service, allowed_regions)
         if assignment.version is None:
             return ready
         return [u for u in ready if u.entry.version == assignment.version]
@@ -204,12 +236,13 @@
         self,
         service: ServiceId,
         assignment: Assignment,
-        homes: Homes | None = None,
+        allowed_regions: Homes | None = None,
     ) -> list[Upstream]:
-        """Upstreams for a request that its own version can't answer.
+        """Returns upstreams for a request that its own version cannot answer.
 
-        While a roll-out runs, the other version still serves; afterwards a
-        version that lost may be gone or bad.
+        While a roll-out runs, upstreams of the other version still serve
+        requests; once it is decided, the version that was given up may be gone
+        or faulty.
         """
         rollout = self.rollouts.get(service)
         if rollout is None or assignment.version is None:
@@ -218,7 +251,7 @@
         is_running = rollout.outcome is RolloutOutcome.RUNNING
         return [
             upstream
-            for upstream in self.get_ready(service, homes)
+            for upstream in self.get_ready(service, allowed_regions)
             if upstream.entry.version != assignment.version
             and (upstream.entry.version != target or is_running)
             and not (upstream.entry.version == target and rollout.is_stopped)
--- a/src/lovagestage/gateway/rotation.py
+++ b/src/lovagestage/gateway/rotation.py
@@ -1,4 +1,4 @@
-"""Upstreams that may take requests, as the store and own calls show them."""
+"""Upstreams that may take requests, by the store's entries."""
 
 from __future__ import annotations
 
@@ -14,28 +14,32 @@
 
 _log = logging.getLogger(__name__)
 
-LAPSE_GRACE_S = 1.4
-"""An upstream whose entry ended while the store was away is used so long: its
-next heartbeat writes it again. Under the shortest time for which a leaving
-upstream still serves, so one that has really left is never sent a request
-too late."""
-FORGET_S = 600.0
-"""Upstreams that are gone are remembered for the reads that show the past, and
-for entries that are written late. With 655 that leave a day, five are kept."""
+EXPIRED_GRACE_S = 1.4
+"""Time in seconds for which an upstream is still used whose entry expired
+while the store was unavailable: its next heartbeat writes the entry again. It
+is shorter than the shortest time for which a leaving upstream still serves
+requests, so one that has really left is never sent a request too late."""
+GONE_RETENTION_S = 600.0
+"""Time in seconds for which upstreams that are gone are remembered, for stale
+reads of the store and for entries that are written late. Where 655 upstreams
+leave in a day, about five are held in memory."""
 
 
 class Rotation:
     """All upstreams that this gateway knows of.
 
-    An id may be used again by a process that starts anew. The order of the
-    store's records tells which of two processes is the newer one, not their
-    clocks: a start that was not seen before is a new process even where its
-    time is an earlier one. A start that was replaced is of a process that is
-    gone, and its record a write that was carried out late.
+    A new process may reuse the id of an upstream. The order of the store's
+    records, and not the processes' clocks, tells which of two processes is the
+    newer one: a start time that was not known before belongs to a new process
+    even where it is an earlier time. A start time that was replaced belongs to
+    a process that is gone, and its record is a write that the store carried
+    out late.
 
     Attributes:
-        revision: Grows whenever processes come or go.
-        cold_until_s: Elapsed time from which none is known to be cold.
+        revision: Number that grows whenever upstream processes are added,
+            replaced or removed.
+        cold_until_s: Elapsed time in seconds from which no known upstream is
+            warming up.
     """
 
     def __init__(self) -> None:
@@ -54,18 +58,19 @@
         entry: UpstreamEntry | None,
         offset: int,
         now_s: float,
-        was_away: bool,
+        was_store_unavailable: bool,
     ) -> None:
-        """Takes an entry of the store, or its removal.
+        """Applies an entry of the store, or its removal.
 
         Args:
-            name: Its id.
-            entry: What it says; None where the entry was removed.
-            offset: Offset of the record; an older one than known is ignored,
-                since a read may show the past.
-            now_s: Elapsed time.
-            was_away: Whether the store was lately out of reach, so that a
-                removal may only mean that the upstream could not write.
+            name: Id of the upstream.
+            entry: The entry; None where it was removed.
+            offset: Offset of the record; a record that is older than the known
+                one is ignored, since a read may be stale.
+            now_s: Elapsed time in seconds.
+            was_store_unavailable: Whether the store was recently out of reach,
+                so that a removal may only mean that the upstream could not
+                write.
         """
         known = self._upstreams.get(name)
         if known is not None and offset < known.offset:
@@ -74,10 +79,10 @@
         if entry is None:
             if known is not None:
                 known.offset = offset
-                self._remove(known, now_s, was_away)
+                self._remove(known, now_s, was_store_unavailable)
             return
-        if known is not None and entry.born_ms in known.past_born_ms:
-            _log_late(known, entry, offset)
+        if known is not None and entry.born_ms in known.past_start_ms:
+            _log_late_entry(known, entry, offset)
             return
         upstream = self._get_process(name, entry, offset, now_s)
         if upstream.entry.born_ms != entry.born_ms:
@@ -97,34 +102,50 @@
         entries: Iterable[tuple[InstanceId, UpstreamEntry, int]],
         end: int,
         now_s: float,
-        was_away: bool,
+        was_store_unavailable: bool,
     ) -> None:
-        """Takes a full list; what is missing in it has been removed."""
+        """Applies a full list; upstreams that it does not name were removed.
+
+        Args:
+            entries: Id, entry and offset of each upstream.
+            end: Offset up to which the list is complete; newer records stay.
+            now_s: Elapsed time in seconds.
+            was_store_unavailable: Whether the store was recently out of reach.
+        """
         listed = set()
         for name, entry, offset in entries:
             listed.add(name)
-            self.apply(name, entry, offset, now_s, was_away)
+            self.apply(name, entry, offset, now_s, was_store_unavailable)
         for upstream in self._upstreams.values():
             if upstream.id not in listed and upstream.offset < end:
-                self._remove(upstream, now_s, was_away)
+                self._remove(upstream, now_s, was_store_unavailable)
         self._ready.clear()
 
     def expire(self, now_s: float) -> None:
-        """Gives up lapsed upstreams that did not come back."""
+        """Marks upstreams whose expired entries were not renewed as gone.
+
+        Upstreams that have been gone for `GONE_RETENTION_S` are forgotten.
+        """
         for upstream in list(self._upstreams.values()):
             age_s = now_s - upstream.changed_s
-            if upstream.state is UpstreamState.LAPSED:
-                if age_s > LAPSE_GRACE_S:
+            if upstream.state is UpstreamState.EXPIRED:
+                if age_s > EXPIRED_GRACE_S:
                     upstream.set_state(UpstreamState.GONE, now_s)
                     self._ready.clear()
-            elif upstream.state is UpstreamState.GONE and age_s > FORGET_S:
+            elif (
+                upstream.state is UpstreamState.GONE
+                and age_s > GONE_RETENTION_S
+            ):
                 self._drop(upstream)
 
     def get_ready(self, service: ServiceId) -> list[Upstream]:
-        """Upstreams of a service that take requests; not to be changed."""
+        """Returns a service's upstreams that take requests.
+
+        The caller must not change the list.
+        """
         ready = self._ready.get(service)
         if ready is None:
-            usable = (UpstreamState.READY, UpstreamState.LAPSED)
+            usable = (UpstreamState.READY, UpstreamState.EXPIRED)
             ready = [
                 upstream
                 for upstream in self._by_service.get(service, ())
@@ -136,18 +157,21 @@
     def note_cold(
         self, upstream: Upstream, left_s: float, now_s: float
     ) -> None:
-        """Takes that an upstream stays cold for so long."""
+        """Records for how many seconds an upstream still warms up."""
         upstream.note_cold(left_s, now_s)
         self.cold_until_s = max(self.cold_until_s, now_s + left_s)
 
     def get_all(self) -> list[Upstream]:
-        """All upstreams, also those that are gone."""
+        """Returns all upstreams, including those that are gone."""
         return list(self._upstreams.values())
 
     def _get_process(
         self, name: InstanceId, entry: UpstreamEntry, offset: int, now_s: float
     ) -> Upstream:
-        """The process that an entry is of, listed under the entry's service."""
+        """Returns the upstream process that an entry belongs to.
+
+        The process is listed under the entry's service.
+        """
         known = self._upstreams.get(name)
         if known is None:
             return self._add(name, entry, offset, now_s)
@@ -161,8 +185,8 @@
 
     @staticmethod
     def _is_restart(known: Upstream, entry: UpstreamEntry) -> bool:
-        # An entry of one that does not tell its start is no sign of a new
-        # process, neither before nor after one that does.
+        # An entry without a start time is no sign of a new process, neither
+        # before nor after an entry with one.
         starts = (known.entry.born_ms, entry.born_ms)
         return None not in starts and starts[0] != starts[1]
 
@@ -213,19 +237,21 @@
         )
         return upstream
 
-    def _remove(self, upstream: Upstream, now_s: float, was_away: bool) -> None:
+    def _remove(
+        self, upstream: Upstream, now_s: float, was_store_unavailable: bool
+    ) -> None:
         if upstream.state is UpstreamState.GONE:
             return
-        is_lapse = was_away and upstream.state in (
+        is_expiry = was_store_unavailable and upstream.state in (
             UpstreamState.READY,
-            UpstreamState.LAPSED,
+            UpstreamState.EXPIRED,
         )
         upstream.set_state(
-            UpstreamState.LAPSED if is_lapse else UpstreamState.GONE, now_s
+            UpstreamState.EXPIRED if is_expiry else UpstreamState.GONE, now_s
         )
 
 
-def _log_late(known: Upstream, entry: UpstreamEntry, offset: int) -> None:
+def _log_late_entry(known: Upstream, entry: UpstreamEntry, offset: int) -> None:
     _log.info(
         "upstream_entry_late",
         extra={
--- a/src/lovagestage/gateway/told_waits.py
+++ b/src/lovagestage/gateway/told_waits.py
@@ -1,7 +1,8 @@
-"""Sums what gateways told of their waiting requests, upstream by upstream.
+"""Sums the queue times that gateways report, by upstream.
 
-The load that this answers: a gateway takes in a hundred datagrams a second,
-each of which names a few of thousands of upstreams.
+A gateway receives a hundred datagrams a second, each of which names a few of
+thousands of upstreams. A report therefore updates only the sums of the
+upstreams that it or the gateway's previous report names.
 """
 
 from __future__ import annotations
@@ -10,32 +11,37 @@
 
 
 class ToldWaits:
-    """Sums by upstream over the gateways that count.
+    """Sums of reported queue times, by upstream, over the reporting gateways.
 
-    Gateways and upstreams go by short names, waits by whole units, so that
-    sums which are added to and taken from end where they began.
+    Gateways and upstreams are identified by short numbers, and queue times are
+    whole units, so that a sum to which values are added and from which they
+    are subtracted again returns exactly to its start.
     """
 
     def __init__(self) -> None:
-        self._told: dict[int, Mapping[int, int]] = {}
+        self._reported: dict[int, Mapping[int, int]] = {}
         self._totals: dict[int, int] = {}
 
     def replace(self, gateway: int, waits: Mapping[int, int]) -> set[int]:
-        """Takes all that a gateway has waiting now.
+        """Replaces all queue times that a gateway has reported.
+
+        Args:
+            gateway: Number of the gateway.
+            waits: Queue time by upstream, in whole units.
 
         Returns:
             Upstreams whose sum may have changed.
         """
-        before = self._told.get(gateway, {})
-        self._told[gateway] = waits
+        before = self._reported.get(gateway, {})
+        self._reported[gateway] = waits
         changed = before.keys() | waits.keys()
-        for name in changed:
-            change = waits.get(name, 0) - before.get(name, 0)
-            total = self._totals.pop(name, 0) + change
+        for upstream in changed:
+            difference = waits.get(upstream, 0) - before.get(upstream, 0)
+            total = self._totals.pop(upstream, 0) + difference
             if total:
-                self._totals[name] = total
+                self._totals[upstream] = total
         return set(changed)
 
     def get(self, upstream: int) -> int:
-        """What waits at an upstream, over all gateways."""
+        """Returns the queue time at an upstream, summed over all gateways."""
         return self._totals.get(upstream, 0)
