--- a/src/lovagestage/platform/__init__.py
+++ b/src/lovagestage/platform/__init__.py
@@ -1,5 +1,6 @@
-"""How the users' platform speaks: names, formats and calls.
+"""Translates the names, formats and calls of the outer platform.
 
-Nothing here decides, retries or waits, and no other package knows the names
-that stand here. Each is decoded once into the product's own types.
+This package contains no decisions, retries or waits. No other package knows
+the platform's names: each one is decoded here, once, into the types of this
+project.
 """
--- a/src/lovagestage/platform/configuration.py
+++ b/src/lovagestage/platform/configuration.py
@@ -1,4 +1,4 @@
-"""What operators and upstreams write to the store, decoded."""
+"""Decodes the records that operators and upstreams write to the store."""
 
 from __future__ import annotations
 
@@ -35,51 +35,60 @@
 CONFIG_KEY = "config"
 _ORDER_PREFIX = "rollout/"
 _EVACUATION_PREFIX = "evacuate/"
-_KINDS = {
+_ROUTE_KINDS = {
     "safe": RouteKind.SAFE,
     "unsafe": RouteKind.UNSAFE,
     "streaming": RouteKind.STREAM,
 }
-_OUTCOMES = {
+_OUTCOME_STATES = {
     RolloutOutcome.RUNNING: "in_progress",
     RolloutOutcome.COMPLETED: "completed",
     RolloutOutcome.REVERTED: "reverted",
 }
-_OUTCOME_WORDS = {word: outcome for outcome, word in _OUTCOMES.items()}
+_OUTCOMES_BY_STATE = {
+    state: outcome for outcome, state in _OUTCOME_STATES.items()
+}
 _DEFAULT_TIMEOUT_MS = 30_000
-_DEFAULT_AIM_MS = 1_000
-_DEFAULT_GAP_MS = 1_200
+_DEFAULT_TARGET_LATENCY_MS = 1_000
+_DEFAULT_EVENT_INTERVAL_MS = 1_200
 
-Fields = Mapping[str, Any]
-_Text = Annotated[str, msgspec.Meta(min_length=1)]
-_Count = Annotated[int, msgspec.Meta(ge=0)]
-_PORT = (
+JsonObject = Mapping[str, Any]
+_NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
+_PORT_PATTERN = (
     r"([1-9]\d{0,3}|[1-5]\d{4}|6[0-4]\d{3}|65[0-4]\d\d|655[0-2]\d|6553[0-5])"
 )
 _Address = Annotated[
-    str, msgspec.Meta(pattern=rf"^\d{{1,3}}(\.\d{{1,3}}){{3}}:{_PORT}$")
+    str, msgspec.Meta(pattern=rf"^\d{{1,3}}(\.\d{{1,3}}){{3}}:{_PORT_PATTERN}$")
 ]
 
 
 class _UpstreamFields(msgspec.Struct):
-    """An upstream's entry. Other writers leave some that are not whole."""
+    """The fields of an upstream's entry in the store.
+
+    Writers other than upstreams leave incomplete entries in the same topic:
+    an entry that violates these types is rejected.
+    """
 
-    Service: _Text
+    Service: _NonEmptyText
     Address: _Address
     Zone: str
     Version: str
     MaxBatchSize: Annotated[int, msgspec.Meta(gt=0)]
     State: Literal["ready", "draining"]
     WarmupLeftMs: float
-    Sequence: _Count
-    born: _Count | msgspec.UnsetType = msgspec.UNSET
+    Sequence: _NonNegativeInt
+    born: _NonNegativeInt | msgspec.UnsetType = msgspec.UNSET
 
 
 def decode_configuration(data: bytes) -> Configuration:
-    """Decodes a configuration.
+    """Decodes a configuration record.
+
+    Args:
+        data: The record's value, a JSON object.
 
     Raises:
-        CodecError: It is not one.
+        CodecError: The value is not a valid configuration.
     """
     fields = _decode_object(data)
     try:
@@ -87,14 +96,14 @@
             int(fields["Version"]),
             [_decode_route(route) for route in fields.get("Routes", ())],
             _decode_limits(fields.get("Limits", {})),
-            _decode_keys(fields.get("Tenants")),
+            _decode_api_keys(fields.get("Tenants")),
             _decode_warmups(fields.get("Services", ())),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise CodecError(f"Configuration: {error!r}.") from error
 
 
-def _decode_route(fields: Fields) -> Route:
+def _decode_route(fields: JsonObject) -> Route:
     backends = fields.get("Backends") or [
         {"Service": fields["Service"], "Weight": 1}
     ]
@@ -102,29 +111,31 @@
         name=str(fields.get("Name", "")),
         host=str(fields["Hostname"]).lower(),
         prefix=fields["PathPrefix"],
-        kind=_KINDS.get(fields.get("RouteType", "unsafe"), RouteKind.UNSAFE),
+        kind=_ROUTE_KINDS.get(
+            fields.get("RouteType", "unsafe"), RouteKind.UNSAFE
+        ),
         timeout_s=fields.get("TimeoutMs", _DEFAULT_TIMEOUT_MS) / 1000,
-        aim_s=fields.get("TargetLatencyMs", _DEFAULT_AIM_MS) / 1000,
-        gap_s=fields.get("TargetGapMs", _DEFAULT_GAP_MS) / 1000,
+        aim_s=fields.get("TargetLatencyMs", _DEFAULT_TARGET_LATENCY_MS) / 1000,
+        gap_s=fields.get("TargetGapMs", _DEFAULT_EVENT_INTERVAL_MS) / 1000,
         max_attempts=int(fields.get("MaxAttempts", 1)),
         priority=int(fields.get("Priority", 0)),
         is_public=bool(fields.get("Public", False)),
         is_resumable=bool(fields.get("Resumable", False)),
         models=tuple(fields.get("Sizes") or ()),
         backends=tuple(
-            Backend(ServiceId(part["Service"]), float(part["Weight"]))
-            for part in backends
+            Backend(ServiceId(backend["Service"]), float(backend["Weight"]))
+            for backend in backends
         ),
-        homes=_decode_homes(fields),
+        homes=_decode_allowed_regions(fields),
     )
 
 
-def _decode_homes(fields: Fields) -> Homes | None:
+def _decode_allowed_regions(fields: JsonObject) -> Homes | None:
     regions = fields.get("AllowedRegions")
     return frozenset(RegionId(name) for name in regions) if regions else None
 
 
-def _decode_limits(fields: Fields) -> ClientLimits:
+def _decode_limits(fields: JsonObject) -> ClientLimits:
     default = ClientLimits()
     return ClientLimits(
         int(fields.get("MaxHeaderBytes", default.head_bytes)),
@@ -134,8 +145,8 @@
     )
 
 
-def _decode_keys(
-    workspaces: list[Fields] | None,
+def _decode_api_keys(
+    workspaces: list[JsonObject] | None,
 ) -> dict[str, WorkspaceEntry] | None:
     if workspaces is None:
         return None
@@ -144,33 +155,38 @@
         entry = WorkspaceEntry(
             WorkspaceId(fields["Name"]),
             fields.get("Priority"),
-            _decode_homes(fields),
+            _decode_allowed_regions(fields),
         )
         keys.update(dict.fromkeys(fields.get("ApiKeys", ()), entry))
     return keys
 
 
-def _decode_warmups(services: Sequence[Fields]) -> dict[ServiceId, Warmup]:
+def _decode_warmups(services: Sequence[JsonObject]) -> dict[ServiceId, Warmup]:
     warmups = {}
     for fields in services:
         duration_s = float(fields.get("WarmupS", 0.0))
-        per_s = float(fields.get("WarmupPerS", 0.0))
-        if duration_s > 0.0 and per_s > 0.0:
-            warmups[ServiceId(fields["Name"])] = Warmup(duration_s, per_s)
+        requests_per_s = float(fields.get("WarmupPerS", 0.0))
+        if duration_s > 0.0 and requests_per_s > 0.0:
+            warmups[ServiceId(fields["Name"])] = Warmup(
+                duration_s, requests_per_s
+            )
     return warmups
 
 
 def decode_upstream(data: bytes) -> UpstreamEntry:
-    """Decodes what an upstream says of itself.
+    """Decodes an upstream's description of itself.
+
+    Args:
+        data: The value of the upstream's record, a JSON object.
 
     Raises:
-        CodecError: It is not such an entry.
+        CodecError: The value is not a valid entry of an upstream.
     """
     try:
         fields = msgspec.json.decode(data, type=_UpstreamFields)
     except (msgspec.DecodeError, ValueError) as error:
         raise CodecError(f"Upstream: {error}") from error
-    born = fields.born
+    start_ms = fields.born
     return UpstreamEntry(
         service=ServiceId(fields.Service),
         address=fields.Address,
@@ -178,20 +194,34 @@
         version=VersionId(fields.Version),
         slots=fields.MaxBatchSize,
         is_draining=fields.State == "draining",
-        born_ms=None if born is msgspec.UNSET else born,
+        born_ms=None if start_ms is msgspec.UNSET else start_ms,
         warmup_left_s=max(0.0, fields.WarmupLeftMs / 1000),
     )
 
 
 def get_order_service(key: str) -> ServiceId | None:
-    """The service that a key of the operators orders a roll-out of."""
+    """Returns the service whose roll-out a record's key orders.
+
+    Args:
+        key: Key of a record in the operators' topic.
+
+    Returns:
+        The service; None where the key does not order a roll-out.
+    """
     if not key.startswith(_ORDER_PREFIX):
         return None
     return ServiceId(key.removeprefix(_ORDER_PREFIX))
 
 
 def get_evacuated_zone(key: str) -> ZoneId | None:
-    """The availability zone that a key of the operators asks to empty."""
+    """Returns the availability zone that a record's key asks to evacuate.
+
+    Args:
+        key: Key of a record in the operators' topic.
+
+    Returns:
+        The zone; None where the key does not order an evacuation.
+    """
     if not key.startswith(_EVACUATION_PREFIX):
         return None
     return ZoneId(key.removeprefix(_EVACUATION_PREFIX))
@@ -200,8 +230,11 @@
 def decode_order(data: bytes) -> RolloutOrder:
     """Decodes an order to move a service to another version.
 
+    Args:
+        data: The record's value, a JSON object.
+
     Raises:
-        CodecError: It is not one.
+        CodecError: The value is not a valid order.
     """
     fields = _decode_object(data)
     try:
@@ -215,18 +248,19 @@
 
 
 def make_outcome_key(service: ServiceId) -> str:
-    """Key under which operators look for a roll-out's outcome."""
+    """Returns the key under which operators look up a roll-out's outcome."""
     return f"{_ORDER_PREFIX}{service}"
 
 
 def encode_outcome(record: OutcomeRecord) -> bytes:
-    """Encodes what operators read of a roll-out."""
+    """Encodes the outcome of a roll-out for the operators."""
     return msgspec.json.encode(
         {
-            "State": _OUTCOMES[record.outcome],
+            "State": _OUTCOME_STATES[record.outcome],
             "Target": str(record.version),
-            # Ours: tells two orders of the same version apart, and what all
-            # gateways have agreed on.
+            # The next two fields belong to this project. The order's offset
+            # distinguishes two orders of the same version; the share is the
+            # first share that all gateways have agreed on.
             "Order": record.order,
             "Share": record.first_share,
         }
@@ -234,16 +268,19 @@
 
 
 def decode_outcome(data: bytes) -> OutcomeRecord:
-    """Decodes what `encode_outcome` makes.
+    """Decodes an outcome that `encode_outcome` has encoded.
+
+    Args:
+        data: The record's value, a JSON object.
 
     Raises:
-        CodecError: It is not that.
+        CodecError: The value is not a valid outcome.
     """
     fields = _decode_object(data)
     try:
         return OutcomeRecord(
             VersionId(fields["Target"]),
-            _OUTCOME_WORDS[fields["State"]],
+            _OUTCOMES_BY_STATE[fields["State"]],
             int(fields.get("Order", -1)),
             float(fields.get("Share", 0.0)),
         )
--- a/src/lovagestage/platform/headers.py
+++ b/src/lovagestage/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests, answers and events."""
+"""Decodes and encodes the headers of requests, answers and events."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 )
 from lovagestage.types import RequestId
 
-_ID = b"attempt-id"
+_REQUEST_ID = b"attempt-id"
 _DEADLINE = b"deadline-ms"
-_INSTANCE = b"expected-instance"
+_EXPECTED_INSTANCE = b"expected-instance"
 _WORKSPACE = b"tenant-id"
 _MODEL = b"model-name"
-_PREFIX = b"prefix-hash"
-_USAGE = b"token-usage"
-_RESUME = b"last-event-id"
+_PREFIX_HASH = b"prefix-hash"
+_TOKEN_USAGE = b"token-usage"
+_LAST_EVENT_ID = b"last-event-id"
 _PRIORITY = b"request-priority"
 _SESSION = b"session"
-_KEY = b"authorization"
-_KEY_SCHEME = "token"
-_SET_BY_US = frozenset(
+_API_KEY = b"authorization"
+_API_KEY_SCHEME = "token"
+_GATEWAY_HEADERS = frozenset(
     (
         _DEADLINE,
-        _INSTANCE,
+        _EXPECTED_INSTANCE,
         _WORKSPACE,
         _MODEL,
-        _RESUME,
+        _LAST_EVENT_ID,
         _PRIORITY,
-        _KEY,
+        _API_KEY,
         b"pin-ms",
         b"kv-from",
         b"kv-replica",
@@ -51,33 +51,38 @@
         b"host",
     )
 )
-"""What a caller sends under these names is not passed on as it is."""
+"""Names of request headers whose values from callers are never forwarded
+unchanged: the gateway sets the header itself or omits it."""
 _SIGNATURE = b"response-signature"
-_NOT_RUN = b"not-executed"
+_NOT_EXECUTED = b"not-executed"
 _CONFIDENCE = b"confidence"
-_MISDIRECTED = 421
+_MISDIRECTED_STATUS = 421
 _DEFAULT_DEADLINE_S = 30.0
-"""Of a caller that names none."""
+"""Deadline in seconds of a request whose caller states none."""
 
 
 def decode_request(event: h11.Request) -> CallerRequest:
     """Decodes the head of a caller's request.
 
+    Args:
+        event: The request line and headers as received.
+
     Raises:
-        WrongMessageError: It can't be passed on.
+        WrongMessageError: The request can't be forwarded: its length is
+            ambiguous or a header that must be unique is repeated.
     """
     raw = get_raw_headers(event)
     fields = {name.lower(): value for name, value in raw}
     names = [name.lower() for name, _ in raw]
     if b"transfer-encoding" in fields and b"content-length" in fields:
         raise WrongMessageError("Both a length and a transfer coding.")
-    for name in (b"host", _ID, _KEY, _DEADLINE):
+    for name in (b"host", _REQUEST_ID, _API_KEY, _DEADLINE):
         if names.count(name) > 1:
             raise WrongMessageError(f"Header {name.decode()} stands twice.")
     target = event.target.decode("ascii")
-    usage = _get_text(fields, _USAGE).split(",")
+    usage = _get_text(fields, _TOKEN_USAGE).split(",")
     return CallerRequest(
-        id=RequestId(_get_text(fields, _ID)),
+        id=RequestId(_get_text(fields, _REQUEST_ID)),
         method=event.method,
         target=event.target,
         path=target.partition("?")[0],
@@ -85,15 +90,15 @@
         headers=tuple(
             (name, value)
             for name, value in remove_hop_by_hop(raw)
-            if name.lower() not in _SET_BY_US
+            if name.lower() not in _GATEWAY_HEADERS
         ),
         budget_s=_get_number(fields, _DEADLINE, _DEFAULT_DEADLINE_S * 1e3)
         / 1000,
-        key=_get_key(fields),
+        key=_get_api_key(fields),
         model=_get_text(fields, _MODEL) if _MODEL in fields else None,
-        parts=_get_parts(_get_text(fields, _PREFIX)),
+        parts=_get_prompt_parts(_get_text(fields, _PREFIX_HASH)),
         prompt_tokens=int(usage[0]) if usage[0].isdigit() else 0,
-        resume_after=_get_text(fields, _RESUME) or None,
+        resume_after=_get_text(fields, _LAST_EVENT_ID) or None,
         session=_get_text(fields, _SESSION) or None,
     )
 
@@ -111,12 +116,12 @@
         return default
 
 
-def _get_key(fields: dict[bytes, bytes]) -> str | None:
-    scheme, _, key = _get_text(fields, _KEY).partition(" ")
-    return key.strip() if scheme.lower() == _KEY_SCHEME else None
+def _get_api_key(fields: dict[bytes, bytes]) -> str | None:
+    scheme, _, key = _get_text(fields, _API_KEY).partition(" ")
+    return key.strip() if scheme.lower() == _API_KEY_SCHEME else None
 
 
-def _get_parts(text: str) -> tuple[PromptPart, ...]:
+def _get_prompt_parts(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for item in text.split(","):
         name, _, tokens = item.strip().partition(":")
@@ -126,7 +131,7 @@
 
 
 def encode_request(call: OutgoingCall) -> Headers:
-    """Headers of a request to an upstream."""
+    """Returns the headers of a request that is sent to an upstream."""
     request = call.request
     headers = [(b"Host", request.host.encode("latin-1")), *request.headers]
     headers.append((b"Deadline-Ms", b"%d" % max(1, int(call.left_s * 1000))))
@@ -148,17 +153,20 @@
 
 
 def decode_answer(event: h11.Response) -> AnswerHead:
-    """Decodes the head of an upstream's answer."""
+    """Decodes the status and the headers of an upstream's answer."""
     raw = get_raw_headers(event)
     fields = {name.lower(): value for name, value in raw}
     confidence = _get_text(fields, _CONFIDENCE)
     return AnswerHead(
         status=event.status_code,
         headers=tuple(remove_hop_by_hop(raw)),
-        request_id=RequestId(_get_text(fields, _ID)) if _ID in fields else None,
+        request_id=RequestId(_get_text(fields, _REQUEST_ID))
+        if _REQUEST_ID in fields
+        else None,
         is_signed=_SIGNATURE in fields,
-        is_not_run=_NOT_RUN in fields or event.status_code == _MISDIRECTED,
-        is_other_instance=event.status_code == _MISDIRECTED,
+        is_not_run=_NOT_EXECUTED in fields
+        or event.status_code == _MISDIRECTED_STATUS,
+        is_other_instance=event.status_code == _MISDIRECTED_STATUS,
         confidence=float(confidence) if confidence.isdigit() else None,
         closes=b"close" in fields.get(b"connection", b"").lower(),
         idle_timeout_s=_get_idle_timeout(_get_text(fields, b"keep-alive")),
@@ -177,7 +185,15 @@
 def encode_answer(
     request_id: str, retry_after_s: float | None, body: bytes, closes: bool
 ) -> Headers:
-    """Headers of an answer of the gateway's own."""
+    """Returns the headers of an answer that the gateway makes itself.
+
+    Args:
+        request_id: Id of the request; empty where the request has none.
+        retry_after_s: Time in seconds after which the caller may retry; None
+            to omit the header.
+        body: The answer's body.
+        closes: Whether the connection is closed after the answer.
+    """
     headers = [
         (b"Content-Type", b"application/json"),
         (b"Content-Length", b"%d" % len(body)),
@@ -191,9 +207,16 @@
     return headers
 
 
-def decode_event(block: bytes) -> str | None:
-    """The id of one event of a stream; None where it has none."""
-    for line in block.splitlines():
+def decode_event(event_bytes: bytes) -> str | None:
+    """Returns the id of one event of a stream.
+
+    Args:
+        event_bytes: The lines of the event.
+
+    Returns:
+        The id; None for an event without an id.
+    """
+    for line in event_bytes.splitlines():
         if line.startswith(b"id:"):
             return line[3:].strip().decode("latin-1")
     return None
--- a/src/lovagestage/platform/records.py
+++ b/src/lovagestage/platform/records.py
@@ -1,4 +1,4 @@
-"""Records of the store's topics, and how they are written on the wire."""
+"""Records of the store's topics and their encoding on the wire."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     """A record of a topic.
 
     Attributes:
-        offset: Its place in the topic.
-        key: Its key; empty in topics without keys.
-        value: Its bytes; None where the key was dropped.
+        offset: Position of the record in the topic.
+        key: Key of the record; empty in topics without keys.
+        value: Value in bytes; None for a record that removes the key.
     """
 
     offset: int
@@ -33,11 +33,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Page:
-    """What a read returned.
+    """The result of a read.
 
     Attributes:
-        records: Records in order.
-        end: Offset of the next record to be appended.
+        records: The records in the order of their offsets.
+        end: End of the topic: the offset of the next record to be appended.
     """
 
     records: tuple[Record, ...]
@@ -45,12 +45,12 @@
 
 
 class PageReader:
-    """Reads the records of an answer while it arrives.
+    """Decodes the records of a read's answer while its body arrives.
 
     Args:
-        topic: The topic.
-        offset: Offset of the first record.
-        on_page: Takes each part of the records.
+        topic: The topic that is read.
+        offset: Offset of the first record in the answer.
+        on_page: Called with the records that each part of the body completes.
     """
 
     def __init__(
@@ -60,54 +60,63 @@
         self._is_keyed = _is_keyed(topic)
         self._offset = offset
         self._on_page = on_page
-        self._rest = bytearray()
-        self._first = 0
-        self._end: int | None = None
+        self._buffer = bytearray()
+        self._start_offset = 0
+        self._end_offset: int | None = None
         self._records: list[Record] = []
 
-    def take(self, part: bytes) -> None:
-        """Takes a part of the body."""
-        self._rest += part
-        if self._end is None:
-            if len(self._rest) < _READ_HEAD.size:
+    def add_part(self, part: bytes) -> None:
+        """Adds a part of the body and decodes the records that it completes."""
+        self._buffer += part
+        if self._end_offset is None:
+            if len(self._buffer) < _READ_HEAD.size:
                 return
-            self._end, self._first = _READ_HEAD.unpack_from(self._rest)
-            del self._rest[: _READ_HEAD.size]
-        if self._offset < self._first:
+            self._end_offset, self._start_offset = _READ_HEAD.unpack_from(
+                self._buffer
+            )
+            del self._buffer[: _READ_HEAD.size]
+        if self._offset < self._start_offset:
             return
-        fresh = list(self._take_records())
-        self._records += fresh
-        self._on_page(Page(tuple(fresh), self._end))
+        new_records = list(self._decode_buffered_records())
+        self._records += new_records
+        self._on_page(Page(tuple(new_records), self._end_offset))
 
     def get_page(self) -> Page:
-        """All that was read.
+        """Returns all records that have been decoded.
 
         Raises:
-            StoreHistoryLostError: The records were dropped.
-            StoreUnavailableError: The answer is too short.
+            StoreHistoryLostError: The store has dropped the records from the
+                requested offset on.
+            StoreUnavailableError: The body is too short to hold its header.
         """
-        if self._end is None:
+        if self._end_offset is None:
             raise StoreUnavailableError("Short answer to a read.")
-        if self._offset < self._first:
-            raise StoreHistoryLostError(self._topic, self._first)
-        return Page(tuple(self._records), self._end)
+        if self._offset < self._start_offset:
+            raise StoreHistoryLostError(self._topic, self._start_offset)
+        return Page(tuple(self._records), self._end_offset)
 
-    def _take_records(self) -> Iterator[Record]:
+    def _decode_buffered_records(self) -> Iterator[Record]:
         position = 0
-        while position + _LENGTH.size <= len(self._rest):
-            (size,) = _LENGTH.unpack_from(self._rest, position)
+        while position + _LENGTH.size <= len(self._buffer):
+            (size,) = _LENGTH.unpack_from(self._buffer, position)
             end = position + _LENGTH.size + size
-            if end > len(self._rest):
+            if end > len(self._buffer):
                 break
-            data = bytes(self._rest[position + _LENGTH.size : end])
+            data = bytes(self._buffer[position + _LENGTH.size : end])
             yield _decode_record(data, self._offset, self._is_keyed)
             self._offset += 1
             position = end
-        del self._rest[:position]
+        del self._buffer[:position]
 
 
 def encode_record(topic: str, key: str, value: bytes) -> bytes:
-    """Encodes a record as appends carry it."""
+    """Encodes a record for the body of an append.
+
+    Args:
+        topic: The topic, which decides whether the key is encoded.
+        key: Key of the record; ignored in topics without keys.
+        value: Value of the record.
+    """
     data = value
     if _is_keyed(topic):
         name = key.encode()
--- a/src/lovagestage/platform/settings.py
+++ b/src/lovagestage/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings that the platform writes for each process."""
+"""Reads the settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -15,10 +15,13 @@
 
 
 def read_settings(path: pathlib.Path) -> GatewaySettings:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
+
+    Args:
+        path: Path of the file.
 
     Raises:
-        SettingsError: It can't be read or is wrong.
+        SettingsError: The file can't be read or its content is invalid.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -29,7 +32,11 @@
 
 
 def decode_settings(text: str, path: str) -> GatewaySettings:
-    """Decodes lines of `a.b=value`; unknown fields are ignored.
+    """Decodes settings from lines of `a.b=value`; ignores unknown fields.
+
+    Args:
+        text: Content of the settings file.
+        path: Path of the file, for error messages.
 
     Raises:
         SettingsError: A field is missing or has the wrong form.
@@ -41,7 +48,7 @@
         if separator:
             fields[key.strip()] = value.strip()
             lines[key.strip()] = number
-    reader = _Reader(fields, lines, path)
+    reader = _FieldReader(fields, lines, path)
     return GatewaySettings(
         vm=VmId(reader.get_text("NodeName")),
         zone=ZoneId(reader.get_text("Zone")),
@@ -62,32 +69,37 @@
     }
 
 
-def _decode_peer_address(reader: _Reader) -> str | None:
-    """The first of the ports that nodes may use between each other."""
+def _decode_peer_address(reader: _FieldReader) -> str | None:
+    """Returns the address for datagrams between gateways.
+
+    The port is the first of the range that the platform reserves for traffic
+    between nodes. Without a node address or a range the result is None, and
+    the gateway exchanges no datagrams.
+    """
     first = reader.get_text("PortRange", "").partition(",")[0]
     host = reader.get_text("Ip", "")
     return f"{host}:{first}" if host and first.isdigit() else None
 
 
-def _decode_bounds(reader: _Reader) -> Bounds:
+def _decode_bounds(reader: _FieldReader) -> Bounds:
     return Bounds(
         revoke_s=reader.get_number("Bounds.RevokeMs") / 1000,
         apply_s=reader.get_number("Bounds.ConfigApplyMs") / 1000,
         drain_s=reader.get_number("Bounds.DrainMs") / 1000,
-        # A deployment whose zones are never emptied does not set it.
+        # Deployments that never evacuate a zone don't set this bound.
         evacuate_s=reader.get_number("Bounds.EvacuationMs", math.inf) / 1000,
         stop_s=reader.get_number("Bounds.GraceS"),
         retry_ratio=reader.get_number("Bounds.RetryBudgetRatio"),
         exposure_ratio=reader.get_number("Bounds.ExposureShare"),
         exposure_slack=reader.get_number("Bounds.ExposureSlack"),
-        # A deployment without model sessions does not set it.
+        # Deployments without model sessions don't set this bound.
         session_s=reader.get_number("Bounds.SessionS", 5.0),
         retry_window_s=max(0.1, reader.get_number("Bounds.RetryWindowS", 10.0)),
         retry_slack=reader.get_number("Bounds.RetrySlack", 0.0),
     )
 
 
-class _Reader:
+class _FieldReader:
     def __init__(
         self,
         fields: Mapping[str, str],
--- a/src/lovagestage/platform/store.py
+++ b/src/lovagestage/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store."""
+"""Client for the platform's metadata store."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class CallKind(enum.Enum):
-    """Kinds of calls."""
+    """Kinds of calls to the store."""
 
     READ = "read"
     WAITING_READ = "waiting_read"
@@ -47,24 +47,24 @@
 
 
 class CallOutcome(enum.Enum):
-    """How a call ended."""
+    """Outcomes of calls to the store."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    """By another status than 200."""
+    """The store answered with a status other than 200."""
     LOST = "lost"
-    """Without a whole answer in time."""
+    """No complete answer arrived within the timeout."""
 
 
 @dataclasses.dataclass(frozen=True)
 class CallEnd:
-    """A call that ended.
+    """A call to the store that has ended.
 
     Attributes:
-        kind: Its kind.
-        outcome: How it ended.
-        time_s: From its start to its end.
-        received_bytes: What came of the answer's body.
+        kind: Kind of the call.
+        outcome: Outcome of the call.
+        time_s: Time in seconds from the start of the call to its end.
+        received_bytes: Bytes of the answer's body that were received.
     """
 
     kind: CallKind
@@ -74,17 +74,17 @@
 
 
 CallListener = Callable[[CallEnd], None]
-"""Takes each call that ended."""
+"""Callback that receives each call that has ended."""
 PartListener = Callable[[bytes], None]
-"""Takes a part of an answer's body."""
+"""Callback that receives one part of an answer's body."""
 
 
 class StoreClient:
-    """Calls to the store, one at a time on one connection.
+    """Makes calls to the store, one at a time, over one connection.
 
     Args:
-        address: `IP:PORT`.
-        on_call: Told of each call that ended.
+        address: Address of the store as `IP:PORT`.
+        on_call: Called with each call that has ended.
     """
 
     def __init__(
@@ -96,14 +96,14 @@
         self._transfer = Transfer()
 
     def close(self) -> None:
-        """Drops the connection."""
+        """Aborts the connection; the next call opens another."""
         if self._connection is not None:
             self._connection.abort()
             self._connection = None
 
     @property
     def is_receiving(self) -> bool:
-        """Whether the answer to the call under way has begun to arrive."""
+        """Whether the answer to the current call has begun to arrive."""
         transfer = self._transfer
         return (
             transfer.expected_bytes is not None or transfer.received_bytes > 0
@@ -114,49 +114,74 @@
         topic: str,
         offset: int,
         wait_s: float,
-        silence_s: float,
+        inactivity_timeout_s: float,
         on_page: Callable[[Page], None] = lambda _: None,
     ) -> Page:
         """Reads records from an offset on, waiting up to `wait_s` for one.
 
         Args:
             topic: The topic.
-            offset: Where to begin.
-            wait_s: Time for which the store may hold the call.
-            silence_s: Time without a byte after which it is given up. The
-                whole may take longer: how long depends on size and link, and
-                a call that is sent again begins from the start.
-            on_page: Takes the records in parts while they arrive. They stay
-                known where the rest of the answer is lost.
+            offset: Offset of the first record to read.
+            wait_s: Time in seconds for which the store may hold the call
+                while there is no record (long polling).
+            inactivity_timeout_s: Time in seconds without a received byte
+                after which the call is aborted. The whole answer may take
+                longer: its time depends on its size and on the link, and a
+                call that is retried starts again from the first byte.
+            on_page: Called with the records in parts while they arrive. These
+                records remain valid if the rest of the answer is lost.
 
         Raises:
-            StoreHistoryLostError: The records were dropped.
-            StoreUnavailableError: The store refused or did not answer.
+            StoreHistoryLostError: The store has dropped the records.
+            StoreUnavailableError: The store refused the call or did not
+                answer.
         """
         query = f"Topic={topic}&part=0&Source={offset}"
         if wait_s:
             query += f"&WaitMs={int(wait_s * 1000)}"
         kind = CallKind.WAITING_READ if wait_s else CallKind.READ
         path = f"/v1/log-read?{query}"
-        pages = PageReader(topic, offset, on_page)
-        await self._get(kind, path, wait_s + silence_s, silence_s, pages.take)
-        return pages.get_page()
+        page_reader = PageReader(topic, offset, on_page)
+        await self._get(
+            kind,
+            path,
+            wait_s + inactivity_timeout_s,
+            inactivity_timeout_s,
+            page_reader.add_part,
+        )
+        return page_reader.get_page()
 
-    async def read_newest(self, topic: str, silence_s: float) -> Page:
-        """Reads the newest record of each key.
+    async def read_newest(
+        self, topic: str, inactivity_timeout_s: float
+    ) -> Page:
+        """Reads the newest record of each key of a topic.
 
-        Limit and failures are those of `read`.
+        Args:
+            topic: The topic.
+            inactivity_timeout_s: As for `read`.
+
+        Raises:
+            StoreHistoryLostError: The store has dropped the records.
+            StoreUnavailableError: The store refused the call or did not
+                answer.
         """
         records: list[Record] = []
         end: int | None = None
         query = f"Topic={topic}&part=0"
-        after = ""
+        after_query = ""
         while True:
-            path = f"/v1/log-newest?{query}{after}"
-            body = await self._get(CallKind.NEWEST, path, silence_s, silence_s)
+            path = f"/v1/log-newest?{query}{after_query}"
+            body = await self._get(
+                CallKind.NEWEST,
+                path,
+                inactivity_timeout_s,
+                inactivity_timeout_s,
+            )
             fields = _decode(body)
-            # Pages are not a snapshot: a record that moves from a later page
-            # to after the first page's end is read again from there.
+            # The pages together are not a snapshot. A key of a later page may
+            # get a newer record, beyond the end that the first page states.
+            # With the first page's end as the result's end, the next read
+            # begins there and includes that record.
             end = fields["EndOffset"] if end is None else end
             records += [
                 Record(
@@ -168,7 +193,7 @@
             ]
             if not fields.get("HasMore") or not fields["Entries"]:
                 return Page(tuple(records), end)
-            after = "&After=" + urllib.parse.quote(
+            after_query = "&After=" + urllib.parse.quote(
                 fields["Entries"][-1]["Key"], safe=""
             )
 
@@ -179,21 +204,23 @@
         timeout_s: float,
         expected_end: int | None = None,
     ) -> int:
-        """Appends records of key and value, all or none.
+        """Appends records to a topic, either all of them or none.
 
         Args:
             topic: The topic.
-            records: Key, empty in topics without keys, and value.
-            timeout_s: Time for the call.
-            expected_end: Offset at which the topic must end.
+            records: Pairs of key and value; the key is empty in topics
+                without keys.
+            timeout_s: Time limit for the call in seconds.
+            expected_end: Offset at which the topic must end for the append to
+                take place; None to append in any case.
 
         Returns:
-            The offset of the first record.
+            The offset of the first appended record.
 
         Raises:
-            StoreConflictError: The topic ends elsewhere.
+            StoreConflictError: The topic does not end at `expected_end`.
             StoreUnavailableError: Nothing was appended.
-            StoreAnswerLostError: It may have been appended.
+            StoreAnswerLostError: The records may have been appended.
         """
         path = f"/v1/log-append?Topic={topic}&part=0"
         if expected_end is not None:
@@ -214,13 +241,13 @@
         self,
         kind: CallKind,
         path: str,
-        head_s: float,
-        silence_s: float,
+        head_timeout_s: float,
+        inactivity_timeout_s: float,
         on_part: PartListener = lambda _: None,
     ) -> bytes:
         try:
             status, body = await self._call(
-                kind, path, b"", head_s, silence_s, on_part
+                kind, path, b"", head_timeout_s, inactivity_timeout_s, on_part
             )
         except StoreAnswerLostError as error:
             raise StoreUnavailableError(
@@ -239,45 +266,48 @@
         path: str,
         body: bytes,
         timeout_s: float,
-        silence_s: float | None = None,
+        inactivity_timeout_s: float | None = None,
         on_part: PartListener = lambda _: None,
     ) -> tuple[int, bytes]:
-        """Makes one call.
+        """Makes one call to the store.
 
         Args:
-            kind: Its kind.
-            path: Path and query.
-            body: What is sent.
-            timeout_s: Time for the call, or for the head of its answer.
-            silence_s: Time for each part of the body after the one before;
-                None where the whole call has a time.
-            on_part: Takes the body of a good answer as it arrives.
+            kind: Kind of the call.
+            path: Path and query of the URL.
+            body: Body of the request.
+            timeout_s: Time limit in seconds for the whole call, or for the
+                head of the answer where `inactivity_timeout_s` is set.
+            inactivity_timeout_s: Time limit in seconds from one part of the
+                answer's body to the next; None where `timeout_s` limits the
+                whole call.
+            on_part: Called with each part of the body as it arrives; with
+                empty bytes in place of a part if the status is not 200.
         """
         method = b"POST" if kind is CallKind.APPEND else b"GET"
         started_s = time.monotonic()
         outcome = CallOutcome.LOST
         try:
-            async with asyncio.timeout(timeout_s) as limit:
+            async with asyncio.timeout(timeout_s) as timeout:
 
-                def take_part(part: bytes) -> None:
-                    if silence_s is not None:
+                def apply_part(part: bytes) -> None:
+                    if inactivity_timeout_s is not None:
                         now_s = asyncio.get_running_loop().time()
-                        limit.reschedule(now_s + silence_s)
+                        timeout.reschedule(now_s + inactivity_timeout_s)
                     on_part(part)
 
                 status, answer = await self._exchange(
-                    method, path, body, take_part
+                    method, path, body, apply_part
                 )
-            is_good = status == 200
-            outcome = CallOutcome.ANSWERED if is_good else CallOutcome.REFUSED
+            is_ok = status == 200
+            outcome = CallOutcome.ANSWERED if is_ok else CallOutcome.REFUSED
             return status, answer
         except (ConnectionLostError, WrongMessageError, TimeoutError) as error:
             was_sent = self._connection is not None
             self.close()
-            failure = (
+            error_type = (
                 StoreAnswerLostError if was_sent else StoreUnavailableError
             )
-            raise failure(
+            raise error_type(
                 f"{path}: {type(error).__name__}.", self._transfer
             ) from error
         except asyncio.CancelledError:
@@ -319,11 +349,11 @@
     ) -> bytes:
         expected_bytes = _get_length(head)
         self._transfer = Transfer(0, expected_bytes)
-        is_good = head.status_code == 200
+        is_ok = head.status_code == 200
         on_part(b"")
         parts: list[bytes] = []
         while (part := await connection.receive_part()) is not None:
-            on_part(part if is_good else b"")
+            on_part(part if is_ok else b"")
             parts.append(part)
             received_bytes = self._transfer.received_bytes + len(part)
             self._transfer = Transfer(received_bytes, expected_bytes)
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's formats, decoded into the product's types and back."""
+"""Tests the conversion of the platform's formats to this project's types."""
 
 from __future__ import annotations
 
@@ -147,7 +147,8 @@
     assert [b.weight for b in split.backends] == [90.0, 10.0]
     assert found.keys[KEY].name == "clinic"
     assert found.limits.head_timeout_s == 0.5
-    # A kind that is not known may run once: the safe reading.
+    # Requests of an unknown kind of route must not run twice, which is the safe
+    # assumption.
     other = found.get_route("ficu95.example", "/n/x")
     assert (other.kind, other.is_repeatable) == (RouteKind.UNSAFE, False)
 
--- a/tests/test_store_records.py
+++ b/tests/test_store_records.py
@@ -1,4 +1,4 @@
-"""Records of the store, read while their answer arrives."""
+"""Tests the decoding of the store's records while an answer arrives."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     reader = PageReader(TOPIC, FIRST, pages.append)
     start = 0
     for cut in [*sorted(min(cut, len(body)) for cut in cuts), len(body)]:
-        reader.take(body[start:cut])
+        reader.add_part(body[start:cut])
         start = cut
     expected = tuple(
         Record(FIRST + number, f"k{number}", value)
@@ -48,7 +48,7 @@
 def test_records_that_were_dropped_are_told_and_none_is_taken():
     pages = []
     reader = PageReader(TOPIC, FIRST, pages.append)
-    reader.take(make_body([b"x"], first=FIRST + 1))
+    reader.add_part(make_body([b"x"], first=FIRST + 1))
     assert not pages
     with pytest.raises(StoreHistoryLostError):
         reader.get_page()
@@ -56,6 +56,6 @@
 
 def test_answer_without_a_head_is_no_page():
     reader = PageReader(TOPIC, FIRST, lambda page: None)
-    reader.take(b"short")
+    reader.add_part(b"short")
     with pytest.raises(StoreUnavailableError):
         reader.get_page()
