--- a/src/lovagestage/gateway/feed_protocols.py
+++ b/src/lovagestage/gateway/feed_protocols.py
@@ -1,4 +1,8 @@
-"""What a feed hands on to, and whom it asks before it reads the store."""
+"""Protocols of the objects that a feed works with.
+
+A feed passes records to its listener, and queries a watcher through the relay
+before it reads the store.
+"""
 
 from __future__ import annotations
 
@@ -9,31 +13,51 @@
 
 
 class FeedListener(Protocol):
-    """Takes what a feed reads."""
+    """Receives the records and confirmations of one feed."""
 
     def on_newest(self, page: Page) -> None:
-        """Takes the newest record of each key."""
+        """Called with the newest record of each key of the topic."""
 
     def on_records(self, page: Page) -> None:
-        """Takes records in order."""
+        """Called with new records in the order of their offsets."""
 
     def on_proof(self, at_s: float) -> None:
-        """Learns that nothing newer existed at a time."""
+        """Called when it is confirmed that no newer record existed.
+
+        Args:
+            at_s: Elapsed time for which that is confirmed.
+        """
 
     def on_news(self, at_s: float) -> None:
-        """Learns at a time that there is more than it was handed."""
+        """Called when records exist that the listener has not received.
+
+        Args:
+            at_s: Elapsed time at which the feed learned of these records.
+        """
 
 
-class Watch(Protocol):
-    """Tells how a topic is followed, and what a watcher says of it."""
+class RelayClient(Protocol):
+    """Decides how a topic is followed and provides a watcher's state of it.
+
+    Attributes:
+        watch_wait_s: Time in seconds for which the store holds a watcher's
+            read.
+    """
 
     watch_wait_s: float
 
     def get_mode(self) -> RelayMode:
-        """Whether this gateway reads the store or asks a watcher."""
+        """Returns whether this gateway reads the store or queries a watcher."""
+
+    async def wait_for_state(self, topic: str) -> RelayedState | None:
+        """Waits for the next state of a topic that a watcher reports.
+
+        Args:
+            topic: The topic.
 
-    async def wait_state(self, topic: str) -> RelayedState | None:
-        """The next state that a watcher tells; None without a sound one."""
+        Returns:
+            The state; None if the watcher reported none in time.
+        """
 
-    def tell_news(self) -> None:
-        """Tells followers that a topic has grown."""
+    def notify_followers(self) -> None:
+        """Notifies followers that a topic has new records."""
--- a/src/lovagestage/gateway/feeds.py
+++ b/src/lovagestage/gateway/feeds.py
@@ -1,4 +1,4 @@
-"""Follows topics of the metadata store."""
+"""Feeds, which follow the topics of the metadata store."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     StoreUnavailableError,
 )
 from lovagestage.gateway.clocks import get_elapsed_s
-from lovagestage.gateway.feed_protocols import FeedListener, Watch
+from lovagestage.gateway.feed_protocols import FeedListener, RelayClient
 from lovagestage.gateway.lag import Lag
 from lovagestage.gateway.relay import SLACK_S, RelayedState, RelayMode
 from lovagestage.gateway.relay_messages import TopicState
@@ -30,51 +30,64 @@
 _log = logging.getLogger(__name__)
 
 SILENCE_S = 0.9
-"""Time without a byte of an answer beyond the wait that was asked for: over
-ten times what a slow store takes, and short enough for two tries within the
-shortest bound on a configuration. The whole answer may take longer: a large
-configuration over a narrow link does."""
+"""Inactivity timeout of a read in seconds: the time without a received byte,
+beyond the wait that the read asked for, after which the read is aborted. It is
+over ten times the response time of a slow store, and short enough for two
+attempts within the shortest time limit for applying a configuration. The whole
+answer may take longer: a large configuration over a slow link does."""
 BACKOFF_BASE_S = 0.1
+"""Backoff in seconds after the first failed read; doubled with each failure."""
 BACKOFF_LIMIT_S = 0.8
-"""A store that refuses is asked again after this at the latest, so that what
-changed meanwhile is in force within a second of its return."""
-COLD_BACKOFF_LIMIT_S = 0.3
-"""The same before the first answer: until then every caller is refused."""
+"""Longest backoff in seconds between reads of a store that fails. With this
+limit, changes made during an outage are in force within a second after the
+store recovers."""
+STARTUP_BACKOFF_LIMIT_S = 0.3
+"""Longest backoff in seconds before the store's first answer. It is shorter
+because the gateway refuses every caller until then."""
 IDLE_LIMIT_S = 2.0
-"""A connection to the store that was idle for longer is closed before the next
-call. Other connections that went silent show it by a call that times out."""
-RETURN_GRACE_S = 0.1
-"""Time for the answer to a call that is under way when another feed finds that
-the store is back: a call sent before hangs until its time limit, as a rule."""
+"""Idle time in seconds after which a connection to the store is closed before
+the next call. A broken connection that was used more recently is detected by a
+call that times out."""
+RECOVERY_GRACE_S = 0.1
+"""Time limit in seconds for the answer to a read that is in progress when
+another feed finds that the store has recovered. A read that was sent before the
+recovery usually hangs until its timeout."""
 
 
 WATCHER_PAUSE_S = 0.15
-"""Pause of a watcher after records: shorter than the slack that followers
-leave its proof, and there are few of them."""
-LOST_TO_ALL_S = 3.0
-"""A follower asks a store that its watcher has lost as well only so often."""
-TOLD_S = 0.05
-"""Time for records that come after the answer that they belong to: several
-times what a datagram takes between zones. Records that take longer to arrive
-at a watcher are read by its followers themselves."""
+"""Pause of a watcher in seconds after a read that returned records. It is
+shorter than the slack that followers allow for the age of the watcher's
+freshness confirmation; the additional reads cost the store little, as there
+are few watchers."""
+SHARED_OUTAGE_READ_INTERVAL_S = 3.0
+"""Minimum interval in seconds between a follower's reads of the store while
+both it and its watcher have lost the store."""
+RELAYED_RECORDS_TIMEOUT_S = 0.05
+"""Time limit in seconds for records that arrive after the response that they
+belong to: several times the transit time of a datagram between zones. Records
+that take longer than this to arrive at a watcher are read from the store by its
+followers themselves."""
 
 
 @dataclasses.dataclass(frozen=True)
 class TopicReading:
-    """How a topic is read.
+    """Options for reading a topic.
 
     Attributes:
         topic: The topic.
-        wait_s: Time for which the store holds a read without a record.
-        pause_s: Time after records until the next read, so that records that
-            come in clumps share a read.
+        wait_s: Time in seconds for which the store holds a read while there
+            is no record (long polling).
+        pause_s: Time in seconds from a read that returned records to the next
+            read, so that records appended in bursts share a read.
         is_keyed: Whether to begin with the newest record of each key.
-        watch_wait_s: Time for which the store holds a watcher's read; None
-            for what a bounded proof needs.
-        is_told: Whether a watcher tells followers its records. Callers' keys
-            are read from the store alone.
-        is_timely: Whether a change must be in force within a bound, so that
-            followers rely on young proofs only.
+        watch_wait_s: Time in seconds for which the store holds a watcher's
+            read; None for the time that the relay computes from the time
+            limit for applying a change.
+        is_told: Whether a watcher sends the topic's records to its followers.
+            Callers' keys are never sent: each gateway reads them from the
+            store.
+        is_timely: Whether a change must be in force within a time limit, so
+            that followers rely on recent freshness confirmations only.
     """
 
     topic: str
@@ -87,141 +100,185 @@
 
 
 class TopicFeed(mode.Service):
-    """Reads a topic from its newest records on, for as long as it runs.
+    """Reads a topic, from its newest records on, until the feed is stopped.
+
+    A read that finds nothing beyond the known end of the topic confirms that
+    the records known here were current at that time: a freshness confirmation.
 
     Args:
-        store: Client for this feed alone; calls on it are one at a time.
-        reading: What is read, and how.
-        listener: Takes what is read.
-        rng: Source of randomness.
-        store_return: Shared by the feeds of a process.
-        watch: Spares reads where another gateway watches the topic; None
-            where each reads for itself.
+        store: Client for this feed only, since it makes one call at a time.
+        options: The topic and how it is read.
+        listener: Receives the records and the freshness confirmations.
+        rng: Source of random numbers for the backoff.
+        store_recovery: Signal shared by the feeds of a process.
+        relay: Provides the topic's state from a gateway that watches it, which
+            replaces most reads of the store; None where each gateway reads the
+            store itself.
 
     Attributes:
         topic: The topic.
-        proof_limit_s: Age up to which followers rely on a watcher's proof.
+        max_confirmation_age_s: Age in seconds up to which followers rely on a
+            watcher's freshness confirmation.
         is_synced: Whether the store has answered.
     """
 
     def __init__(
         self,
         store: StoreClient,
-        reading: TopicReading,
+        options: TopicReading,
         listener: FeedListener,
         rng: random.Random,
-        store_return: StoreReturn,
-        watch: Watch | None = None,
+        store_recovery: StoreReturn,
+        relay: RelayClient | None = None,
     ) -> None:
         super().__init__()
         self._store = store
-        self._reading = reading
-        self.topic = reading.topic
-        self._watch_wait_s = _get_watch_wait_s(reading, watch)
-        self.proof_limit_s = math.inf
-        if reading.is_timely:
-            self.proof_limit_s = self._watch_wait_s + SLACK_S
+        self._options = options
+        self.topic = options.topic
+        self._watch_wait_s = _get_watch_wait_s(options, relay)
+        self.max_confirmation_age_s = math.inf
+        if options.is_timely:
+            self.max_confirmation_age_s = self._watch_wait_s + SLACK_S
         self._was_watching = False
-        self._had_news = False
-        self._has_told_early = False
-        self._told = asyncio.Event()
+        self._had_records = False
+        self._has_notified_early = False
+        self._relayed_records_added = asyncio.Event()
         self._listener = listener
         self._rng = rng
-        self._store_return = store_return
-        self._watch = watch
-        self._is_back = store_return.make_event()
-        self._topic_log = TopicLog(None if reading.is_keyed else 0)
+        self._store_recovery = store_recovery
+        self._relay = relay
+        self._store_recovered = store_recovery.make_event()
+        self._topic_log = TopicLog(None if options.is_keyed else 0)
         self._lag = Lag()
         self._failures = 0
-        self._lost_s: float | None = None
-        self._failed_s: float | None = None
-        self._proved_s: float | None = None
-        self._read_s = get_elapsed_s()
+        self._last_failure_s: float | None = None
+        self._own_failure_s: float | None = None
+        self._confirmed_s: float | None = None
+        self._last_read_s = get_elapsed_s()
         self.is_synced = False
 
     @property
     def is_beginning(self) -> bool:
-        """Whether its first answer is arriving."""
+        """Whether the store's first answer to this feed is arriving."""
         return not self.is_synced and self._store.is_receiving
 
     def get_lost_age_s(self, now_s: float) -> float | None:
-        """Time since the store last failed to answer; None for never."""
-        return None if self._lost_s is None else now_s - self._lost_s
+        """Returns the time in seconds since the store last failed to answer.
+
+        Args:
+            now_s: Elapsed time.
+
+        Returns:
+            The time; None if the store has never failed.
+        """
+        return (
+            None
+            if self._last_failure_s is None
+            else now_s - self._last_failure_s
+        )
 
     def get_lag_s(self, now_s: float) -> float:
-        """How long records have been known of that are not read yet."""
+        """Returns how long the feed has been behind the topic, in seconds.
+
+        That is the time for which records have been known to exist that are
+        not read yet; 0 where there are none.
+        """
         return self._lag.get_age_s(now_s)
 
-    def get_state(self, now_s: float) -> TopicState | None:
-        """How far the topic reaches, as this gateway has heard itself."""
+    def get_topic_state(self, now_s: float) -> TopicState | None:
+        """Returns the topic's state as this gateway has read it from the store.
+
+        Args:
+            now_s: Elapsed time.
+
+        Returns:
+            The state; None before the first freshness confirmation.
+        """
         end = self._topic_log.end
-        if end is None or self._proved_s is None:
+        if end is None or self._confirmed_s is None:
             return None
-        lost_s = self.get_lost_age_s(now_s)
-        # What is still being read exists: a follower must not take the proof
-        # for one that there is nothing more.
+        failure_age_s = self.get_lost_age_s(now_s)
+        # Includes records that this gateway is still reading: a follower must
+        # not take the confirmation to mean that they don't exist.
         return TopicState(
             self.topic,
             max(end, self._lag.end),
-            math.ceil(1000 * (now_s - self._proved_s)),
-            None if lost_s is None else int(1000 * lost_s),
+            math.ceil(1000 * (now_s - self._confirmed_s)),
+            None if failure_age_s is None else int(1000 * failure_age_s),
         )
 
-    def get_end(self) -> int | None:
-        """Offset up to which the topic is known; None before it is."""
+    def get_known_end(self) -> int | None:
+        """Returns the end of the known records; None before the first read."""
         return self._topic_log.end
 
-    def get_records(self, first: int) -> Sequence[Record]:
-        """Newest records from an offset on; empty where one is missing."""
+    def get_recent_records(self, first: int) -> Sequence[Record]:
+        """Returns the recent records from an offset on.
+
+        Args:
+            first: The offset.
+
+        Returns:
+            The records; empty where one of them is no longer stored here, and
+            for topics whose records are not sent to followers.
+        """
         return (
-            self._topic_log.get_newest(first) if self._reading.is_told else ()
+            self._topic_log.get_recent(first) if self._options.is_told else ()
         )
 
-    def take_records(
-        self, records: Sequence[Record], lost_s: float | None
+    def apply_relayed_records(
+        self, records: Sequence[Record], last_failure_s: float | None
     ) -> None:
-        """Takes records from a watcher.
+        """Applies records that a watcher has sent.
 
-        What is still missing when an answer has told how far the topic goes
-        is read from the store.
+        Records that are still missing once a response has stated the end of
+        the topic are read from the store.
+
+        Args:
+            records: Records with consecutive offsets.
+            last_failure_s: Elapsed time at which the store last failed to
+                answer the watcher; None for never.
         """
-        if not self._reading.is_told:
+        if not self._options.is_told:
             return
-        self._note_lost(lost_s)
-        if fresh := self._topic_log.add_told(records):
-            self._hand_on(fresh)
-            self._told.set()
+        self._record_store_failure(last_failure_s)
+        if new_records := self._topic_log.add_relayed(records):
+            self._deliver_records(new_records)
+            self._relayed_records_added.set()
 
-    def _hand_on(self, records: tuple[Record, ...]) -> None:
+    def _deliver_records(self, records: tuple[Record, ...]) -> None:
         self._listener.on_records(Page(records, records[-1].offset + 1))
-        self._note_known()
+        self._record_known_end()
+
+    def _record_end(self, end: int) -> None:
+        """Records the end of the topic, whether or not it is read so far.
 
-    def _note_end(self, end: int) -> None:
-        """Notes how far the topic reaches, read or not."""
-        now_s, known = get_elapsed_s(), self._topic_log.end
-        self._lag.note_end(end, known, now_s)
-        if self._lag.is_behind(known):
+        Tells the listener that there are records beyond the known ones, and
+        logs the lag where that is due.
+        """
+        now_s, known_end = get_elapsed_s(), self._topic_log.end
+        self._lag.note_end(end, known_end, now_s)
+        if self._lag.is_behind(known_end):
             self._listener.on_news(now_s)
         if (age_s := self._lag.take_report(now_s)) is not None:
             _log.warning(
                 "topic_behind",
                 extra={
                     "topic": self.topic,
-                    "known": known,
+                    "known": known_end,
                     "end": self._lag.end,
                     "age_s": round(age_s, 2),
                 },
             )
 
-    def _note_known(self) -> None:
-        known = self._topic_log.end
-        age_s = self._lag.note_known(known, get_elapsed_s())
+    def _record_known_end(self) -> None:
+        known_end = self._topic_log.end
+        age_s = self._lag.note_known(known_end, get_elapsed_s())
         if age_s is not None:
             _log.info(
                 "topic_caught_up",
                 extra={
                     "topic": self.topic,
-                    "known": known,
+                    "known": known_end,
                     "age_s": round(age_s, 2),
                 },
             )
@@ -230,7 +287,7 @@
     async def _run(self) -> None:
         while not self.should_stop:
             try:
-                has_records = await self._follow()
+                has_records = await self._update()
             except StoreHistoryLostError as error:
                 self._on_history_lost(error)
                 has_records = False
@@ -242,186 +299,219 @@
         self._store.close()
 
     def _get_pause_s(self) -> float:
-        return WATCHER_PAUSE_S if self._was_watching else self._reading.pause_s
+        return WATCHER_PAUSE_S if self._was_watching else self._options.pause_s
+
+    async def _update(self) -> bool:
+        """Gets new records, or a confirmation that there are none.
 
-    async def _follow(self) -> bool:
-        """Learns what is new; returns whether there were records."""
-        mode = RelayMode.ALONE
-        if self._watch is not None and self.is_synced:
-            mode = self._watch.get_mode()
+        The source is the store or, for a follower, a watcher; a follower reads
+        the store where the watcher's state is not sufficient.
+
+        Returns:
+            Whether a read of the store returned records.
+        """
+        relay_mode = RelayMode.ALONE
+        if self._relay is not None and self.is_synced:
+            relay_mode = self._relay.get_mode()
         self._was_watching = False
-        if mode is RelayMode.FOLLOWER:
-            assert self._watch is not None
-            state = await self._watch.wait_state(self.topic)
-            if state is not None and await self._rely_on(state):
+        if relay_mode is RelayMode.FOLLOWER:
+            assert self._relay is not None
+            state = await self._relay.wait_for_state(self.topic)
+            if state is not None and await self._apply_watcher_state(state):
                 return False
-            if state is not None and self._is_lost_to_all(state):
+            if state is not None and self._is_shared_outage(state):
                 return False
             return await self._read(0.0)
-        self._was_watching = mode is RelayMode.WATCHER
+        self._was_watching = relay_mode is RelayMode.WATCHER
         if self._was_watching:
             return await self._watch_topic()
-        return await self._read(self._reading.wait_s)
+        return await self._read(self._options.wait_s)
 
     async def _watch_topic(self) -> bool:
-        """Reads for the followers as well.
+        """Reads the store as a watcher, on behalf of the followers too.
 
-        A held read that returns records proves nothing later than its
-        sending. The next one is not held: with two waits in a row the proof
-        would be too old for followers, who would all read the store.
+        A held read that returns records confirms freshness only for the time
+        at which it was sent. The read after it is therefore not held: after
+        two waits in a row the confirmation would be too old for the
+        followers, and all of them would read the store.
         """
-        assert self._watch is not None
-        self._has_told_early = False
-        self._had_news = await self._read(
-            0.0 if self._had_news else self._watch_wait_s
+        assert self._relay is not None
+        self._has_notified_early = False
+        self._had_records = await self._read(
+            0.0 if self._had_records else self._watch_wait_s
         )
-        if self._had_news:
-            self._watch.tell_news()
-        return self._had_news
-
-    async def _rely_on(self, state: RelayedState) -> bool:
-        """Takes a watcher's proof, once all that it covers is known."""
-        self._note_lost(state.lost_s)
-        if state.is_sound:
-            self._note_end(state.end)
-        if state.is_sound and self._reading.is_told:
-            await self._wait_told(state.end)
+        if self._had_records:
+            self._relay.notify_followers()
+        return self._had_records
+
+    async def _apply_watcher_state(self, state: RelayedState) -> bool:
+        """Applies a watcher's state of the topic.
+
+        The watcher's freshness confirmation is accepted once all records that
+        it covers are known here.
+
+        Returns:
+            Whether the confirmation was accepted.
+        """
+        self._record_store_failure(state.last_failure_s)
+        if state.is_fresh:
+            self._record_end(state.end)
+        if state.is_fresh and self._options.is_told:
+            await self._wait_for_relayed_records(state.end)
         end = self._topic_log.end
-        if not state.is_sound or end is None or self._lag.is_behind(end):
+        if not state.is_fresh or end is None or self._lag.is_behind(end):
             return False
-        self._note_regained("watcher")
-        self._listener.on_proof(state.proved_s)
+        self._record_recovery("watcher")
+        self._listener.on_proof(state.confirmed_s)
         return True
 
-    def _is_lost_to_all(self, state: RelayedState) -> bool:
-        """Whether a watcher has lost the store, and this gateway lately too.
+    def _is_shared_outage(self, state: RelayedState) -> bool:
+        """Whether the watcher and this gateway have both lost the store.
 
-        The load that this answers: the store is down, and every gateway asks
-        it for each topic every second or two. The watchers do, and tell of
-        its return; this gateway asks now and then, as only some may be lost.
+        This limits the load on a store that is down: without it, every
+        gateway would read every topic each second or two. The watchers go on
+        reading and notify the followers when the store recovers. This gateway
+        reads rarely, in case the store is unavailable to some gateways only.
         """
-        if state.is_sound or state.lost_s is None or self._failed_s is None:
+        if (
+            state.is_fresh
+            or state.last_failure_s is None
+            or self._own_failure_s is None
+        ):
             return False
         now_s = get_elapsed_s()
-        return now_s - min(state.lost_s, self._failed_s) < LOST_TO_ALL_S
+        return (
+            now_s - min(state.last_failure_s, self._own_failure_s)
+            < SHARED_OUTAGE_READ_INTERVAL_S
+        )
 
-    async def _wait_told(self, end: int) -> None:
-        """Waits for records that an answer has overtaken."""
+    async def _wait_for_relayed_records(self, end: int) -> None:
+        """Waits for records whose datagrams arrive after the response."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(TOLD_S):
+            async with asyncio.timeout(RELAYED_RECORDS_TIMEOUT_S):
                 while (self._topic_log.end or 0) < end:
-                    self._told.clear()
-                    await self._told.wait()
+                    self._relayed_records_added.clear()
+                    await self._relayed_records_added.wait()
 
-    def _note_lost(self, lost_s: float | None) -> None:
-        """Takes that the store was away at a time, as a watcher saw it.
+    def _record_store_failure(self, last_failure_s: float | None) -> None:
+        """Records an outage of the store that a watcher has reported.
 
-        What lapsed at the store meanwhile is no removal, also where this
-        gateway asked it nothing.
+        Entries that expired in the store during the outage must not count as
+        removed, even if this gateway made no call to the store in that time.
+
+        Args:
+            last_failure_s: Elapsed time at which the store last failed to
+                answer the watcher; None for never.
         """
-        if lost_s is not None:
-            self._lost_s = max(lost_s, self._lost_s or lost_s)
+        if last_failure_s is not None:
+            self._last_failure_s = max(
+                last_failure_s, self._last_failure_s or last_failure_s
+            )
 
     async def _read(self, wait_s: float) -> bool:
-        """Reads the store.
+        """Reads the store and returns whether there were records.
 
-        A connection that went silent while nothing was asked is not noticed
-        before its next call has timed out, by when a change may be overdue:
-        one that was idle is not used again.
+        A connection that broke while it was idle is detected only when the
+        next call on it times out, and by then a change may be overdue. A
+        connection that was idle for long is therefore not used again.
         """
-        if get_elapsed_s() - self._read_s > IDLE_LIMIT_S:
+        if get_elapsed_s() - self._last_read_s > IDLE_LIMIT_S:
             self._store.close()
-        has_records = await self._read_unless_back(wait_s)
-        self._read_s = get_elapsed_s()
+        has_records = await self._read_until_recovery(wait_s)
+        self._last_read_s = get_elapsed_s()
         self._on_success()
         return has_records
 
-    async def _read_unless_back(self, wait_s: float) -> bool:
-        """Reads; a call that hangs is given up once the store is back."""
+    async def _read_until_recovery(self, wait_s: float) -> bool:
+        """Reads, and aborts a read that hangs once the store has recovered."""
         if not self._failures:
             return await self._read_once(wait_s)
-        self._is_back.clear()
-        read = asyncio.ensure_future(self._read_once(0.0))
-        back = asyncio.ensure_future(self._is_back.wait())
+        self._store_recovered.clear()
+        read_task = asyncio.ensure_future(self._read_once(0.0))
+        recovery_task = asyncio.ensure_future(self._store_recovered.wait())
         try:
             await asyncio.wait(
-                (read, back), return_when=asyncio.FIRST_COMPLETED
+                (read_task, recovery_task), return_when=asyncio.FIRST_COMPLETED
             )
-            if not read.done():
-                await asyncio.wait((read,), timeout=RETURN_GRACE_S)
-            if not (read.done() or self._store.is_receiving):
+            if not read_task.done():
+                await asyncio.wait((read_task,), timeout=RECOVERY_GRACE_S)
+            if not (read_task.done() or self._store.is_receiving):
                 raise StoreUnavailableError("Given up: the store is back.")
-            return await read
+            return await read_task
         finally:
-            back.cancel()
-            read.cancel()
-            # What is given up closes its connection before the next call.
-            await asyncio.wait((read, back))
+            recovery_task.cancel()
+            read_task.cancel()
+            # An aborted read must close its connection before the next call.
+            await asyncio.wait((read_task, recovery_task))
 
     async def _read_once(self, wait_s: float) -> bool:
-        """Reads once; returns whether there were records.
+        """Reads once and returns whether there were records.
 
-        After a failure the proof is old and a change may have been missed: a
-        read that waits would renew neither until its wait is over, and keys
-        could not be relied on meanwhile. Such a read is sent without a wait.
+        After a failure the last freshness confirmation is old and a change
+        may have been missed. A read that the store holds would renew the
+        confirmation only after its wait, and callers' keys could not be
+        accepted until then. The read after a failure is sent without a wait.
         """
         sent_s = get_elapsed_s()
-        known = self._topic_log.end
-        if known is None:
+        known_end = self._topic_log.end
+        if known_end is None:
             await self._read_newest(sent_s)
             return False
         page = await self._store.read(
-            self.topic, known, wait_s, SILENCE_S, self._take_page
+            self.topic, known_end, wait_s, SILENCE_S, self._apply_partial_page
         )
-        if page.end < max(known, self._lag.end):
-            # The read shows the past: it proves nothing.
+        if page.end < max(known_end, self._lag.end):
+            # The answer comes from an outdated copy of the topic: it confirms
+            # nothing about the present.
             _log.warning(
                 "store_read_stale",
                 extra={
                     "topic": self.topic,
                     "end": page.end,
-                    "known": known,
+                    "known": known_end,
                 },
             )
             return True
-        if known + len(page.records) >= page.end:
-            # Nothing newer when the wait was over, or when it was sent.
+        if known_end + len(page.records) >= page.end:
+            # Nothing newer existed at the end of the wait or, for a read that
+            # returned records, when the read was sent.
             waited_s = 0.0 if page.records else wait_s
-            self._prove(min(sent_s + waited_s, get_elapsed_s()))
+            self._confirm_freshness(min(sent_s + waited_s, get_elapsed_s()))
         return bool(page.records)
 
     async def _read_newest(self, sent_s: float) -> None:
         page = await self._store.read_newest(self.topic, SILENCE_S)
         self._topic_log.restart(page.end)
         self._listener.on_newest(page)
-        self._note_known()
+        self._record_known_end()
         if not self._lag.is_behind(page.end):
-            self._prove(sent_s)
+            self._confirm_freshness(sent_s)
 
-    def _take_page(self, page: Page) -> None:
-        """Takes a part of an answer while the rest arrives.
+    def _apply_partial_page(self, page: Page) -> None:
+        """Applies the part of an answer that has arrived so far.
 
-        Records that are whole count at once, also where the rest is lost.
+        Complete records are valid immediately, even if the rest of the answer
+        is lost.
         """
-        if fresh := self._topic_log.add(page.records):
-            self._hand_on(fresh)
-        self._note_end(page.end)
-        if self._was_watching and not self._has_told_early:
-            self._tell_early()
+        if new_records := self._topic_log.add(page.records):
+            self._deliver_records(new_records)
+        self._record_end(page.end)
+        if self._was_watching and not self._has_notified_early:
+            self._notify_early()
 
-    def _tell_early(self) -> None:
-        """Tells followers of records that take long to arrive here.
+    def _notify_early(self) -> None:
+        """Notifies followers of records that take long to arrive here.
 
-        They read them from the store at the same time, instead of one
-        transfer later.
+        The followers then read these records from the store at the same time
+        as this gateway, and not only after its transfer has ended.
         """
-        assert self._watch is not None
-        if self._lag.get_age_s(get_elapsed_s()) >= TOLD_S:
-            self._has_told_early = True
-            self._watch.tell_news()
+        assert self._relay is not None
+        if self._lag.get_age_s(get_elapsed_s()) >= RELAYED_RECORDS_TIMEOUT_S:
+            self._has_notified_early = True
+            self._relay.notify_followers()
 
-    def _prove(self, at_s: float) -> None:
-        self._proved_s = at_s
+    def _confirm_freshness(self, at_s: float) -> None:
+        self._confirmed_s = at_s
         self._listener.on_proof(at_s)
 
     def _on_history_lost(self, error: StoreHistoryLostError) -> None:
@@ -429,11 +519,11 @@
             "store_history_lost",
             extra={"topic": self.topic, "reason": error.message},
         )
-        self._topic_log.restart(None if self._reading.is_keyed else error.first)
+        self._topic_log.restart(None if self._options.is_keyed else error.first)
 
     async def _on_failure(self, error: StoreError) -> None:
         self._store.close()
-        self._lost_s = self._failed_s = get_elapsed_s()
+        self._last_failure_s = self._own_failure_s = get_elapsed_s()
         self._failures += 1
         if _is_power_of_two(self._failures):
             _log.warning(
@@ -446,23 +536,26 @@
                     "expected_bytes": error.transfer.expected_bytes,
                 },
             )
-        limit_s = BACKOFF_LIMIT_S if self.is_synced else COLD_BACKOFF_LIMIT_S
-        delay_s = min(limit_s, BACKOFF_BASE_S * 2.0 ** (self._failures - 1))
+        max_delay_s = (
+            BACKOFF_LIMIT_S if self.is_synced else STARTUP_BACKOFF_LIMIT_S
+        )
+        delay_s = min(max_delay_s, BACKOFF_BASE_S * 2.0 ** (self._failures - 1))
         with contextlib.suppress(TimeoutError):
             delay_s *= 0.5 + 0.5 * self._rng.random()
             async with asyncio.timeout(delay_s):
-                await self._is_back.wait()
+                await self._store_recovered.wait()
 
     def _on_success(self) -> None:
         if self._failures:
-            self._store_return.tell()
-            if self._watch is not None:
-                # Followers that wait for the store ask at once.
-                self._watch.tell_news()
-        self._note_regained("store")
+            self._store_recovery.notify_feeds()
+            if self._relay is not None:
+                # Followers that wait for the store query this watcher
+                # immediately.
+                self._relay.notify_followers()
+        self._record_recovery("store")
         self.is_synced = True
 
-    def _note_regained(self, source: str) -> None:
+    def _record_recovery(self, source: str) -> None:
         if self._failures:
             _log.info(
                 "store_regained",
@@ -473,15 +566,21 @@
                 },
             )
         self._failures = 0
-        self._failed_s = None
+        self._own_failure_s = None
 
 
-def _get_watch_wait_s(reading: TopicReading, watch: Watch | None) -> float:
-    if reading.watch_wait_s is not None:
-        return reading.watch_wait_s
-    return reading.wait_s if watch is None else watch.watch_wait_s
+def _get_watch_wait_s(
+    options: TopicReading, relay: RelayClient | None
+) -> float:
+    if options.watch_wait_s is not None:
+        return options.watch_wait_s
+    return options.wait_s if relay is None else relay.watch_wait_s
 
 
 def _is_power_of_two(number: int) -> bool:
-    """Thins out lines of what happens over and over."""
+    """Whether a number is a power of two.
+
+    Used to log only the first, second, fourth, eighth and so on of a series of
+    equal events.
+    """
     return number & (number - 1) == 0
--- a/src/lovagestage/gateway/lag.py
+++ b/src/lovagestage/gateway/lag.py
@@ -1,62 +1,81 @@
-"""How far a gateway is behind a topic of the store: pure decisions."""
+"""Computes how far a gateway is behind a topic of the store (no I/O)."""
 
 from __future__ import annotations
 
 FIRST_REPORT_S = 1.0
-"""A lag is reported after this, and again whenever it has doubled: what is new
-takes a part of a second to be read."""
+"""Age in seconds at which a lag is reported first. It is reported again
+whenever its age has doubled. New records normally take a fraction of a second
+to be read, which is not worth a report."""
 
 
 class Lag:
-    """Compares what exists of a topic with what has been read of it.
+    """Compares the end of a topic with the end of the records that are read.
 
     Attributes:
-        end: Newest end of the topic that was heard of.
+        end: Highest end of the topic that has been reported to this gateway.
     """
 
     def __init__(self) -> None:
         self.end = 0
-        self._since_s: float | None = None
-        self._report_s = FIRST_REPORT_S
+        self._behind_since_s: float | None = None
+        self._next_report_s = FIRST_REPORT_S
 
-    def note_end(self, end: int, known: int | None, now_s: float) -> None:
-        """Takes that the topic reaches up to an offset.
+    def note_end(self, end: int, known_end: int | None, now_s: float) -> None:
+        """Records that the topic extends at least up to an offset.
 
         Args:
-            end: Where it ends at least.
-            known: Up to where it has been read; None for nothing yet.
-            now_s: Elapsed time.
+            end: Reported end of the topic.
+            known_end: End of the records that are read; None before the first
+                read.
+            now_s: Elapsed time in seconds.
         """
         self.end = max(self.end, end)
-        if self._since_s is None and self.is_behind(known):
-            self._since_s = now_s
+        if self._behind_since_s is None and self.is_behind(known_end):
+            self._behind_since_s = now_s
 
-    def note_known(self, known: int | None, now_s: float) -> float | None:
-        """Takes how far the topic has been read.
+    def note_known(self, known_end: int | None, now_s: float) -> float | None:
+        """Records how far the topic has been read.
+
+        Args:
+            known_end: End of the records that are read; None before the first
+                read.
+            now_s: Elapsed time in seconds.
 
         Returns:
-            How long it took to catch up, where that had been reported.
+            The age in seconds of the lag that has ended; None if the lag goes
+            on, if there was none, or if it had not been reported.
         """
-        if self._since_s is None or self.is_behind(known):
+        if self._behind_since_s is None or self.is_behind(known_end):
             return None
-        age_s = now_s - self._since_s
-        was_reported = self._report_s > FIRST_REPORT_S
-        self._since_s, self._report_s = None, FIRST_REPORT_S
+        age_s = now_s - self._behind_since_s
+        was_reported = self._next_report_s > FIRST_REPORT_S
+        self._behind_since_s, self._next_report_s = None, FIRST_REPORT_S
         return age_s if was_reported else None
 
-    def is_behind(self, known: int | None) -> bool:
-        """Whether there is more than has been read."""
-        return (known or 0) < self.end
+    def is_behind(self, known_end: int | None) -> bool:
+        """Whether the topic extends beyond the records that are read."""
+        return (known_end or 0) < self.end
 
     def get_age_s(self, now_s: float) -> float:
-        """How long it has been known that there is more; 0 if there isn't."""
-        return 0.0 if self._since_s is None else now_s - self._since_s
+        """Returns the age of the lag in seconds; 0 where there is none."""
+        return (
+            0.0
+            if self._behind_since_s is None
+            else now_s - self._behind_since_s
+        )
 
     def take_report(self, now_s: float) -> float | None:
-        """Its age, where it is time to report it again."""
+        """Returns the age of the lag in seconds if a report of it is due.
+
+        A returned age counts as reported: the next report is due once the age
+        has doubled.
+
+        Returns:
+            The age; None if no report is due.
+        """
         age_s = self.get_age_s(now_s)
-        if age_s < self._report_s:
+        if age_s < self._next_report_s:
             return None
-        while self._report_s <= age_s:
-            self._report_s *= 2
+        while self._next_report_s <= age_s:
+            self._next_report_s *= 2
         return age_s
--- a/src/lovagestage/gateway/mailbox.py
+++ b/src/lovagestage/gateway/mailbox.py
@@ -1,4 +1,4 @@
-"""Sends notes to the other gateways and takes in theirs."""
+"""Sends messages to the other gateways and receives theirs."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     CountNote,
     FailureNote,
     HelloNote,
-    Letter,
-    Note,
+    MessageBatch,
     OutcomeNote,
+    PeerMessage,
     SessionsNote,
     decode_letter,
-    encode_letter,
+    encode_batch,
 )
 from lovagestage.messages.crashes import CrashReport
 from lovagestage.platform.records import Page
@@ -28,8 +28,8 @@
 from lovagestage.types import VmId
 
 _log = logging.getLogger(__name__)
-_Kind = TypeVar(
-    "_Kind",
+_MessageKind = TypeVar(
+    "_MessageKind",
     HelloNote,
     FailureNote,
     CountNote,
@@ -38,24 +38,27 @@
     CrashReport,
 )
 
-BATCH_S = 0.15
-"""Notes wait this long for others: each call to the store has its price, and
-a verdict may be some seconds late."""
+BATCH_DELAY_S = 0.15
+"""Time in seconds for which a message waits for others to share an append. Each
+call to the store adds load, and a verdict on a roll-out may be some seconds
+late."""
 APPEND_TIMEOUT_S = 1.0
-RETRY_S = 0.5
-"""Pause after a failed append."""
-MAX_WAITING = 500
-"""Notes kept while the store is away; the oldest go first."""
+"""Time limit in seconds for an append to the store."""
+RETRY_DELAY_S = 0.5
+"""Delay in seconds after a failed append before it is retried."""
+MAX_QUEUED_MESSAGES = 500
+"""Maximum number of messages that are queued while the store is unavailable.
+The oldest are dropped first."""
 
 
 class Mailbox(mode.Service):
-    """Letters to and from the other gateways.
+    """Exchanges messages with the other gateways through a topic of the store.
 
     Args:
         store: Client for appends.
-        vm: This VM.
+        vm: The gateway's VM.
         incarnation: Start time of the process in nanoseconds.
-        hello: What it says of itself first.
+        hello: First message, which describes this gateway.
     """
 
     def __init__(
@@ -69,84 +72,94 @@
         self._store = store
         self._vm = vm
         self._incarnation = incarnation
-        self._readers: dict[type[Any], Callable[[Any], None]] = {}
+        self._handlers: dict[type[Any], Callable[[Any], None]] = {}
         self._gateways = {vm}
-        self._waiting: list[Note] = [hello]
-        self._added = asyncio.Event()
-        self._added.set()
+        self._outbox: list[PeerMessage] = [hello]
+        self._message_added = asyncio.Event()
+        self._message_added.set()
 
     @property
     def gateways(self) -> int:
-        """Gateways that have been heard of, with this one."""
+        """Number of gateways that have sent messages, including this one."""
         return len(self._gateways)
 
     def subscribe(
-        self, kind: type[_Kind], reader: Callable[[_Kind], None]
+        self, kind: type[_MessageKind], handler: Callable[[_MessageKind], None]
     ) -> None:
-        """Hands the other gateways' notes of one kind to a part."""
-        self._readers[kind] = reader
-
-    def post(self, note: Note) -> None:
-        """Tells the others."""
-        self._waiting.append(note)
-        if len(self._waiting) > MAX_WAITING:
-            _log.warning("note_dropped", extra={"waiting": MAX_WAITING})
-            del self._waiting[0]
-        self._added.set()
+        """Registers the handler for one kind of message of other gateways.
+
+        Args:
+            kind: Class of the messages.
+            handler: Called with each message; replaces an earlier handler.
+        """
+        self._handlers[kind] = handler
+
+    def post(self, message: PeerMessage) -> None:
+        """Queues a message to the other gateways.
+
+        If the queue is full, the oldest message is dropped and a warning
+        logged.
+        """
+        self._outbox.append(message)
+        if len(self._outbox) > MAX_QUEUED_MESSAGES:
+            _log.warning("note_dropped", extra={"waiting": MAX_QUEUED_MESSAGES})
+            del self._outbox[0]
+        self._message_added.set()
 
     def on_newest(self, page: Page) -> None:
-        """Letters have no keys; takes them as records."""
+        """Applies the records; message batches have no keys."""
         self.on_records(page)
 
     def on_records(self, page: Page) -> None:
-        """Takes letters in order; own ones are known already."""
+        """Dispatches message batches in order, except this gateway's own."""
         for record in page.records:
             try:
-                letter = decode_letter(record.value or b"")
+                batch = decode_letter(record.value or b"")
             except CodecError as error:
                 _log.error("letter_refused", extra={"error": error.message})
                 continue
-            if (letter.vm, letter.incarnation) == (
+            if (batch.vm, batch.incarnation) == (
                 self._vm,
                 self._incarnation,
             ):
                 continue
-            self._gateways.add(letter.vm)
-            for note in letter.notes:
-                reader = self._readers.get(type(note))
-                if reader is not None:
-                    reader(note)
+            self._gateways.add(batch.vm)
+            for message in batch.notes:
+                handler = self._handlers.get(type(message))
+                if handler is not None:
+                    handler(message)
 
     def on_proof(self, at_s: float) -> None:
-        """Nothing depends on the age of the letters."""
+        """Does nothing: no decision depends on the age of the messages."""
 
     def on_news(self, at_s: float) -> None:
-        """Nor on letters that are not read yet."""
+        """Does nothing: no decision depends on messages not read yet."""
 
     @mode.Service.task
     async def _run(self) -> None:
         while not self.should_stop:
-            await self._added.wait()
-            await asyncio.sleep(BATCH_S)
-            self._added.clear()
-            notes, self._waiting = tuple(self._waiting), []
+            await self._message_added.wait()
+            await asyncio.sleep(BATCH_DELAY_S)
+            self._message_added.clear()
+            messages, self._outbox = tuple(self._outbox), []
             try:
-                await self._send(notes)
+                await self._send(messages)
             except StoreError as error:
                 _log.warning(
                     "notes_not_sent",
-                    extra={"notes": len(notes), "reason": error.message},
+                    extra={"notes": len(messages), "reason": error.message},
                 )
-                self._waiting = [*notes, *self._waiting]
-                self._added.set()
-                await asyncio.sleep(RETRY_S)
+                self._outbox = [*messages, *self._outbox]
+                self._message_added.set()
+                await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _send(self, notes: tuple[Note, ...]) -> None:
-        if not notes:
+    async def _send(self, messages: tuple[PeerMessage, ...]) -> None:
+        if not messages:
             return
-        # Repeating a lost append is harmless: a failure that is counted
-        # twice weighs little, and the other notes are idempotent.
-        letter = Letter(self._vm, self._incarnation, notes)
+        # Retrying an append whose answer was lost is harmless: counting a
+        # failure twice has little effect, and the other messages are
+        # idempotent.
+        batch = MessageBatch(self._vm, self._incarnation, messages)
         await self._store.append(
-            TOPIC, [("", encode_letter(letter))], APPEND_TIMEOUT_S
+            TOPIC, [("", encode_batch(batch))], APPEND_TIMEOUT_S
         )
--- a/src/lovagestage/gateway/neighbours.py
+++ b/src/lovagestage/gateway/neighbours.py
@@ -1,10 +1,11 @@
-"""Which gateways tell each other what they have waiting: pure decisions.
+"""Chooses the gateways that exchange queue times with each other (no I/O).
 
-The load that this answers: with tens of gateways, what each tells all others
-is bounded only if it is told seldom. Upstreams fill up and empty within that
-time, gateways that have heard the same old state run to the same upstream
-together, and its waits are a second where 0.05 s were told. A part of the
-gateways tell each other often instead, and take the rest to be like them.
+With tens of gateways, reports from each to all others have a bounded volume
+only if they are rare. Upstreams fill up and empty between two such reports, so
+gateways that hold the same outdated state all choose the same upstream, and
+its queue time is a second where 0.05 s were reported. Therefore a part of the
+gateways exchange frequent reports, and each extrapolates from them to the
+others.
 """
 
 from __future__ import annotations
@@ -15,21 +16,24 @@
 from lovagestage.gateway.peers import PeerAddress
 from lovagestage.types import ZoneId
 
-FEW_PEERS = 10
-"""So many are told all, often."""
-MIN_NEIGHBOURS = 5
-"""Fewer say too little of the others."""
+MAX_PEERS_FOR_FULL_GOSSIP = 10
+"""Number of peers up to which every report is sent to all of them."""
+MIN_ZONE_PEERS = 5
+"""Minimum number of peers in the zone: a smaller sample is no basis for an
+estimate of all gateways."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Neighbours:
-    """Who is told often, and what they stand for.
+class GossipTargets:
+    """The peers that get each report, and the factor from them to all peers.
 
     Attributes:
-        peers: Those gateways.
-        zone: Their availability zone; None where all are neighbours.
-        ratio: All peers, as a multiple of them: what they have waiting times
-            this is about what all have.
+        peers: Addresses of these gateways.
+        zone: Availability zone of these gateways; None if all peers are
+            included.
+        ratio: Number of all peers divided by the number of these gateways.
+            The queue times that these gateways report, times this ratio,
+            estimate the queue times of all peers.
     """
 
     peers: frozenset[PeerAddress]
@@ -37,19 +41,27 @@
     ratio: float
 
 
-def choose_neighbours(
+def choose_gossip_targets(
     peers: Collection[PeerAddress],
     zones: Mapping[PeerAddress, ZoneId],
     own_zone: ZoneId,
-) -> Neighbours:
-    """Chooses the gateways of the own availability zone, where they are many.
+) -> GossipTargets:
+    """Chooses the peers that get each report.
+
+    These are the peers in the gateway's own availability zone, or all peers
+    where there are few peers in total or in the zone.
 
     Args:
-        peers: All other gateways.
-        zones: Availability zones of those that have told it.
-        own_zone: The own one.
+        peers: Addresses of all other gateways.
+        zones: Availability zones of the gateways that have reported theirs.
+        own_zone: Availability zone of this gateway.
     """
-    near = frozenset(peer for peer in peers if zones.get(peer) == own_zone)
-    if len(peers) <= FEW_PEERS or len(near) < MIN_NEIGHBOURS:
-        return Neighbours(frozenset(peers), None, 1.0)
-    return Neighbours(near, own_zone, len(peers) / len(near))
+    zone_peers = frozenset(
+        peer for peer in peers if zones.get(peer) == own_zone
+    )
+    if (
+        len(peers) <= MAX_PEERS_FOR_FULL_GOSSIP
+        or len(zone_peers) < MIN_ZONE_PEERS
+    ):
+        return GossipTargets(frozenset(peers), None, 1.0)
+    return GossipTargets(zone_peers, own_zone, len(peers) / len(zone_peers))
--- a/src/lovagestage/gateway/notes.py
+++ b/src/lovagestage/gateway/notes.py
@@ -1,4 +1,8 @@
-"""What gateways tell each other, through a topic of their own in the store."""
+"""Messages between gateways, sent through a topic of their own in the store.
+
+The records are encoded as arrays: the order of their fields is part of the
+format.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +16,12 @@
 
 
 class HelloNote(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """A gateway has started.
+    """Announces that a gateway has started.
 
     Attributes:
-        peer_address: Where it takes datagrams; empty for nowhere.
-        zone: Its availability zone.
+        peer_address: Address at which the gateway receives datagrams; empty
+            if it receives none.
+        zone: Availability zone of the gateway.
     """
 
     peer_address: str
@@ -24,16 +29,16 @@
 
 
 class FailureNote(msgspec.Struct, frozen=True, array_like=True, tag="failure"):
-    """The new version of a roll-out failed or was far too slow.
+    """Reports a failed or far too slow answer of a roll-out's new version.
 
     Attributes:
         service: The service.
         order: Offset of the order.
         route: Route of the request.
-        upstream: Who answered.
-        evidence: Log-likelihood ratio of this answer and of the good ones of
-            the route since the gateway's last note.
-        age_s: Age of the order.
+        upstream: The upstream that answered.
+        evidence: Log-likelihood ratio of this answer and of the good answers
+            on the route since the gateway's last message.
+        age_s: Age of the order in seconds.
     """
 
     service: ServiceId
@@ -45,14 +50,14 @@
 
 
 class CountNote(msgspec.Struct, frozen=True, array_like=True, tag="count"):
-    """How many answers of the new version a gateway has had.
+    """Reports how many answers of the new version a gateway has received.
 
     Attributes:
         service: The service.
         order: Offset of the order.
-        gateway: Who counted.
-        answers: The answers so far.
-        age_s: Age of the order.
+        gateway: The gateway that received the answers.
+        answers: Number of answers so far.
+        age_s: Age of the order in seconds.
     """
 
     service: ServiceId
@@ -65,13 +70,14 @@
 class SessionsNote(
     msgspec.Struct, frozen=True, array_like=True, tag="sessions"
 ):
-    """Sessions that were going on when a roll-out's share was agreed.
+    """Reports sessions that were active when a roll-out's share was agreed.
 
     Attributes:
         service: The service.
         order: Offset of the order.
-        sessions: Those that the share alone would move at once.
-        age_s: Age of the order.
+        sessions: Ids of the sessions that the share alone would move to the
+            new version immediately.
+        age_s: Age of the order in seconds.
     """
 
     service: ServiceId
@@ -81,14 +87,14 @@
 
 
 class OutcomeNote(msgspec.Struct, frozen=True, array_like=True, tag="outcome"):
-    """A state of a roll-out that has been written for the operators.
+    """Reports a state of a roll-out that was written for the operators.
 
     Attributes:
         service: The service.
         order: Offset of the order.
-        outcome: The state's value.
+        outcome: Value of the state.
         first_share: Share of the sessions before the load step.
-        age_s: Age of the order.
+        age_s: Age of the order in seconds.
     """
 
     service: ServiceId
@@ -98,7 +104,7 @@
     age_s: float
 
 
-Note = (
+PeerMessage = (
     HelloNote
     | FailureNote
     | CountNote
@@ -108,34 +114,34 @@
 )
 
 
-class Letter(msgspec.Struct, frozen=True, array_like=True):
-    """Notes of one gateway.
+class MessageBatch(msgspec.Struct, frozen=True, array_like=True):
+    """A batch of messages from one gateway, stored as one record.
 
     Attributes:
         vm: The gateway's VM.
-        incarnation: Start time of its process in nanoseconds.
-        notes: What it tells.
+        incarnation: Start time of the gateway's process in nanoseconds.
+        notes: The messages in the order of sending.
     """
 
     vm: VmId
     incarnation: int
-    notes: tuple[Note, ...]
+    notes: tuple[PeerMessage, ...]
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Letter)
+_decoder = msgspec.msgpack.Decoder(MessageBatch)
 
 
-def encode_letter(letter: Letter) -> bytes:
-    """Encodes notes for the store."""
-    return _encoder.encode(letter)
+def encode_batch(batch: MessageBatch) -> bytes:
+    """Encodes a batch of messages for the store."""
+    return _encoder.encode(batch)
 
 
-def decode_letter(data: bytes) -> Letter:
-    """Decodes what `encode_letter` makes.
+def decode_letter(data: bytes) -> MessageBatch:
+    """Decodes a batch that `encode_batch` has encoded.
 
     Raises:
-        CodecError: It is not that.
+        CodecError: The data is not a valid batch of messages.
     """
     try:
         return _decoder.decode(data)
--- a/src/lovagestage/gateway/peers.py
+++ b/src/lovagestage/gateway/peers.py
@@ -1,4 +1,4 @@
-"""The other gateways, and a socket for datagrams between them."""
+"""The list of the other gateways, and a socket for datagrams to them."""
 
 from __future__ import annotations
 
@@ -11,38 +11,39 @@
 from lovagestage.exceptions import SealError
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.exposition import Exposition, Series
-from lovagestage.gateway.seal import Seal
+from lovagestage.gateway.seal import DatagramAuthenticator
 
 _log = logging.getLogger(__name__)
 
 KIND_BYTES = 4
-"""Each datagram begins with its kind."""
-FORGET_S = 600.0
-"""A peer that sent nothing for so long was replaced: its VM is gone and would
-be sent to for ever. Longer than cuts between zones, after which gateways that
-had forgotten each other would stay apart."""
-EXPIRE_S = 30.0
-"""Time between looks for such peers."""
+"""Length of the prefix by which each datagram states its kind."""
+PEER_EXPIRY_S = 600.0
+"""Time in seconds without a datagram after which a peer is removed. Its VM was
+replaced, and without the removal datagrams would be sent to it for ever. The
+time is longer than network partitions between zones: gateways that had removed
+each other would not find each other again afterwards."""
+EXPIRY_CHECK_INTERVAL_S = 30.0
+"""Interval in seconds between checks for peers to remove."""
 
 PeerAddress = tuple[str, int]
 Handler = Callable[[bytes, PeerAddress], None]
 
 
 def format_peer(peer: PeerAddress) -> str:
-    """Writes an address as `IP:PORT`."""
+    """Formats an address as `IP:PORT`."""
     return f"{peer[0]}:{peer[1]}"
 
 
 class PeerSocket(mode.Service):
-    """Sends datagrams to the other gateways and hands on theirs.
+    """Sends datagrams to the other gateways and dispatches theirs.
 
     Args:
-        address: `IP:PORT` to send from and listen at.
-        exposition: Counts datagrams.
+        address: `IP:PORT` to send from and to listen on.
+        exposition: Metrics, for the counts of datagrams.
 
     Attributes:
-        own: The same address.
-        peers: The gateways that have been heard of.
+        own: The socket's address.
+        peers: Addresses of the other gateways known so far.
     """
 
     def __init__(self, address: str, exposition: Exposition) -> None:
@@ -51,35 +52,52 @@
         host, _, port = address.rpartition(":")
         self.own: PeerAddress = (host, int(port))
         self.peers: set[PeerAddress] = set()
-        self._heard_s: dict[PeerAddress, float] = {}
+        self._last_received_s: dict[PeerAddress, float] = {}
         self._handlers: dict[bytes, Handler] = {}
         self._transport: asyncio.DatagramTransport | None = None
-        self._seal = Seal()
-        self._versions: dict[PeerAddress, int] = {}
-        self._refused: set[str] = set()
+        self._authenticator = DatagramAuthenticator()
+        self._peer_versions: dict[PeerAddress, int] = {}
+        self._logged_reasons: set[str] = set()
 
     def add_key(self, version: int, configuration: bytes) -> None:
-        """Takes a configuration, which seals datagrams from now on."""
-        self._seal.add_key(version, configuration)
+        """Adds a configuration from whose bytes an authentication key is made.
+
+        Args:
+            version: Version of the configuration.
+            configuration: The configuration as stored, byte by byte.
+        """
+        self._authenticator.add_key(version, configuration)
 
     def register(self, kind: bytes, handler: Handler) -> None:
-        """Hands datagrams of one kind, without it, to a part."""
+        """Registers the handler for one kind of datagram.
+
+        Args:
+            kind: Prefix of the datagrams, `KIND_BYTES` long.
+            handler: Called with the data after the prefix and the sender.
+        """
         self._handlers[kind] = handler
 
     def add_peer(self, address: str) -> PeerAddress | None:
-        """Takes the address of another gateway; None where it is none."""
+        """Adds the address of another gateway.
+
+        Args:
+            address: The address as `IP:PORT`.
+
+        Returns:
+            The address; None if its port is not a number.
+        """
         host, _, port = address.rpartition(":")
         if not port.isdigit():
             return None
         peer = (host, int(port))
-        self._add(peer)
+        self._record_peer(peer)
         return peer
 
     async def on_start(self) -> None:
         """Opens the socket."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Receiver(self), local_addr=self.own
+            lambda: _DatagramReceiver(self), local_addr=self.own
         )
         self._transport = transport
 
@@ -89,95 +107,106 @@
             self._transport.close()
 
     def send(self, kind: bytes, data: bytes, peer: PeerAddress) -> None:
-        """Sends a datagram, which may be lost."""
+        """Sends a datagram to a peer; delivery is not guaranteed."""
         if self._transport is not None:
-            version = self._versions.get(peer, self._seal.newest)
-            datagram = self._seal.close(kind + data, version)
+            version = self._peer_versions.get(
+                peer, self._authenticator.newest_version
+            )
+            datagram = self._authenticator.sign(kind + data, version)
             self._transport.sendto(datagram, peer)
-            self._count(kind, "sent", KIND_BYTES + len(data))
+            self._count_datagram(kind, "sent", KIND_BYTES + len(data))
 
-    def open(self, datagram: bytes, sender: PeerAddress) -> None:
-        """Takes a datagram from the network; one of others is dropped.
+    def receive(self, datagram: bytes, sender: PeerAddress) -> None:
+        """Dispatches a datagram from the network if its sender is a gateway.
 
-        One that is sealed by a configuration that is not known here yet, or
-        no more, is dropped as well: the next one tells the same.
+        A datagram whose authentication fails is dropped. That includes one
+        that was authenticated with a configuration that this gateway does not
+        know yet or no longer keeps: the next datagram has the same content.
         """
         try:
-            version, data = self._seal.open(datagram)
+            version, data = self._authenticator.verify(datagram)
         except SealError as error:
-            self._note_refused(sender, error)
+            self._log_rejected(sender, error)
             return
-        self._versions[sender] = version
-        self.take(data, sender)
+        self._peer_versions[sender] = version
+        self.dispatch(data, sender)
+
+    def _log_rejected(self, sender: PeerAddress, error: SealError) -> None:
+        """Logs the rejection of a datagram.
 
-    def _note_refused(self, sender: PeerAddress, error: SealError) -> None:
-        """Logs each reason once a while, so that senders can't fill the log."""
+        Each reason is logged once per `EXPIRY_CHECK_INTERVAL_S`, so that
+        senders can't fill the log.
+        """
         self._exposition.count(Series.DATAGRAMS, 'kind="",way="refused"')
-        if error.message in self._refused:
+        if error.message in self._logged_reasons:
             return
-        self._refused.add(error.message)
+        self._logged_reasons.add(error.message)
         _log.warning(
             "datagram_unsealed",
             extra={"address": sender[0], "reason": error.message},
         )
 
-    def take(self, data: bytes, sender: PeerAddress) -> None:
-        """Hands on a datagram; one of an unknown kind is dropped and logged.
+    def dispatch(self, data: bytes, sender: PeerAddress) -> None:
+        """Passes an authenticated datagram to the handler of its kind.
 
-        Its sender is a gateway: the store forgets the notes of gateways that
-        have run for long, so that one which has just started hears of them
-        by their datagrams alone.
+        A datagram of an unknown kind is dropped and logged. The sender of any
+        other is added as a peer: the store drops the messages of gateways that
+        have run for long, so a gateway that has just started learns of them by
+        their datagrams only.
         """
         handler = self._handlers.get(data[:KIND_BYTES])
         if handler is None:
             _log.warning("datagram_refused", extra={"size": len(data)})
             return
-        self._add(sender)
-        self._count(data[:KIND_BYTES], "received", len(data))
+        self._record_peer(sender)
+        self._count_datagram(data[:KIND_BYTES], "received", len(data))
         handler(data[KIND_BYTES:], sender)
 
     @mode.Service.task
     async def _run(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(EXPIRE_S)
+            await asyncio.sleep(EXPIRY_CHECK_INTERVAL_S)
             self.expire(get_elapsed_s())
 
     def expire(self, now_s: float) -> None:
-        """Forgets peers that have been silent for long."""
-        limit_s = now_s - FORGET_S
+        """Removes the peers that have sent no datagram for too long."""
+        limit_s = now_s - PEER_EXPIRY_S
         for peer in list(self.peers):
-            if self._heard_s.get(peer, now_s) < limit_s:
+            if self._last_received_s.get(peer, now_s) < limit_s:
                 _log.info(
                     "peer_forgotten", extra={"address": format_peer(peer)}
                 )
                 self.peers.remove(peer)
-                del self._heard_s[peer]
-        for peer in self._versions.keys() - self.peers:
-            del self._versions[peer]
-        self._refused.clear()
-
-    def _count(self, kind: bytes, way: str, size_bytes: int) -> None:
-        labels = f'kind="{kind.decode()}",way="{way}"'
+                del self._last_received_s[peer]
+        for peer in self._peer_versions.keys() - self.peers:
+            del self._peer_versions[peer]
+        self._logged_reasons.clear()
+
+    def _count_datagram(
+        self, kind: bytes, direction: str, size_bytes: int
+    ) -> None:
+        labels = f'kind="{kind.decode()}",way="{direction}"'
         self._exposition.count(Series.DATAGRAMS, labels)
         self._exposition.count(Series.DATAGRAM_BYTES, labels, size_bytes)
 
-    def _add(self, peer: PeerAddress) -> None:
+    def _record_peer(self, peer: PeerAddress) -> None:
         if peer == self.own:
             return
-        self._heard_s[peer] = get_elapsed_s()
+        self._last_received_s[peer] = get_elapsed_s()
         if peer in self.peers:
             return
         _log.info("peer_added", extra={"address": format_peer(peer)})
         self.peers.add(peer)
 
 
-class _Receiver(asyncio.DatagramProtocol):
+class _DatagramReceiver(asyncio.DatagramProtocol):
     def __init__(self, owner: PeerSocket) -> None:
         self._owner = owner
 
     def datagram_received(self, data: bytes, address: PeerAddress) -> None:
-        self._owner.open(data, address)
+        self._owner.receive(data, address)
 
     def error_received(self, error: Exception) -> None:
-        # A peer that is gone; it is told nothing more once it is replaced.
+        # The peer's process or VM is gone; nothing is sent to it any more once
+        # it has expired.
         _log.debug("datagram_error", extra={"error": str(error)})
--- a/src/lovagestage/gateway/relay_messages.py
+++ b/src/lovagestage/gateway/relay_messages.py
@@ -1,4 +1,8 @@
-"""What watchers of the store and their followers send each other."""
+"""Messages between the watchers of the store and their followers.
+
+The records are encoded as arrays: the order of their fields is part of the
+format.
+"""
 
 from __future__ import annotations
 
@@ -10,76 +14,84 @@
 from lovagestage.platform.records import Record
 
 MAX_DATAGRAM_BYTES = 1200
-"""Records of an answer are parted so, to be carried in one packet each. Longer
-ones are read from the store."""
-MAX_ANSWER_BYTES = 48 * 1024
-"""Most that one answer carries: some 200 entries of upstreams."""
+"""Maximum size in bytes of the records in one datagram, so that each datagram
+fits into one packet. A record that is larger is read from the store."""
+MAX_RESPONSE_BYTES = 48 * 1024
+"""Maximum size in bytes of the records that are sent along with one response:
+some 200 entries of upstreams."""
 
 
 class TopicState(msgspec.Struct, frozen=True, array_like=True):
-    """What a watcher knows of a topic.
+    """The state of a topic as known to a watcher.
 
     Attributes:
         topic: The topic.
-        end: Offset that the topic has reached, though it may still be reading
-            the records before it.
-        proof_age_ms: How long ago there was nothing beyond.
-        lost_age_ms: How long ago the store last failed to answer; None for
-            never.
+        end: End of the topic; the watcher may still be reading records before
+            it.
+        confirmation_age_ms: Time in milliseconds since the topic had no
+            records beyond those known to the watcher.
+        last_failure_age_ms: Time in milliseconds since the store last failed
+            to answer; None for never.
     """
 
     topic: str
     end: int
-    proof_age_ms: int
-    lost_age_ms: int | None
+    confirmation_age_ms: int
+    last_failure_age_ms: int | None
 
 
-class Question(msgspec.Struct, frozen=True, array_like=True, tag="question"):
-    """Asks for the state of all topics.
+class StateQuery(msgspec.Struct, frozen=True, array_like=True, tag="question"):
+    """Queries the state of all topics.
 
     Attributes:
-        number: Repeated in the answer.
-        ends: Topics, and the offset up to which the asking gateway knows each.
+        number: Number of the query, which the response repeats.
+        ends: Topics, and for each the end of the records that the querying
+            gateway knows.
     """
 
     number: int
     ends: tuple[tuple[str, int], ...] = ()
 
 
-class Records(msgspec.Struct, frozen=True, array_like=True, tag="records"):
-    """Records of a topic, sent before the answer that tells its end.
+class RelayedRecords(
+    msgspec.Struct, frozen=True, array_like=True, tag="records"
+):
+    """Carries records of a topic, before the response that states its end.
 
     Attributes:
         topic: The topic.
-        first: Offset of the first of them.
-        lost_age_ms: How long ago the store last failed to answer; None for
-            never.
-        records: Keys and values; None for a value that was dropped.
+        first: Offset of the first record.
+        last_failure_age_ms: Time in milliseconds since the store last failed
+            to answer; None for never.
+        records: Keys and values; the value is None where the record removes
+            the key.
     """
 
     topic: str
     first: int
-    lost_age_ms: int | None
+    last_failure_age_ms: int | None
     records: tuple[tuple[str, bytes | None], ...]
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True, tag="answer"):
-    """Answers a question.
+class StateResponse(msgspec.Struct, frozen=True, array_like=True, tag="answer"):
+    """Responds to a query.
 
     Attributes:
-        number: Of the question.
-        states: The topics that the answering gateway reads.
+        number: Number of the query.
+        states: States of the topics that the responding gateway reads.
     """
 
     number: int
     states: tuple[TopicState, ...]
 
 
-class News(msgspec.Struct, frozen=True, array_like=True, tag="news"):
-    """Tells followers to ask at once."""
+class UpdateNotification(
+    msgspec.Struct, frozen=True, array_like=True, tag="news"
+):
+    """Notifies followers that they should send a query immediately."""
 
 
-Message = Question | Answer | News | Records
+Message = StateQuery | StateResponse | UpdateNotification | RelayedRecords
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
 
@@ -90,10 +102,10 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """Decodes what `encode_message` makes.
+    """Decodes a message that `encode_message` has encoded.
 
     Raises:
-        CodecError: It is not that.
+        CodecError: The data is not a valid message.
     """
     try:
         return _decoder.decode(data)
@@ -102,18 +114,22 @@
 
 
 def split_records(records: Sequence[Record]) -> list[list[Record]]:
-    """Parts records by datagram; none where they are too much for an answer."""
-    parts: list[list[Record]] = []
-    room_bytes = 0
+    """Splits records into one list for each datagram.
+
+    Records are included in order until one exceeds `MAX_DATAGRAM_BYTES` or the
+    total exceeds `MAX_RESPONSE_BYTES`; the rest is omitted.
+    """
+    groups: list[list[Record]] = []
+    free_bytes = 0
     total_bytes = 0
     for record in records:
         size_bytes = len(record.key) + len(record.value or b"") + 8
         total_bytes += size_bytes
-        if size_bytes > MAX_DATAGRAM_BYTES or total_bytes > MAX_ANSWER_BYTES:
+        if size_bytes > MAX_DATAGRAM_BYTES or total_bytes > MAX_RESPONSE_BYTES:
             break
-        if size_bytes > room_bytes:
-            parts.append([])
-            room_bytes = MAX_DATAGRAM_BYTES
-        parts[-1].append(record)
-        room_bytes -= size_bytes
-    return parts
+        if size_bytes > free_bytes:
+            groups.append([])
+            free_bytes = MAX_DATAGRAM_BYTES
+        groups[-1].append(record)
+        free_bytes -= size_bytes
+    return groups
--- a/src/lovagestage/gateway/seal.py
+++ b/src/lovagestage/gateway/seal.py
@@ -1,9 +1,11 @@
-"""Keeps datagrams from others than gateways out.
+"""Authenticates datagrams between gateways.
 
-Whoever reaches a gateway's port could else tell it of upstreams and routes
-that do not exist. All gateways read the configuration from the store, and with
-it every caller's key: its bytes are a secret that they share without asking
-for one. Each datagram names the configuration whose bytes it is sealed with.
+Without authentication, anyone who can reach a gateway's port could send it
+upstreams and routes that do not exist. All gateways read the configuration from
+the store, and it contains every caller's key: its bytes are a secret that the
+gateways share without a further setting. Each datagram carries a keyed hash of
+its content and the version of the configuration that the hash's key is made
+from.
 """
 
 from __future__ import annotations
@@ -15,46 +17,53 @@
 from lovagestage.exceptions import SealError
 
 MAX_KEYS = 16
-"""Configurations whose keys are kept: they come a few a second in a storm, and
-a gateway is behind by a second or two."""
+"""Number of configurations whose keys are retained. In a burst there are a few
+configurations a second, and a gateway may be behind by a second or two."""
 TAG_BYTES = 16
 NO_VERSION = 0
-"""Named before a configuration is known; refused by those who know one."""
+"""Version that a datagram states before its sender has a configuration.
+Gateways that have a configuration reject such datagrams."""
 _HEAD = struct.Struct(f">Q{TAG_BYTES}s")
 
 
-class Seal:
-    """Seals and opens datagrams."""
+class DatagramAuthenticator:
+    """Signs and verifies datagrams with keys made from configurations."""
 
     def __init__(self) -> None:
         self._keys: dict[int, bytes] = {}
-        self.newest = NO_VERSION
+        self.newest_version = NO_VERSION
 
     def add_key(self, version: int, configuration: bytes) -> None:
-        """Takes a configuration as it stands in the store."""
+        """Adds the key of a configuration, made from its bytes as stored."""
         self._keys[version] = hashlib.blake2b(configuration).digest()
-        self.newest = max(self._keys)
+        self.newest_version = max(self._keys)
         while len(self._keys) > MAX_KEYS:
             del self._keys[min(self._keys)]
 
-    def close(self, data: bytes, version: int) -> bytes:
-        """Seals a datagram.
+    def sign(self, data: bytes, version: int) -> bytes:
+        """Returns the datagram with the data and its authentication tag.
 
         Args:
-            data: What it says.
-            version: Newest configuration that its receiver is known to have;
-                one that is not known here is replaced by the newest.
+            data: Content of the datagram.
+            version: Newest version that the receiver is known to have. A
+                version that is not known here is replaced by the newest one.
         """
         if version not in self._keys:
-            version = self.newest
+            version = self.newest_version
         return _HEAD.pack(version, self._make_tag(version, data)) + data
 
-    def open(self, datagram: bytes) -> tuple[int, bytes]:
-        """Opens a datagram; returns its configuration and what it says.
+    def verify(self, datagram: bytes) -> tuple[int, bytes]:
+        """Verifies a datagram's authentication tag.
+
+        Args:
+            datagram: The datagram as received.
+
+        Returns:
+            The version of the configuration, and the datagram's content.
 
         Raises:
-            SealError: It is not sealed, or by a configuration that is not
-                known here.
+            SealError: The tag is missing or wrong, or was made with a
+                configuration that is not known here.
         """
         if len(datagram) < _HEAD.size:
             raise SealError("Datagram without a seal.")
--- a/src/lovagestage/gateway/store_return.py
+++ b/src/lovagestage/gateway/store_return.py
@@ -1,4 +1,4 @@
-"""Tells a process's feeds that the store is back."""
+"""Notifies the feeds of a process that the store has recovered."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 
 
 class StoreReturn:
-    """Tells feeds that have lost the store when another one has it back.
+    """Notifies feeds that have lost the store when another feed has reached it.
 
-    Each feed finds the return by itself up to 1.7 s late, with a call that
-    was sent just before and hangs, and its pause. Callers are refused
-    meanwhile, though the process knows that the store answers again.
+    On its own, each feed would detect the recovery up to 1.7 s late: a call
+    that was sent just before it hangs until the timeout, and a backoff follows.
+    Callers would be refused in that time, although the process knows that the
+    store answers again.
     """
 
     def __init__(self) -> None:
         self._events: list[asyncio.Event] = []
 
     def make_event(self) -> asyncio.Event:
-        """An event that is set at each return; its owner clears it."""
+        """Returns an event that is set at each recovery; its user clears it."""
         event = asyncio.Event()
         self._events.append(event)
         return event
 
-    def tell(self) -> None:
-        """Tells all feeds."""
+    def notify_feeds(self) -> None:
+        """Sets the events of all feeds."""
         for event in self._events:
             event.set()
--- a/src/lovagestage/gateway/topic_log.py
+++ b/src/lovagestage/gateway/topic_log.py
@@ -1,7 +1,7 @@
-"""How far a topic of the store is known, and its newest records.
+"""The known end of a topic of the store, and its recent records.
 
-Records come from the store and from watchers, the same ones from both at
-times, and datagrams overtake each other. Each record counts once, in order.
+Records arrive from the store and from watchers, some of them from both, and
+datagrams may arrive out of order. Each record is processed once and in order.
 """
 
 from __future__ import annotations
@@ -11,63 +11,77 @@
 
 from lovagestage.platform.records import Record
 
-MAX_KEPT = 256
-"""Newest records that are kept for followers: a release replaces some tens of
-upstreams in a second, with two or three records each."""
+MAX_RECENT_RECORDS = 256
+"""Number of recent records that are retained for followers. A release replaces
+some tens of upstreams in a second, with two or three records for each."""
 
 
 class TopicLog:
-    """The end of a topic as one gateway knows it.
+    """The known end and the recent records of a topic at one gateway.
 
     Args:
-        end: Offset up to which it is known; None before it is.
+        end: Offset up to which the topic is known; None if nothing is known.
 
     Attributes:
-        end: The same.
+        end: Offset up to which the topic is known now; None as above.
     """
 
     def __init__(self, end: int | None) -> None:
         self.end = end
-        self._kept: collections.deque[Record] = collections.deque(
-            maxlen=MAX_KEPT
+        self._recent: collections.deque[Record] = collections.deque(
+            maxlen=MAX_RECENT_RECORDS
         )
-        self._early: dict[int, Record] = {}
+        self._out_of_order: dict[int, Record] = {}
 
     def restart(self, end: int | None) -> None:
-        """Forgets the records; the topic is known up to another offset."""
+        """Discards all records and sets the offset up to which it is known."""
         self.end = end
-        self._kept.clear()
-        self._early.clear()
+        self._recent.clear()
+        self._out_of_order.clear()
 
     def add(self, records: Sequence[Record]) -> tuple[Record, ...]:
-        """Takes records that follow each other; returns those not known yet.
+        """Adds records with consecutive offsets.
 
-        They begin at what is known or before.
+        Args:
+            records: The records; the first one is at the known end or before
+                it.
+
+        Returns:
+            The records that were not known yet.
         """
         end = self.end
         assert end is not None
-        fresh = tuple(record for record in records if record.offset >= end)
-        if fresh:
-            self.end = fresh[-1].offset + 1
-            self._kept.extend(fresh)
-        return fresh
+        new_records = tuple(
+            record for record in records if record.offset >= end
+        )
+        if new_records:
+            self.end = new_records[-1].offset + 1
+            self._recent.extend(new_records)
+        return new_records
+
+    def add_relayed(self, records: Sequence[Record]) -> tuple[Record, ...]:
+        """Adds records from a watcher, in any order.
 
-    def add_told(self, records: Sequence[Record]) -> tuple[Record, ...]:
-        """Takes records in any order; returns those that go on from the end.
+        Records beyond a missing one are held back until that one is known.
 
-        The others are kept until those before them are known.
+        Returns:
+            The records that continue the topic from its known end.
         """
         if self.end is None:
             return ()
-        self._early.update((record.offset, record) for record in records)
-        fresh: list[Record] = []
-        while (record := self._early.pop(self.end, None)) is not None:
-            fresh += self.add((record,))
-        self._early = {o: r for o, r in self._early.items() if o > self.end}
-        return tuple(fresh)
-
-    def get_newest(self, first: int) -> Sequence[Record]:
-        """Records from an offset on; empty where one is missing."""
-        records = [record for record in self._kept if record.offset >= first]
-        is_whole = bool(records) and records[0].offset == first
-        return records if is_whole else ()
+        self._out_of_order.update((record.offset, record) for record in records)
+        new_records: list[Record] = []
+        while (record := self._out_of_order.pop(self.end, None)) is not None:
+            new_records += self.add((record,))
+        self._out_of_order = {
+            offset: later
+            for offset, later in self._out_of_order.items()
+            if offset > self.end
+        }
+        return tuple(new_records)
+
+    def get_recent(self, first: int) -> Sequence[Record]:
+        """Returns the records from an offset on; empty if one is missing."""
+        records = [record for record in self._recent if record.offset >= first]
+        is_complete = bool(records) and records[0].offset == first
+        return records if is_complete else ()
--- a/tests/test_gateway_feeds.py
+++ b/tests/test_gateway_feeds.py
@@ -1,4 +1,4 @@
-"""How feeds read the store through its failures."""
+"""Tests how feeds and the store's client read the store during failures."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         self.proofs.append(at_s)
 
     def on_news(self, at_s):
-        """Not recorded."""
+        """Does nothing: the tests do not record these calls."""
 
 
 @contextlib.asynccontextmanager
@@ -59,8 +59,8 @@
     wait_s=0.2,
     pause_s=0.0,
     topic=TOPIC,
-    store_return=None,
-    watch=None,
+    store_recovery=None,
+    relay=None,
 ):
     listener = Recorder()
     feed = TopicFeed(
@@ -68,8 +68,8 @@
         TopicReading(topic, wait_s, pause_s, topic.startswith("keyed.")),
         listener,
         random.Random(1),
-        store_return or StoreReturn(),
-        watch,
+        store_recovery or StoreReturn(),
+        relay,
     )
     await feed.start()
     try:
@@ -85,8 +85,9 @@
 
 
 async def test_a_cold_gateway_asks_again_soon():
-    # All VMs lost power while the store refuses. Until a gateway has read the
-    # store it refuses every caller, so it must find the store's return soon.
+    # All VMs restart after a loss of power while the store refuses calls. A
+    # gateway refuses every caller until it has read the store, so it must
+    # detect the store's recovery soon.
     async with run_store() as (store, client):
         store.put(TOPIC, "config", b"x")
         store.faults.outage = "503"
@@ -94,24 +95,25 @@
             await asyncio.sleep(2.0)
             loop = asyncio.get_running_loop()
             store.faults.outage = ""
-            back_s = loop.time()
+            recovered_s = loop.time()
             await wait_until(lambda: listener.records)
-            assert loop.time() - back_s < 0.4
+            assert loop.time() - recovered_s < 0.4
 
 
 async def test_an_empty_read_proves_its_whole_wait():
-    # The store held the read for its wait and had nothing: no change was made
-    # before the wait's end. A read that has no answer proves nothing.
+    # The store held the read for its whole wait and returned no record: no
+    # change was made before the end of the wait. A read without an answer
+    # confirms nothing.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=0.3) as (_, listener):
             await wait_until(lambda: len(listener.proofs) >= 3)
-            gaps = [
-                b - a
-                for a, b in zip(
+            intervals_s = [
+                later_s - earlier_s
+                for earlier_s, later_s in zip(
                     listener.proofs, listener.proofs[1:], strict=False
                 )
             ]
-            assert min(gaps) > 0.2
+            assert min(intervals_s) > 0.2
             count = len(listener.proofs)
             store.faults.outage = "silent"
             await asyncio.sleep(1.0)
@@ -119,6 +121,8 @@
 
 
 async def test_a_read_of_the_past_proves_nothing():
+    # The store answers from an outdated copy of the topic. Such an answer must
+    # not count as a freshness confirmation.
     async with run_store() as (store, client):
         for number in range(3):
             store.put(TOPIC, "config", b"%d" % number)
@@ -132,6 +136,7 @@
 
 
 async def test_records_in_clumps_share_a_read():
+    # Guards against one call to the store for each record of a burst.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=2.0, pause_s=0.3) as (_, listener):
             await wait_until(lambda: listener.proofs)
@@ -144,8 +149,9 @@
 
 
 async def test_client_tells_what_an_append_did():
-    # 503: certainly nothing. A lost answer: perhaps. Another end: the
-    # condition failed, with the end to try again from.
+    # With status 503 nothing was appended. With a lost answer the records may
+    # have been appended. If the topic ends elsewhere, the condition failed, and
+    # the error states the end for a retry.
     async with run_store() as (store, client):
         record = [("a", b"1")]
         assert await client.append("keyed.status", record, 1.0) == 0
@@ -196,9 +202,10 @@
 
 
 async def test_first_read_after_a_failure_does_not_wait():
-    # The store is out of reach for a moment. Keys are relied on only as long
-    # as the last proof is young; with a read that waits, the next proof would
-    # come a whole wait later and callers be refused meanwhile.
+    # The store is unavailable for a moment. Callers' keys are accepted only
+    # while the last freshness confirmation is recent. With a read that the
+    # store holds, the next confirmation would come a whole wait later and
+    # callers would be refused until then.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=2.0) as (feed, listener):
             await wait_until(lambda: listener.proofs)
@@ -211,35 +218,40 @@
 
 @contextlib.asynccontextmanager
 async def run_lost_feed(outage):
-    """A feed that has lost the store, and a way to tell it of the return."""
+    """Runs a feed that has lost the store, with its recovery signal."""
     async with run_store() as (store, client):
-        back = StoreReturn()
-        async with run_feed(client, store_return=back) as (feed, listener):
+        recovery = StoreReturn()
+        async with run_feed(client, store_recovery=recovery) as (
+            feed,
+            listener,
+        ):
             await wait_until(lambda: listener.proofs)
             store.faults.outage = outage
             await wait_until(lambda: feed.get_lost_age_s(0.0) is not None)
-            yield store, back, listener
+            yield store, recovery, listener
 
 
 async def test_feed_that_hangs_asks_again_when_another_has_the_store_back():
-    # The store went silent and is back; one feed has found out. The other one
-    # has a call under way that was sent before and hangs. Were it to wait for
-    # its time limit and its pause, keys would be refused a second longer.
-    async with run_lost_feed("silent") as (store, back, listener):
+    # The store has recovered from an outage and one feed has detected it. The
+    # other feed's current call was sent before the recovery and hangs. If that
+    # feed waited for the timeout and the backoff, keys would be refused for a
+    # second longer.
+    async with run_lost_feed("silent") as (store, recovery, listener):
         calls = len(store.calls)
         await wait_until(lambda: len(store.calls) > calls)
         store.faults.outage = ""
         before = len(listener.proofs)
-        back.tell()
+        recovery.notify_feeds()
         await wait_until(lambda: len(listener.proofs) > before, 0.5)
 
 
 async def test_call_that_answers_slowly_is_not_given_up():
-    # The store is slow, not silent: another feed regains it, and this one's
-    # answer is on its way. It must be taken, not asked for again.
-    async with run_lost_feed("503") as (store, back, listener):
+    # The store answers slowly, but it answers: another feed has reached it, and
+    # the answer to this feed's call is in transit. The feed must use this
+    # answer and not send the call again.
+    async with run_lost_feed("503") as (store, recovery, listener):
         store.faults.outage = ""
         store.faults.slow_ms = 50
         before = len(listener.proofs)
-        back.tell()
+        recovery.notify_feeds()
         await wait_until(lambda: len(listener.proofs) > before, 0.5)
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of the upstreams' load."""
+"""Tests the exchange of the upstreams' queue times between gateways."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from hypothesis import strategies as st
 
 from lab.ports import get_free_port
-from lovagestage.gateway import gossip as gossips
+from lovagestage.gateway import gossip as gossip_module
 from lovagestage.gateway.choice import Work, choose_upstream
 from lovagestage.gateway.exposition import Exposition
 from lovagestage.gateway.gossip import (
-    HEARD_FOR_S,
-    KIND,
-    PEERS_PER_PERIOD,
-    PERIOD_S,
+    DATAGRAM_KIND,
+    PEERS_PER_INTERVAL,
+    REPORT_INTERVAL_S,
+    REPORT_TTL_S,
     Gossip,
 )
-from lovagestage.gateway.neighbours import choose_neighbours
+from lovagestage.gateway.neighbours import choose_gossip_targets
 from lovagestage.gateway.peers import PeerSocket
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.told_waits import ToldWaits
@@ -39,15 +39,15 @@
 
 
 def tell_waits(rotations):
-    """Tells each gateway what all others have waiting, as gossip does."""
-    for told in zip(*(r.get_all() for r in rotations), strict=True):
-        performances = [upstream.performance for upstream in told]
+    """Gives each gateway the sum of the others' queue times, as gossip does."""
+    for upstreams in zip(*(r.get_all() for r in rotations), strict=True):
+        performances = [upstream.performance for upstream in upstreams]
         total_s = sum(each.get_own_wait_s() for each in performances)
         for each in performances:
             each.waiting_elsewhere_s = total_s - each.get_own_wait_s()
 
 
-def get_elsewhere(rotation):
+def get_waits_elsewhere(rotation):
     return {
         u.id: round(u.performance.waiting_elsewhere_s, 3)
         for u in rotation.get_all()
@@ -85,40 +85,42 @@
     async with run_pair() as (_, (one, two)):
         upstream = one.get_ready("pool")[0]
         upstream.performance.waiting_s = 0.4
-        await wait_until(lambda: get_elsewhere(two)["w1"] == 0.4)
-        assert get_elsewhere(one)["w1"] == 0.0
+        await wait_until(lambda: get_waits_elsewhere(two)["w1"] == 0.4)
+        assert get_waits_elsewhere(one)["w1"] == 0.0
         upstream.performance.waiting_s = 0.0
-        await wait_until(lambda: get_elsewhere(two)["w1"] == 0.0)
+        await wait_until(lambda: get_waits_elsewhere(two)["w1"] == 0.0)
 
 
 async def test_what_a_stopped_gateway_told_is_forgotten():
-    # A gateway is killed while it has requests waiting. What it told last
-    # must not keep others away from those upstreams for ever.
+    # A gateway is killed while it has requests waiting. Its last report must
+    # expire: else the other gateways would avoid these upstreams for ever.
     async with run_pair() as (pair, (one, two)):
         one.get_ready("pool")[0].performance.waiting_s = 0.4
-        await wait_until(lambda: get_elsewhere(two)["w1"] == 0.4)
+        await wait_until(lambda: get_waits_elsewhere(two)["w1"] == 0.4)
         await pair[0].stop()
-        await asyncio.sleep(HEARD_FOR_S)
-        await wait_until(lambda: get_elsewhere(two)["w1"] == 0.0)
+        await asyncio.sleep(REPORT_TTL_S)
+        await wait_until(lambda: get_waits_elsewhere(two)["w1"] == 0.0)
 
 
 async def test_datagrams_of_others_change_nothing():
+    # Datagrams that are no valid reports must be dropped without an effect.
     async with run_pair() as (pair, (_, two)):
-        for data in (b"", b"x", KIND + bytes(12) + b"abc", bytes(40)):
-            pair[1]._socket.take(data, ("127.0.0.1", 1))
-        assert set(get_elsewhere(two).values()) == {0.0}
+        for data in (b"", b"x", DATAGRAM_KIND + bytes(12) + b"abc", bytes(40)):
+            pair[1]._socket.dispatch(data, ("127.0.0.1", 1))
+        assert set(get_waits_elsewhere(two).values()) == {0.0}
 
 
 async def test_late_datagrams_do_not_undo_newer_ones():
+    # Datagrams may arrive out of order: an older report must be ignored.
     async with run_pair() as (pair, (one, two)):
         sent = []
         pair[0]._socket.send = lambda kind, data, peer: sent.append(data)
         for wait_s in (0.9, 0.1):
             one.get_ready("pool")[0].performance.waiting_s = wait_s
             pair[0]._send()
-        pair[1].take(sent[1], ("127.0.0.1", 1))
-        pair[1].take(sent[0], ("127.0.0.1", 1))
-        assert get_elsewhere(two)["w1"] == 0.1
+        pair[1].apply_report(sent[1], ("127.0.0.1", 1))
+        pair[1].apply_report(sent[0], ("127.0.0.1", 1))
+        assert get_waits_elsewhere(two)["w1"] == 0.1
 
 
 def test_requests_avoid_an_upstream_that_others_have_filled():
@@ -145,30 +147,34 @@
 
 @pytest.mark.parametrize(("zones", "per_zone"), [(6, 12), (16, 25)])
 def test_many_gateways_tell_their_zone(zones, per_zone):
-    # What is told to all is told seldom: 0.7 s old with 68 gateways, 4 s with
-    # 390. A zone is told three to ten times as often, with no more datagrams.
+    # Reports to all gateways are rare: they are 0.7 s old with 68 gateways and
+    # 4 s old with 390. Reports to the gateways of one zone are three to ten
+    # times as frequent, with no more datagrams.
     peers = make_peers(zones, per_zone)
-    chosen = choose_neighbours(peers.keys(), peers, "z1")
+    chosen = choose_gossip_targets(peers.keys(), peers, "z1")
     assert {peers[peer] for peer in chosen.peers} == {"z1"}
     assert chosen.ratio == zones
-    assert PERIOD_S * len(chosen.peers) / PEERS_PER_PERIOD <= 0.25
+    assert REPORT_INTERVAL_S * len(chosen.peers) / PEERS_PER_INTERVAL <= 0.25
 
 
 def test_few_gateways_tell_all():
     peers = make_peers(5, 2)
-    assert choose_neighbours(peers.keys(), peers, "z1").peers == peers.keys()
+    assert (
+        choose_gossip_targets(peers.keys(), peers, "z1").peers == peers.keys()
+    )
 
 
 def test_a_zone_with_few_gateways_is_told_by_all():
     peers = make_peers(6, 12)
-    chosen = choose_neighbours(peers.keys(), peers, "elsewhere")
+    chosen = choose_gossip_targets(peers.keys(), peers, "elsewhere")
     assert chosen.peers == peers.keys()
     assert chosen.ratio == 1.0
 
 
 def test_a_zone_stands_for_all():
-    # Twelve gateways here have 0.02 s waiting each at an upstream, and so have
-    # those of the other zones, who do not tell it here, or told it long ago.
+    # Each of twelve gateways in this zone has a queue time of 0.02 s at an
+    # upstream, and so have the gateways of the other zones, which sent no
+    # report to this zone or sent one long ago.
     rotation = make_rotation()
     peers = make_peers(6, 12)
     socket = PeerSocket("10.1.0.200:9", Exposition())
@@ -176,14 +182,14 @@
     gossip = Gossip("edge", "z1", socket, rotation)
     for peer, zone in peers.items():
         gossip.note_zone(peer, zone)
-        teller = Gossip(str(peer), zone, socket, make_rotation())
-        upstream = teller._rotation.get_ready("pool")[0]
+        reporter = Gossip(str(peer), zone, socket, make_rotation())
+        upstream = reporter._rotation.get_ready("pool")[0]
         upstream.performance.waiting_s = 0.02
         sent = []
         socket.send = lambda kind, data, to, sent=sent: sent.append(data)
-        teller._send()
-        run_in_loop(gossip.take, sent[0], peer)
-    assert get_elsewhere(rotation)["w1"] == pytest.approx(72 * 0.02)
+        reporter._send()
+        run_in_loop(gossip.apply_report, sent[0], peer)
+    assert get_waits_elsewhere(rotation)["w1"] == pytest.approx(72 * 0.02)
 
 
 def run_in_loop(call, *arguments):
@@ -194,25 +200,26 @@
 
 
 async def test_gateways_of_other_zones_are_told_from_time_to_time(monkeypatch):
-    # They would forget this gateway, and not know it as one that watches.
-    monkeypatch.setattr(gossips, "ALIVE_S", 0.3)
+    # Without these reports the other zones would remove this gateway from their
+    # peers, and would not count it among the watchers.
+    monkeypatch.setattr(gossip_module, "KEEPALIVE_INTERVAL_S", 0.3)
     peers = make_peers(6, 12)
     socket = PeerSocket("10.1.0.200:9", Exposition())
     socket.peers = set(peers)
-    told = []
-    socket.send = lambda kind, data, peer: told.append(peer)
+    receivers = []
+    socket.send = lambda kind, data, peer: receivers.append(peer)
     gossip = Gossip("edge", "z1", socket, make_rotation())
     for peer, zone in peers.items():
         gossip.note_zone(peer, zone)
     await gossip.start()
     try:
-        await wait_until(lambda: told.count(("10.3.0.1", 9)) >= 2)
+        await wait_until(lambda: receivers.count(("10.3.0.1", 9)) >= 2)
     finally:
         await gossip.stop()
 
 
 @given(
-    told=st.lists(
+    reports=st.lists(
         st.tuples(
             st.integers(0, 3),
             st.dictionaries(st.integers(0, 5), st.integers(0, 9)),
@@ -220,23 +227,25 @@
         max_size=40,
     )
 )
-def test_sums_are_those_of_what_each_gateway_told_last(told):
+def test_sums_are_those_of_what_each_gateway_told_last(reports):
     waits, newest = ToldWaits(), {}
-    for gateway, own in told:
-        waits.replace(gateway, own)
-        newest[gateway] = own
+    for gateway, report in reports:
+        waits.replace(gateway, report)
+        newest[gateway] = report
     for name in range(6):
-        expected = sum(own.get(name, 0) for own in newest.values())
+        expected = sum(report.get(name, 0) for report in newest.values())
         assert waits.get(name) == expected
 
 
 def test_a_datagram_costs_what_it_names_not_all_upstreams(monkeypatch):
-    # Guards against gateways that are busy with each other's datagrams where
-    # there are thousands of upstreams.
-    named = []
-    short_name = gossips._get_short_name
+    # Guards against gateways whose CPU is used up by each other's datagrams
+    # where there are thousands of upstreams.
+    hash_calls = []
+    get_name_hash = gossip_module._get_name_hash
     monkeypatch.setattr(
-        gossips, "_get_short_name", lambda u: named.append(1) or short_name(u)
+        gossip_module,
+        "_get_name_hash",
+        lambda upstream: hash_calls.append(1) or get_name_hash(upstream),
     )
 
     async def run():
@@ -250,10 +259,10 @@
         )
         busy = rotation.get_ready("pool")[7]
         for sequence in range(1, 101):
-            entry = gossips._ENTRY.pack(short_name(busy), sequence)
-            head = gossips._HEAD.pack(99, sequence, 1)
-            gossip.take(head + b"a" + entry, ("10.0.0.2", 7000))
+            entry = gossip_module._ENTRY.pack(get_name_hash(busy), sequence)
+            head = gossip_module._HEAD.pack(99, sequence, 1)
+            gossip.apply_report(head + b"a" + entry, ("10.0.0.2", 7000))
         assert busy.performance.waiting_elsewhere_s == pytest.approx(0.1)
 
     asyncio.run(run())
-    assert len(named) <= 2 * 2000
+    assert len(hash_calls) <= 2 * 2000
--- a/tests/test_gateway_narrow_links.py
+++ b/tests/test_gateway_narrow_links.py
@@ -1,4 +1,4 @@
-"""Records of the store that a narrow link carries only slowly."""
+"""Tests records of the store that arrive slowly over a slow link."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 LINK_BYTES_PER_S = 100_000
 TRANSFER_S = 2 * SILENCE_S
 LARGE = b"x" * int(LINK_BYTES_PER_S * TRANSFER_S)
-"""Takes twice as long as a silent store is waited for."""
+"""A value whose transfer takes twice the inactivity timeout of a read."""
 SLACK_S = 0.7
 
 
 async def test_record_that_takes_longer_than_a_silence_may_is_read():
-    # Guards against reads that are cut and begun anew for ever, so that the
-    # newest configuration never comes into force.
+    # Guards against reads that are aborted and started again for ever, so that
+    # the newest configuration never comes into force.
     async with run_store() as (store, client):
         async with run_feed(client) as (_, listener):
             await wait_until(lambda: listener.proofs)
@@ -40,22 +40,27 @@
 
 
 async def test_gateway_begins_with_a_record_that_takes_long():
-    # Guards against a gateway that starts anew and is never ready.
+    # Guards against a gateway that never becomes ready after a start, because
+    # its first read is aborted each time.
     async with run_store() as (store, client):
         store.put(TOPIC, "config", LARGE)
         store.faults.bytes_per_s = LINK_BYTES_PER_S
         async with run_feed(client) as (feed, listener):
-            # In the answer the record is written in text, by a third longer.
+            # The first answer encodes the record as text, which is longer by a
+            # third.
             await wait_until(lambda: listener.records, 4 * TRANSFER_S)
             assert feed.is_synced
 
 
 async def test_answer_that_is_arriving_is_not_given_up_for_the_stores_return():
-    # Guards against a transfer that is cut whenever another topic's feed has
-    # the store back.
+    # Guards against a transfer that is aborted whenever another topic's feed
+    # detects the store's recovery.
     async with run_store() as (store, client):
-        back = StoreReturn()
-        async with run_feed(client, store_return=back) as (feed, listener):
+        recovery = StoreReturn()
+        async with run_feed(client, store_recovery=recovery) as (
+            feed,
+            listener,
+        ):
             await wait_until(lambda: listener.proofs)
             store.faults.outage = "503"
             await wait_until(lambda: feed.get_lost_age_s(0.0) is not None)
@@ -64,13 +69,13 @@
             store.faults.outage = ""
             await wait_until(lambda: client.is_receiving)
             await asyncio.sleep(TRANSFER_S / 2)
-            back.tell()
-            # Begun anew, it would take its whole time again.
+            recovery.notify_feeds()
+            # If started again, the transfer would take its whole time again.
             await wait_until(lambda: listener.records, 0.8 * TRANSFER_S)
 
 
 async def test_answer_that_stops_midway_is_given_up_soon():
-    # Guards against waiting for ever on a connection that went silent.
+    # Guards against waiting for ever on a connection that stopped sending.
     async with run_store() as (store, client):
         store.put(TOPIC, "config", LARGE)
         store.faults.bytes_per_s = LINK_BYTES_PER_S
@@ -87,7 +92,8 @@
 
 
 async def test_records_that_have_arrived_count_though_the_rest_is_lost():
-    # Guards against losing a whole record because the next one breaks off.
+    # Guards against the loss of a complete record because the transfer of the
+    # next one is interrupted.
     async with run_store() as (store, client):
         async with run_feed(client) as (_, listener):
             await wait_until(lambda: listener.proofs)
@@ -104,8 +110,8 @@
 
 
 async def test_followers_read_a_large_record_while_their_watcher_does():
-    # Guards against a change that comes into force one transfer later at
-    # followers than at their watcher.
+    # Guards against a change that comes into force at the followers one
+    # transfer time later than at their watcher.
     async with run_gateways() as (store, watcher, follower):
         store.faults.bytes_per_s = LINK_BYTES_PER_S
         proofs, calls = len(watcher.listener.proofs), follower.calls
@@ -115,8 +121,8 @@
         await wait_until(lambda: follower.listener.records, 4 * TRANSFER_S)
 
 
-class ToldWatch:
-    """Stands in for a watcher that has read further than the store shows."""
+class FakeRelay:
+    """Reports a watcher's state that is ahead of the store's answers."""
 
     watch_wait_s = 0.2
 
@@ -126,24 +132,25 @@
     def get_mode(self):
         return RelayMode.FOLLOWER
 
-    async def wait_state(self, topic):
+    async def wait_for_state(self, topic):
         await asyncio.sleep(0.05)
         return RelayedState(self.end, get_elapsed_s(), None, True)
 
-    def tell_news(self):
-        """Nobody follows."""
+    def notify_followers(self):
+        """Does nothing: there are no followers."""
 
 
 async def test_read_that_lacks_what_a_watcher_has_read_proves_nothing():
-    # Guards against trust in an old configuration while reads show the past.
+    # Guards against accepting an old configuration as current while the store
+    # answers from an outdated copy.
     async with run_store() as (store, client):
         store.put(TOPIC, "config", b"old")
-        watch = ToldWatch(1)
-        async with run_feed(client, watch=watch) as (_, listener):
+        relay = FakeRelay(1)
+        async with run_feed(client, relay=relay) as (_, listener):
             await wait_until(lambda: listener.proofs)
             store.faults.stale_by = 1
             store.put(TOPIC, "config", b"new")
-            watch.end = 2
+            relay.end = 2
             await asyncio.sleep(0.2)
             proofs = len(listener.proofs)
             await asyncio.sleep(0.3)
@@ -154,8 +161,8 @@
 
 
 async def test_configuration_that_is_overdue_is_not_served_by_the_old_one():
-    # Guards against use of a route that was taken away by a configuration
-    # that is known of and does not arrive.
+    # Guards against the use of a route that was removed by a configuration
+    # whose existence is known but whose content has not arrived.
     async with run_stage() as stage:
         gateway = stage.gateway
         assert (await stage.call("/open/x")).status == 200
@@ -168,7 +175,8 @@
         assert refused.status == 503
         assert float(refused.headers["retry-after"]) > 0
         assert not await stage.is_ready()
-        # The store goes away: nothing is known to be within reach any more.
+        # The store becomes unavailable: a newer configuration no longer counts
+        # as readable.
         stage.store.faults.outage = "503"
         await asyncio.sleep(NEWS_S + 0.2)
         assert (await stage.call("/open/x")).status == 200
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -1,4 +1,4 @@
-"""Gateways that watch the store for others."""
+"""Tests the relay of the store's state from watchers to followers."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from lab.metadata_store import MetadataStore
 from lab.ports import get_free_port
 from lab.server import start_app
-from lovagestage.gateway import gossip as gossips
-from lovagestage.gateway import relay as relays
-from lovagestage.gateway import watchers as watchers_of
+from lovagestage.gateway import gossip as gossip_module
+from lovagestage.gateway import relay as relay_module
+from lovagestage.gateway import watchers as watchers_module
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.exposition import Exposition
 from lovagestage.gateway.feeds import TopicFeed, TopicReading
-from lovagestage.gateway.gossip import ALIVE_S
-from lovagestage.gateway.peers import FORGET_S, PeerSocket
-from lovagestage.gateway.relay import MIN_GATEWAYS, Relay, RelayMode
+from lovagestage.gateway.gossip import KEEPALIVE_INTERVAL_S
+from lovagestage.gateway.peers import PEER_EXPIRY_S, PeerSocket
+from lovagestage.gateway.relay import MIN_RELAY_GATEWAYS, Relay, RelayMode
 from lovagestage.gateway.relay_messages import (
     MAX_DATAGRAM_BYTES,
-    Answer,
-    News,
+    StateResponse,
     TopicState,
+    UpdateNotification,
     split_records,
 )
 from lovagestage.gateway.settings import Bounds
@@ -38,12 +38,13 @@
 from tests.test_gateway_gossip import run_pair
 
 BOUND_S = 3.0
-"""Rounds of 0.6 s: what comes at once is told from what comes with the next."""
-ROUND_S = relays.PERIOD_RATIO * BOUND_S + relays.ANSWER_S
+"""Time limit for a change, with queries every 0.6 s: long enough to distinguish
+an effect that is immediate from one that comes with the next query."""
+ROUND_S = relay_module.PERIOD_RATIO * BOUND_S + relay_module.RESPONSE_TIMEOUT_S
 
 
 class Gateway:
-    """The parts of a gateway that learn what is in the store."""
+    """The components of a gateway that read the store."""
 
     def __init__(self, store_port):
         self.exposition = Exposition()
@@ -77,21 +78,21 @@
 
 @contextlib.asynccontextmanager
 async def run_gateways():
-    """A store, a watcher and a follower that know of each other."""
+    """Runs a store, a watcher and a follower that are peers of each other."""
     store = MetadataStore()
     runner, port = await start_app(store.make_app(), "127.0.0.1", 0)
     pair = sorted(
         (Gateway(port), Gateway(port)),
-        key=lambda each: watchers_of.get_rank(each.socket.own),
+        key=lambda each: watchers_module.get_rank(each.socket.own),
     )
     pair[0].name, pair[1].name = "watcher", "follower"
-    add_others(pair)
+    add_fake_peers(pair)
     for gateway in pair:
         for service in gateway.services:
             await service.start()
     try:
         await wait_until(lambda: all(g.listener.proofs for g in pair))
-        await wait_until(lambda: TOPIC in pair[1].relay._round.states)
+        await wait_until(lambda: TOPIC in pair[1].relay._last_round.states)
         await asyncio.sleep(0.1)
         yield store, *pair
     finally:
@@ -100,24 +101,30 @@
         await runner.cleanup()
 
 
-def add_others(pair):
-    # The others are far down in the ranks: of the two first, one watches.
-    limit = watchers_of.get_rank(pair[1].socket.own)
-    found = [
+def add_fake_peers(pair):
+    # The other peers rank after the pair, so that one of the pair is the
+    # watcher.
+    max_rank = watchers_module.get_rank(pair[1].socket.own)
+    fake_peers = [
         ("127.0.0.1", port)
         for port in range(1, 60_000)
-        if watchers_of.get_rank(("127.0.0.1", port)) > limit
+        if watchers_module.get_rank(("127.0.0.1", port)) > max_rank
     ]
     for gateway, other in zip(pair, reversed(pair), strict=True):
-        gateway.socket.peers |= {other.socket.own, *found[: MIN_GATEWAYS - 2]}
+        gateway.socket.peers |= {
+            other.socket.own,
+            *fake_peers[: MIN_RELAY_GATEWAYS - 2],
+        }
 
 
 @pytest.fixture(autouse=True)
 def one_watcher(monkeypatch):
-    monkeypatch.setattr(watchers_of, "MIN_WATCHERS", 1)
+    monkeypatch.setattr(watchers_module, "MIN_WATCHERS", 1)
 
 
 async def test_follower_asks_the_store_nothing_while_nothing_changes():
+    # Guards against calls to the store from followers without a change, and
+    # against freshness confirmations that are too old.
     async with run_gateways() as (_, watcher, follower):
         assert watcher.relay.get_mode() is RelayMode.WATCHER
         assert follower.relay.get_mode() is RelayMode.FOLLOWER
@@ -127,7 +134,12 @@
         assert follower.calls == calls
         assert len(follower.listener.proofs) >= proofs + 2
         age_s = get_elapsed_s() - follower.listener.proofs[-1]
-        assert age_s < relays.WATCH_RATIO * BOUND_S + relays.SLACK_S + ROUND_S
+        assert (
+            age_s
+            < relay_module.WATCH_RATIO * BOUND_S
+            + relay_module.SLACK_S
+            + ROUND_S
+        )
 
 
 async def test_change_reaches_a_follower_at_once():
@@ -144,24 +156,24 @@
 
 
 async def test_change_reaches_a_follower_whose_news_are_lost():
-    # The datagram that tells of the change is lost. The next answer tells
-    # how far the topic goes, and the follower reads the store.
+    # The datagram that notifies of the change is lost. The next response states
+    # the new end of the topic, and the follower reads the store.
     async with run_gateways() as (store, watcher, follower):
         send = watcher.relay._send
 
-        def send_most(message, peer):
-            if not isinstance(message, News):
+        def send_all_but_updates(message, peer):
+            if not isinstance(message, UpdateNotification):
                 send(message, peer)
 
-        watcher.relay._send = send_most
+        watcher.relay._send = send_all_but_updates
         store.put(TOPIC, "config", b"new")
         await wait_until(lambda: follower.listener.records, ROUND_S + 0.5)
 
 
 async def test_follower_reads_the_store_when_its_watcher_is_gone():
     # The watcher's process is killed, and the configuration changes. The
-    # follower gets no answer, reads the store in the same round, and goes on
-    # as a watcher itself.
+    # follower receives no response, reads the store in the same round, and
+    # becomes a watcher itself.
     async with run_gateways() as (store, watcher, follower):
         await watcher.stop()
         store.put(TOPIC, "config", b"new")
@@ -184,29 +196,32 @@
 
 
 async def test_follower_does_not_rely_on_a_watcher_without_the_store():
-    # The store turns the watcher's VM away and serves the follower. A key is
-    # taken away meanwhile. The watcher's proof grows old; the follower must
-    # notice before a change is overdue, and read the store itself.
+    # The store rejects the watcher's VM and serves the follower. A key is
+    # revoked meanwhile. The watcher's freshness confirmation becomes too old;
+    # the follower must detect that before a change is overdue, and read the
+    # store itself.
     async with run_gateways() as (store, watcher, follower):
         watcher.client._address = "127.0.0.1:1"
         watcher.client.close()
         store.put(TOPIC, "config", b"new")
-        limit_s = relays.WATCH_RATIO * BOUND_S + relays.SLACK_S + ROUND_S
+        limit_s = (
+            relay_module.WATCH_RATIO * BOUND_S + relay_module.SLACK_S + ROUND_S
+        )
         await wait_until(lambda: follower.listener.records, limit_s + 0.5)
         assert not watcher.listener.records
 
 
 async def test_proof_counts_from_the_question():
-    # The watcher makes its answer and is paused before it is sent. A key is
-    # taken away in between. Were the proof dated when the answer arrives, the
-    # follower would trust the key for longer than allowed.
+    # The watcher makes its response and is paused before it sends it. A key is
+    # revoked in between. If the freshness confirmation were dated to the
+    # response's arrival, the follower would accept the key for too long.
     async with run_gateways() as (_, watcher, follower):
         send = watcher.relay._send
         loop = asyncio.get_running_loop()
         made_s = []
 
         def send_late(message, peer):
-            if isinstance(message, Answer):
+            if isinstance(message, StateResponse):
                 made_s.append(get_elapsed_s())
                 loop.call_later(0.2, send, message, peer)
 
@@ -215,26 +230,29 @@
         before = len(follower.listener.proofs)
         await wait_until(lambda: len(follower.listener.proofs) > before)
         assert follower.listener.proofs[-1] <= made_s[-1]
-        # What the watcher itself has proved is the latest that can be known.
+        # The follower's confirmation can't be later than the watcher's own one.
         assert follower.listener.proofs[-1] <= watcher.listener.proofs[-1]
 
 
 async def test_answer_to_an_earlier_question_proves_nothing():
-    # It arrives after the next question was sent: dated by that one, its
-    # proof would be too young.
+    # The response arrives after the next query was sent. If it were dated by
+    # that query, its freshness confirmation would appear too recent.
     async with run_gateways() as (_, watcher, follower):
         watcher.relay._send = lambda message, peer: None
-        await wait_until(lambda: follower.relay._answer is not None)
-        number = follower.relay._number
-        late = Answer(number - 1, (TopicState(TOPIC, 0, 0, None),))
-        follower.relay._on_answer(late)
-        assert not follower.relay._answer.done()
+        await wait_until(lambda: follower.relay._pending_response is not None)
+        number = follower.relay._query_number
+        late_response = StateResponse(
+            number - 1, (TopicState(TOPIC, 0, 0, None),)
+        )
+        follower.relay._on_response(late_response)
+        assert not follower.relay._pending_response.done()
 
 
 async def test_follower_knows_of_an_outage_that_it_did_not_see():
-    # The store is away for a moment in which the follower asks it nothing.
-    # Entries of upstreams lapse meanwhile; their removal must not be taken
-    # for a leave, so the follower has to learn of the outage.
+    # The store is unavailable for a moment in which the follower does not call
+    # it. Entries of upstreams expire meanwhile. Their removal must not be taken
+    # for a departure of the upstreams, so the follower must learn of the
+    # outage.
     async with run_gateways() as (store, watcher, follower):
         calls = follower.calls
         store.faults.outage = "503"
@@ -249,12 +267,14 @@
 
 
 async def test_few_gateways_read_the_store_themselves():
+    # With few gateways, watchers would cost the store more reads than they
+    # save.
     socket = PeerSocket("127.0.0.1:1", Exposition())
     relay = Relay(socket, BOUND_S, Exposition())
-    for port in range(2, MIN_GATEWAYS):
+    for port in range(2, MIN_RELAY_GATEWAYS):
         socket.add_peer(f"127.0.0.1:{port}")
         assert relay.get_mode() is RelayMode.ALONE
-    socket.add_peer(f"127.0.0.1:{MIN_GATEWAYS}")
+    socket.add_peer(f"127.0.0.1:{MIN_RELAY_GATEWAYS}")
     assert relay.get_mode() is not RelayMode.ALONE
 
 
@@ -262,28 +282,32 @@
     ("gateways", "watchers"), [(8, 2), (32, 2), (33, 3), (390, 25)]
 )
 def test_all_gateways_find_the_same_watchers(monkeypatch, gateways, watchers):
-    monkeypatch.setattr(watchers_of, "MIN_WATCHERS", 2)
+    monkeypatch.setattr(watchers_module, "MIN_WATCHERS", 2)
+    # Guards against gateways that choose different watchers, and against an
+    # uneven distribution of followers over the watchers.
     addresses = [f"127.0.0.1:{port}" for port in range(1, gateways + 1)]
-    found = []
-    asked = []
+    watcher_lists = []
+    queried = []
     for own in addresses:
         socket = PeerSocket(own, Exposition())
         for each in addresses:
             socket.add_peer(each)
         relay = Relay(socket, BOUND_S, Exposition())
-        found.append(tuple(relay.watchers.get(get_elapsed_s())))
+        watcher_lists.append(
+            tuple(relay.watchers.get_watchers(get_elapsed_s()))
+        )
         if relay.get_mode() is RelayMode.FOLLOWER:
-            asked.append(relay.watchers.choose(get_elapsed_s()))
-    assert len(set(found)) == 1
-    assert len(found[0]) == watchers
-    assert set(asked) == set(found[0])
-    most = max(asked.count(each) for each in set(asked))
-    assert most <= 2.5 * watchers_of.FOLLOWERS
+            queried.append(relay.watchers.choose_watcher(get_elapsed_s()))
+    assert len(set(watcher_lists)) == 1
+    assert len(watcher_lists[0]) == watchers
+    assert set(queried) == set(watcher_lists[0])
+    most_followers = max(queried.count(each) for each in set(queried))
+    assert most_followers <= 2.5 * watchers_module.GATEWAYS_PER_WATCHER
 
 
 async def test_gateway_is_known_by_its_datagrams():
-    # The store has forgotten the notes of gateways that have run for long. A
-    # gateway that has just started learns of them when they send to it.
+    # The store has dropped the messages of gateways that have run for long. A
+    # gateway that has just started learns of them by their datagrams.
     one, two = (
         PeerSocket(f"127.0.0.1:{get_free_port()}", Exposition())
         for _ in range(2)
@@ -294,7 +318,7 @@
     try:
         one.send(b"kind", b"", two.own)
         await wait_until(lambda: one.own in two.peers)
-        two.take(b"none of ours", ("127.0.0.1", 9))
+        two.dispatch(b"none of ours", ("127.0.0.1", 9))
         assert two.peers == {one.own}
     finally:
         for socket in (one, two):
@@ -302,8 +326,8 @@
 
 
 async def test_connection_that_was_idle_is_not_used_again(monkeypatch):
-    # A follower's connection to the store went silent long ago, unnoticed.
-    # A call on it would time out before the change is read.
+    # A follower's connection to the store broke long ago without being
+    # detected. A call on it would time out before the change is read.
     monkeypatch.setattr("lovagestage.gateway.feeds.IDLE_LIMIT_S", 0.1)
     async with run_gateways() as (store, _, follower):
         await asyncio.sleep(0.5)
@@ -315,38 +339,40 @@
 
 
 async def test_gateways_that_were_replaced_are_forgotten():
-    # VMs are replaced all day. Were their addresses kept, datagrams would go
-    # to ever more of them, and the first ranks would hold none that watches.
+    # VMs are replaced all the time. If their addresses were retained, datagrams
+    # would be sent to more and more of them, and the first ranks would contain
+    # only gateways that no longer exist.
     socket = PeerSocket("127.0.0.1:1", Exposition())
     socket.register(b"kind", lambda data, sender: None)
     for port in (2, 3):
         socket.add_peer(f"127.0.0.1:{port}")
     start_s = get_elapsed_s()
-    socket.expire(start_s + FORGET_S - 1)
+    socket.expire(start_s + PEER_EXPIRY_S - 1)
     assert len(socket.peers) == 2
-    socket._heard_s[("127.0.0.1", 2)] -= FORGET_S
-    socket._heard_s[("127.0.0.1", 3)] -= FORGET_S
-    socket.take(b"kind", ("127.0.0.1", 3))
+    socket._last_received_s[("127.0.0.1", 2)] -= PEER_EXPIRY_S
+    socket._last_received_s[("127.0.0.1", 3)] -= PEER_EXPIRY_S
+    socket.dispatch(b"kind", ("127.0.0.1", 3))
     socket.expire(get_elapsed_s() + 1)
     assert socket.peers == {("127.0.0.1", 3)}
 
 
 async def test_idle_gateway_is_not_taken_for_gone(monkeypatch):
-    # It has nothing waiting and so nothing to tell. It says that it is there,
-    # well before the others forget it.
-    monkeypatch.setattr(gossips, "ALIVE_S", 0.3)
+    # A gateway without waiting requests has nothing to report. It must send a
+    # keep-alive report long before the other gateways remove it.
+    monkeypatch.setattr(gossip_module, "KEEPALIVE_INTERVAL_S", 0.3)
     async with run_pair() as (pair, _):
         sent = []
         pair[0]._socket.send = lambda kind, data, peer: sent.append(peer)
         await wait_until(lambda: len(sent) >= 2)
-    assert 5 * ALIVE_S <= FORGET_S
+    assert 5 * KEEPALIVE_INTERVAL_S <= PEER_EXPIRY_S
 
 
 @pytest.mark.parametrize("revoke_s", [1.5, 2.5, 5.0, 60.0])
 def test_keys_outlast_the_loss_of_the_store_at_followers(revoke_s):
-    # The store is lost just before a follower's next question. The proof that
-    # it has then was told by a watcher and is as old as can be; callers with
-    # a key must be served for three fifths of the bound on keys all the same.
+    # The store becomes unavailable just before a follower's next query. The
+    # follower's freshness confirmation came from a watcher and has the maximum
+    # age. Callers with a key must nevertheless be served for three fifths of
+    # the time limit for revoking a key.
     bounds = Bounds(
         revoke_s, 4.0, 3.0, 9.0, 8.0, 0.9, 0.1, 30.0, 5.0, 10.0, 54.0
     )
@@ -355,26 +381,28 @@
     relay = Relay(
         PeerSocket("127.0.0.1:1", Exposition()), bound_s, Exposition()
     )
-    oldest_s = relay.watch_wait_s + relays.SLACK_S + relay._period_s
+    oldest_s = (
+        relay.watch_wait_s + relay_module.SLACK_S + relay._query_interval_s
+    )
     trust = Trust(revoke_s, 4.0)
     trust.note_proof(0.0)
     assert trust.holds(oldest_s + 0.599 * revoke_s)
 
 
-def change_reading(feed, **fields):
-    feed._reading = dataclasses.replace(feed._reading, **fields)
+def change_options(feed, **fields):
+    feed._options = dataclasses.replace(feed._options, **fields)
 
 
-def tell_records(gateways):
+def enable_relayed_records(gateways):
     for gateway in gateways:
-        change_reading(gateway.feed, is_told=True)
+        change_options(gateway.feed, is_told=True)
 
 
 async def test_follower_gets_what_is_new_from_its_watcher():
     # Upstreams are replaced one after the other. Each change would cost the
-    # store a call of every follower; the answer brings the records instead.
+    # store a call from every follower; the watcher sends the records instead.
     async with run_gateways() as (store, watcher, follower):
-        tell_records((watcher, follower))
+        enable_relayed_records((watcher, follower))
         calls = follower.calls
         for number in range(8):
             store.put(TOPIC, f"u{number}", b"x" * 400)
@@ -386,31 +414,31 @@
 
 
 async def test_records_that_overtake_others_wait_for_them():
-    # The second datagram arrives first, and the answer between the two.
+    # The second datagram with records arrives before the first one.
     async with run_gateways() as (_, watcher, follower):
-        tell_records((watcher, follower))
+        enable_relayed_records((watcher, follower))
         await asyncio.sleep(ROUND_S)
-        calls, first = follower.calls, follower.feed.get_end()
-        late = [Record(first + n, "u", b"%d" % n) for n in range(4)]
-        follower.feed.take_records(late[2:], None)
+        calls, first = follower.calls, follower.feed.get_known_end()
+        records = [Record(first + n, "u", b"%d" % n) for n in range(4)]
+        follower.feed.apply_relayed_records(records[2:], None)
         assert not follower.listener.records
-        follower.feed.take_records(late[:2], None)
+        follower.feed.apply_relayed_records(records[:2], None)
         assert [v for _, v in follower.listener.records] == [
             b"0",
             b"1",
             b"2",
             b"3",
         ]
-        follower.feed.take_records(late, None)
+        follower.feed.apply_relayed_records(records, None)
         assert len(follower.listener.records) == 4
         assert follower.calls == calls
 
 
 async def test_follower_reads_the_store_for_records_that_are_lost():
-    # The datagram with the records is lost; the answer arrives and tells that
-    # there is something new.
+    # The datagram with the records is lost. The response arrives and states
+    # that there are new records.
     async with run_gateways() as (store, watcher, follower):
-        tell_records((watcher, follower))
+        enable_relayed_records((watcher, follower))
         watcher.relay._send_records = lambda *_: None
         store.put(TOPIC, "config", b"new")
         await wait_until(lambda: follower.listener.records, 0.5)
@@ -418,21 +446,23 @@
 
 
 async def test_records_with_callers_keys_are_not_told():
+    # Guards against callers' keys in datagrams between gateways.
     async with run_gateways() as (store, watcher, follower):
         calls = follower.calls
-        assert watcher.feed.get_records(0) == ()
+        assert watcher.feed.get_recent_records(0) == ()
         store.put(TOPIC, "config", b"new")
         await wait_until(lambda: follower.listener.records, 0.5)
         assert follower.calls > calls
 
 
 async def test_a_watchers_proof_stays_sound_while_there_is_news():
-    # A record comes every 0.3 s. Each held read that returns one proves
-    # nothing later than its sending; were the next one held as well, the
-    # follower would find the proof too old and read the store each time.
+    # A record is appended every 0.3 s. Each held read that returns one confirms
+    # freshness only for the time at which it was sent. If the next read were
+    # held as well, the follower would find the confirmation too old and read
+    # the store each time.
     async with run_gateways() as (store, watcher, follower):
-        tell_records((watcher, follower))
-        change_reading(watcher.feed, pause_s=1.0)
+        enable_relayed_records((watcher, follower))
+        change_options(watcher.feed, pause_s=1.0)
         calls = follower.calls
         for number in range(10):
             store.put(TOPIC, f"u{number}", b"new")
@@ -443,17 +473,18 @@
 def test_records_are_parted_by_datagram():
     sizes = [300] * 10 + [MAX_DATAGRAM_BYTES + 1, 300]
     records = [Record(n, "", b"x" * size) for n, size in enumerate(sizes)]
-    parts = split_records(records)
-    assert [r for part in parts for r in part] == records[:10]
-    for part in parts:
-        total = sum(len(r.value) for r in part)
-        assert total <= MAX_DATAGRAM_BYTES
+    groups = split_records(records)
+    assert [r for group in groups for r in group] == records[:10]
+    for group in groups:
+        total_bytes = sum(len(r.value) for r in group)
+        assert total_bytes <= MAX_DATAGRAM_BYTES
 
 
 def test_followers_of_a_watcher_without_the_store_ask_another_watcher():
-    # The store turns the VM of a watcher away. It goes on answering, with a
-    # proof that grows old, and each of its followers would read the store
-    # itself in each round until the watcher has it back.
+    # The store rejects the VM of a watcher. The watcher still responds, with a
+    # freshness confirmation that becomes too old, and each of its followers
+    # would read the store itself in each round until the watcher can read the
+    # store again.
     exposition = Exposition()
     socket = PeerSocket("127.0.0.1:1", exposition)
     for port in range(2, 69):
@@ -469,28 +500,34 @@
             relay,
         )
     )
-    ranked = sorted([socket.own, *socket.peers], key=watchers_of.get_rank)
+    ranked = sorted([socket.own, *socket.peers], key=watchers_module.get_rank)
     watchers = ranked[:5]
-    lost = relay.watchers.choose(get_elapsed_s())
-    assert lost in watchers
-    blind = Answer(1, (TopicState(TOPIC, 7, 5000, 4000),))
-    relay._note_answer(lost, blind)
-    asked = relay.watchers.choose(get_elapsed_s())
-    assert asked in watchers
-    assert asked != lost
-    relay._note_answer(asked, Answer(2, (TopicState(TOPIC, 7, 400, 4000),)))
-    relay._note_answer(asked, Answer(3, (TopicState(TOPIC, 7, 5000, None),)))
-    assert relay.watchers.choose(get_elapsed_s()) == asked
-    # When all have lost it, it is the store: none stands in for them.
+    first_choice = relay.watchers.choose_watcher(get_elapsed_s())
+    assert first_choice in watchers
+    store_lost = StateResponse(1, (TopicState(TOPIC, 7, 5000, 4000),))
+    relay._apply_response(first_choice, store_lost)
+    second_choice = relay.watchers.choose_watcher(get_elapsed_s())
+    assert second_choice in watchers
+    assert second_choice != first_choice
+    relay._apply_response(
+        second_choice, StateResponse(2, (TopicState(TOPIC, 7, 400, 4000),))
+    )
+    relay._apply_response(
+        second_choice, StateResponse(3, (TopicState(TOPIC, 7, 5000, None),))
+    )
+    assert relay.watchers.choose_watcher(get_elapsed_s()) == second_choice
+    # If all watchers have lost the store, the store itself has failed: no other
+    # gateways replace them.
     for watcher in watchers:
-        relay._note_answer(watcher, blind)
-    assert relay.watchers.choose(get_elapsed_s()) in watchers
-    assert list(relay.watchers.get(get_elapsed_s())) == watchers
+        relay._apply_response(watcher, store_lost)
+    assert relay.watchers.choose_watcher(get_elapsed_s()) in watchers
+    assert list(relay.watchers.get_watchers(get_elapsed_s())) == watchers
 
 
 async def test_followers_leave_a_store_alone_that_all_have_lost():
-    # The store is down for seconds. Every gateway would ask it for each topic
-    # every second; the watchers find out when it is back, and tell.
+    # The store is unavailable for seconds. Without a limit, every gateway would
+    # read each topic every second. The watchers detect the recovery and notify
+    # the followers.
     async with run_gateways() as (store, watcher, follower):
         store.faults.outage = "503"
         await wait_until(lambda: follower.feed._failures, 3.0)
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -1,4 +1,4 @@
-"""Upstreams that take requests and answer none."""
+"""Tests the detection of upstreams that accept requests and answer none."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from lab import worker as lab
 from lovagestage.gateway.choice import Work, choose_upstream
 from lovagestage.gateway.silence import (
-    MIN_PATIENCE_S,
-    PATIENCE_MEANS,
-    UNKNOWN_PATIENCE_S,
+    DEFAULT_STALL_TIMEOUT_S,
+    MIN_STALL_TIMEOUT_S,
+    STALL_TIMEOUT_FACTOR,
     Silence,
     get_patience_s,
 )
@@ -20,42 +20,45 @@
 
 INTERVAL_S = 0.02
 REQUESTS = 150
-MOST_LOST = 30
-"""A third of what comes in the patience of 0.25 s would be four; with those
-that try it again and a slow machine's, far under the fifty of a third."""
+MAX_LOST = 30
+"""Upper limit for failed requests. A third of the requests that arrive within
+the stall timeout of 0.25 s would be four. With the requests that test the
+upstream again and those of a slow machine, the limit is far below fifty, which
+would be a third of all requests."""
 
 
 def test_patience_grows_with_what_answers_take():
-    assert get_patience_s(0.01) == MIN_PATIENCE_S
-    assert get_patience_s(0.5) == PATIENCE_MEANS * 0.5
-    assert get_patience_s(None) == UNKNOWN_PATIENCE_S
+    assert get_patience_s(0.01) == MIN_STALL_TIMEOUT_S
+    assert get_patience_s(0.5) == STALL_TIMEOUT_FACTOR * 0.5
+    assert get_patience_s(None) == DEFAULT_STALL_TIMEOUT_S
 
 
 def test_silence_counts_while_a_request_waits():
-    silence = Silence()
-    assert not silence.is_stalled(99.0)
-    number = silence.add(100.0, 0.25)
-    assert not silence.is_stalled(100.2)
-    assert silence.is_stalled(100.3)
-    silence.remove(number)
-    assert not silence.is_stalled(100.3)
+    detector = Silence()
+    assert not detector.is_stalled(99.0)
+    number = detector.add(100.0, 0.25)
+    assert not detector.is_stalled(100.2)
+    assert detector.is_stalled(100.3)
+    detector.remove(number)
+    assert not detector.is_stalled(100.3)
 
 
 def test_any_sign_shows_that_an_upstream_works():
-    # A long prompt is read for a second; events of other streams come
-    # meanwhile. The upstream is busy and does not hang.
-    silence = Silence()
-    silence.add(100.0, 0.25)
+    # The prefill of a long prompt takes a second, and events of other streams
+    # arrive in that time. The upstream is busy and has not stalled.
+    detector = Silence()
+    detector.add(100.0, 0.25)
     for tenth in range(1, 11):
-        silence.note_heard(100.0 + 0.1 * tenth)
-        assert not silence.is_stalled(100.0 + 0.1 * tenth + 0.05)
-    assert silence.is_stalled(101.3)
+        detector.note_heard(100.0 + 0.1 * tenth)
+        assert not detector.is_stalled(100.0 + 0.1 * tenth + 0.05)
+    assert detector.is_stalled(101.3)
 
 
 async def test_few_requests_find_out_that_an_upstream_hangs():
-    # One of three upstreams takes each request and answers none, for as long
-    # as it lasts. A request that may run once waits there until its deadline,
-    # and nothing fails before. The others, fifty a second, must not follow.
+    # One of three upstreams accepts each request and answers none during the
+    # whole test. A request that must not run twice waits there until its
+    # deadline, and no failure occurs before that. The further requests, fifty a
+    # second, must not be sent to the same upstream.
     async def hang_unless_warm(arrival, writer):
         script = lab.hang
         if arrival.request_id.startswith("warm"):
@@ -77,7 +80,7 @@
             await asyncio.sleep(INTERVAL_S)
         replies = await asyncio.gather(*calls)
     lost = sum(reply.status != 200 for reply in replies)
-    assert lost <= MOST_LOST, lost
+    assert lost <= MAX_LOST, lost
 
 
 GATEWAYS = 24
@@ -86,31 +89,32 @@
 DEADLINE_S = 1.4
 ANSWER_S = 0.03
 GOSSIP_S = 0.24
-MOST_FOUND_OUT = GATEWAYS
-"""Fewer than one request for each gateway, over all of the time."""
+MAX_FLEET_LOST = GATEWAYS
+"""Upper limit for lost requests: one for each gateway on average, over the
+whole time in which the upstream hangs."""
 
 
 class Fleet:
-    """Gateways before one plain service of which an upstream hangs.
+    """Simulated gateways with one plain service, of which one upstream hangs.
 
-    Requests come at even intervals, each to a gateway drawn at random.
+    Requests arrive at regular intervals, each at a random gateway.
     """
 
     def __init__(self):
         self.rng = random.Random(5)
         self.rotations = [make_rotation() for _ in range(GATEWAYS)]
-        self.ends = []
+        self.pending_ends = []
         self.lost = 0
 
     def run(self):
-        gossip_s = 0.0
+        next_gossip_s = 0.0
         for number in range(int(PER_S * HANG_S)):
             now_s = 100.0 + number / PER_S
-            while self.ends and self.ends[0][0] <= now_s:
-                _, _, end = heapq.heappop(self.ends)
+            while self.pending_ends and self.pending_ends[0][0] <= now_s:
+                _, _, end = heapq.heappop(self.pending_ends)
                 end()
-            if now_s >= gossip_s:
-                gossip_s = now_s + GOSSIP_S
+            if now_s >= next_gossip_s:
+                next_gossip_s = now_s + GOSSIP_S
                 tell_waits(self.rotations)
             self.send(self.rng.choice(self.rotations), now_s, number)
 
@@ -126,27 +130,28 @@
         performance.note_sent(now_s)
         performance.running += 1
         performance.waiting_s += ANSWER_S
-        waiting = performance.silence.add(now_s, get_patience_s(ANSWER_S))
+        wait_number = performance.silence.add(now_s, get_patience_s(ANSWER_S))
         end_s = now_s + (DEADLINE_S if hangs else ANSWER_S)
 
         def end():
             if performance.silence.is_stalled(end_s):
                 performance.note_absent(end_s)
-            performance.silence.remove(waiting)
+            performance.silence.remove(wait_number)
             performance.running -= 1
             performance.waiting_s -= ANSWER_S
             if not hangs:
                 performance.silence.note_heard(end_s)
                 performance.note_answer(False)
 
-        heapq.heappush(self.ends, (end_s, number, end))
+        heapq.heappush(self.pending_ends, (end_s, number, end))
 
 
 def test_gateways_tell_each_other_of_an_upstream_that_hangs():
-    # 24 gateways get three plain requests a second each. One of three
-    # upstreams takes what it is sent and answers nothing for six seconds. A
-    # gateway has nothing else under way when its next request comes, and by
-    # its own requests alone the one that hangs looks as idle as the others.
+    # Each of 24 gateways receives three plain requests a second. One of three
+    # upstreams accepts requests and answers none for six seconds. A gateway has
+    # no other request in progress when its next one arrives, and judged by the
+    # gateway's own requests only, the upstream that hangs looks as idle as the
+    # others.
     fleet = Fleet()
     fleet.run()
-    assert fleet.lost <= MOST_FOUND_OUT, fleet.lost
+    assert fleet.lost <= MAX_FLEET_LOST, fleet.lost
--- a/tests/test_gateway_topic_log.py
+++ b/tests/test_gateway_topic_log.py
@@ -1,11 +1,11 @@
-"""Records of a topic, from the store and from watchers."""
+"""Tests the log of a topic, filled from the store and from watchers."""
 
 from __future__ import annotations
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lovagestage.gateway.topic_log import MAX_KEPT, TopicLog
+from lovagestage.gateway.topic_log import MAX_RECENT_RECORDS, TopicLog
 from lovagestage.platform.records import Record
 
 
@@ -15,8 +15,8 @@
 
 @given(st.randoms(use_true_random=False), st.integers(1, 30))
 def test_each_record_counts_once_and_in_order(rng, end):
-    # The store answers a held read, a watcher tells the same records, and
-    # some datagrams overtake others, come twice or are lost.
+    # The store answers a held read and a watcher sends the same records. Some
+    # datagrams arrive out of order, arrive twice or are lost.
     log = TopicLog(0)
     counted = []
     for _ in range(40):
@@ -26,32 +26,34 @@
             counted += log.add(records)
         else:
             rng.shuffle(records)
-            counted += log.add_told(records)
+            counted += log.add_relayed(records)
     counted += log.add(make_records(log.end, end))
     assert counted == make_records(0, end)
     assert log.end == end
 
 
 def test_a_follower_gets_all_it_lacks_or_nothing():
-    # With a gap it would take later records for all there were.
+    # With a record missing, the follower would take the later records for the
+    # complete list.
     log = TopicLog(10)
-    assert log.get_newest(10) == ()
+    assert log.get_recent(10) == ()
     log.add(make_records(10, 20))
-    assert log.get_newest(15) == make_records(15, 20)
-    assert log.get_newest(9) == ()
-    log.add(make_records(20, 20 + MAX_KEPT))
-    assert log.get_newest(19) == ()
-    assert len(log.get_newest(20)) == MAX_KEPT
+    assert log.get_recent(15) == make_records(15, 20)
+    assert log.get_recent(9) == ()
+    log.add(make_records(20, 20 + MAX_RECENT_RECORDS))
+    assert log.get_recent(19) == ()
+    assert len(log.get_recent(20)) == MAX_RECENT_RECORDS
 
 
 def test_what_was_kept_is_forgotten_with_the_history():
-    # The store has dropped its history; the newest record of each key is read
-    # again, and what came before is not handed on as if it were all.
+    # The store has dropped its history, and the newest record of each key is
+    # read again. Records from before must not be sent to followers as if they
+    # were the complete list.
     log = TopicLog(0)
     log.add(make_records(0, 5))
-    log.add_told(make_records(7, 9))
+    log.add_relayed(make_records(7, 9))
     log.restart(None)
-    assert log.add_told(make_records(5, 7)) == ()
+    assert log.add_relayed(make_records(5, 7)) == ()
     log.restart(7)
-    assert log.get_newest(4) == ()
-    assert log.add_told(make_records(7, 8)) == tuple(make_records(7, 8))
+    assert log.get_recent(4) == ()
+    assert log.add_relayed(make_records(7, 8)) == tuple(make_records(7, 8))
