--- a/src/lovagestage/gateway/feeds.py
+++ b/src/lovagestage/gateway/feeds.py
@@ -436,7 +436,9 @@
             if not read_task.done():
                 await asyncio.wait((read_task,), timeout=RECOVERY_GRACE_S)
             if not (read_task.done() or self._store.is_receiving):
-                raise StoreUnavailableError("Given up: the store is back.")
+                raise StoreUnavailableError(
+                    "Read aborted: another feed has reached the store."
+                )
             return await read_task
         finally:
             recovery_task.cancel()
--- a/src/lovagestage/gateway/relay.py
+++ b/src/lovagestage/gateway/relay.py
@@ -86,7 +86,7 @@
     """Outcomes of queries to a watcher."""
 
     ANSWERED = "answered"
-    UNSOUND = "unsound"
+    STALE = "unsound"
     """The watcher has lost the store, and its last freshness confirmation is
     too old."""
     LOST = "lost"
@@ -401,7 +401,7 @@
             state.last_failure_age_ms is not None and not self._is_fresh(state)
             for state in response.states
         ):
-            self._exclude_watcher(watcher, QueryOutcome.UNSOUND)
+            self._exclude_watcher(watcher, QueryOutcome.STALE)
             return
         self._count_query(QueryOutcome.ANSWERED)
         if self.watchers.record_valid_response(watcher):
@@ -411,7 +411,7 @@
         self, watcher: PeerAddress, outcome: QueryOutcome
     ) -> None:
         self._count_query(outcome)
-        has_lost_store = outcome is QueryOutcome.UNSOUND
+        has_lost_store = outcome is QueryOutcome.STALE
         if self.watchers.is_excluded(watcher, get_elapsed_s()):
             return
         pause_s = self.watchers.exclude_watcher(
--- a/src/lovagestage/gateway/seal.py
+++ b/src/lovagestage/gateway/seal.py
@@ -66,13 +66,15 @@
                 configuration that is not known here.
         """
         if len(datagram) < _HEAD.size:
-            raise SealError("Datagram without a seal.")
+            raise SealError("Datagram too short for an authentication tag.")
         version, tag = _HEAD.unpack_from(datagram)
         if self._keys and version not in self._keys:
-            raise SealError("Sealed by a configuration that is not known.")
+            raise SealError(
+                "Datagram authenticated with a configuration that is not known."
+            )
         data = datagram[_HEAD.size :]
         if not hmac.compare_digest(tag, self._make_tag(version, data)):
-            raise SealError("Datagram with a wrong seal.")
+            raise SealError("Datagram with a wrong authentication tag.")
         return version, data
 
     def _make_tag(self, version: int, data: bytes) -> bytes:
--- a/src/lovagestage/platform/records.py
+++ b/src/lovagestage/platform/records.py
@@ -90,7 +90,7 @@
             StoreUnavailableError: The body is too short to hold its header.
         """
         if self._end_offset is None:
-            raise StoreUnavailableError("Short answer to a read.")
+            raise StoreUnavailableError("The answer to a read is too short.")
         if self._offset < self._start_offset:
             raise StoreHistoryLostError(self._topic, self._start_offset)
         return Page(tuple(self._records), self._end_offset)
--- a/src/lovagestage/platform/settings.py
+++ b/src/lovagestage/platform/settings.py
@@ -115,7 +115,7 @@
         if not value and default is not None:
             return default
         if not value:
-            raise self._make_error(key, "expected a value.")
+            raise self._make_error(key, "expected a value, found none.")
         return value
 
     def get_address(self, key: str) -> str:
@@ -132,7 +132,7 @@
         try:
             number = float(value)
         except ValueError:
-            raise self._make_error(key, f"{value!r} is no number.") from None
+            raise self._make_error(key, f"{value!r} is not a number.") from None
         if not 0.0 <= number < 1e9:
             raise self._make_error(key, f"{value!r} is out of range.")
         return number
