--- a/src/lovagestage/gateway/mailbox.py
+++ b/src/lovagestage/gateway/mailbox.py
@@ -14,10 +14,10 @@
     TOPIC,
     CountNote,
     FailureNote,
+    GatewayMessage,
     HelloNote,
     MessageBatch,
     OutcomeNote,
-    PeerMessage,
     SessionsNote,
     decode_letter,
     encode_batch,
@@ -74,7 +74,7 @@
         self._incarnation = incarnation
         self._handlers: dict[type[Any], Callable[[Any], None]] = {}
         self._gateways = {vm}
-        self._outbox: list[PeerMessage] = [hello]
+        self._outbox: list[GatewayMessage] = [hello]
         self._message_added = asyncio.Event()
         self._message_added.set()
 
@@ -94,7 +94,7 @@
         """
         self._handlers[kind] = handler
 
-    def post(self, message: PeerMessage) -> None:
+    def post(self, message: GatewayMessage) -> None:
         """Queues a message to the other gateways.
 
         If the queue is full, the oldest message is dropped and a warning
@@ -153,7 +153,7 @@
                 self._message_added.set()
                 await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _send(self, messages: tuple[PeerMessage, ...]) -> None:
+    async def _send(self, messages: tuple[GatewayMessage, ...]) -> None:
         if not messages:
             return
         # Retrying an append whose answer was lost is harmless: counting a
--- a/src/lovagestage/gateway/notes.py
+++ b/src/lovagestage/gateway/notes.py
@@ -104,7 +104,7 @@
     age_s: float
 
 
-PeerMessage = (
+GatewayMessage = (
     HelloNote
     | FailureNote
     | CountNote
@@ -125,7 +125,7 @@
 
     vm: VmId
     incarnation: int
-    notes: tuple[PeerMessage, ...]
+    notes: tuple[GatewayMessage, ...]
 
 
 _encoder = msgspec.msgpack.Encoder()
