--- a/src/lovagestage/gateway/peers.py
+++ b/src/lovagestage/gateway/peers.py
@@ -19,9 +19,9 @@
 """Length of the prefix by which each datagram states its kind."""
 PEER_EXPIRY_S = 600.0
 """Time in seconds without a datagram after which a peer is removed. Its VM was
-replaced, and without the removal datagrams would be sent to it for ever. The
-time is longer than network partitions between zones: gateways that had removed
-each other would not find each other again afterwards."""
+replaced, and without the removal datagrams would be sent to it indefinitely.
+The time is longer than network partitions between zones: gateways that had
+removed each other would not find each other again afterwards."""
 EXPIRY_CHECK_INTERVAL_S = 30.0
 """Interval in seconds between checks for peers to remove."""
 
@@ -121,7 +121,7 @@
 
         A datagram whose authentication fails is dropped. That includes one
         that was authenticated with a configuration that this gateway does not
-        know yet or no longer keeps: the next datagram has the same content.
+        know yet or no longer retains: the next datagram has the same content.
         """
         try:
             version, data = self._authenticator.verify(datagram)
--- a/src/lovagestage/platform/configuration.py
+++ b/src/lovagestage/platform/configuration.py
@@ -214,7 +214,7 @@
 
 
 def get_evacuated_zone(key: str) -> ZoneId | None:
-    """Returns the availability zone that a record's key asks to evacuate.
+    """Returns the availability zone that a record's key orders to evacuate.
 
     Args:
         key: Key of a record in the operators' topic.
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -93,7 +93,7 @@
 
 async def test_what_a_stopped_gateway_told_is_forgotten():
     # A gateway is killed while it has requests waiting. Its last report must
-    # expire: else the other gateways would avoid these upstreams for ever.
+    # expire: else the other gateways would avoid these upstreams indefinitely.
     async with run_pair() as (pair, (one, two)):
         one.get_ready("pool")[0].performance.waiting_s = 0.4
         await wait_until(lambda: get_waits_elsewhere(two)["w1"] == 0.4)
--- a/tests/test_gateway_narrow_links.py
+++ b/tests/test_gateway_narrow_links.py
@@ -26,8 +26,8 @@
 
 
 async def test_record_that_takes_longer_than_a_silence_may_is_read():
-    # Guards against reads that are aborted and started again for ever, so that
-    # the newest configuration never comes into force.
+    # Guards against reads that are aborted and started again indefinitely, so
+    # that the newest configuration never comes into force.
     async with run_store() as (store, client):
         async with run_feed(client) as (_, listener):
             await wait_until(lambda: listener.proofs)
@@ -75,7 +75,7 @@
 
 
 async def test_answer_that_stops_midway_is_given_up_soon():
-    # Guards against waiting for ever on a connection that stopped sending.
+    # Guards against waiting indefinitely on a connection that stopped sending.
     async with run_store() as (store, client):
         store.put(TOPIC, "config", LARGE)
         store.faults.bytes_per_s = LINK_BYTES_PER_S
@@ -114,8 +114,10 @@
     # transfer time later than at their watcher.
     async with run_gateways() as (store, watcher, follower):
         store.faults.bytes_per_s = LINK_BYTES_PER_S
-        proofs, calls = len(watcher.listener.proofs), follower.calls
-        await wait_until(lambda: len(watcher.listener.proofs) > proofs)
+        confirmation_count, calls = len(watcher.listener.proofs), follower.calls
+        await wait_until(
+            lambda: len(watcher.listener.proofs) > confirmation_count
+        )
         store.put(TOPIC, "config", LARGE)
         await wait_until(lambda: follower.calls > calls, 0.4)
         await wait_until(lambda: follower.listener.records, 4 * TRANSFER_S)
@@ -152,11 +154,11 @@
             store.put(TOPIC, "config", b"new")
             relay.end = 2
             await asyncio.sleep(0.2)
-            proofs = len(listener.proofs)
+            confirmation_count = len(listener.proofs)
             await asyncio.sleep(0.3)
-            assert len(listener.proofs) == proofs
+            assert len(listener.proofs) == confirmation_count
             store.faults.stale_by = 0
-            await wait_until(lambda: len(listener.proofs) > proofs)
+            await wait_until(lambda: len(listener.proofs) > confirmation_count)
             assert listener.records[-1] == ("config", b"new")
 
 
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -129,10 +129,13 @@
         assert watcher.relay.get_mode() is RelayMode.WATCHER
         assert follower.relay.get_mode() is RelayMode.FOLLOWER
         await asyncio.sleep(ROUND_S)
-        calls, proofs = follower.calls, len(follower.listener.proofs)
+        calls, confirmation_count = (
+            follower.calls,
+            len(follower.listener.proofs),
+        )
         await asyncio.sleep(2.5)
         assert follower.calls == calls
-        assert len(follower.listener.proofs) >= proofs + 2
+        assert len(follower.listener.proofs) >= confirmation_count + 2
         age_s = get_elapsed_s() - follower.listener.proofs[-1]
         assert (
             age_s
@@ -536,7 +539,8 @@
         assert watcher.calls >= calls + 3
         assert follower.calls <= own_calls + 1
         store.faults.outage = ""
-        proofs = len(follower.listener.proofs)
+        confirmation_count = len(follower.listener.proofs)
         await wait_until(
-            lambda: len(follower.listener.proofs) > proofs, 1.0 + ROUND_S
+            lambda: len(follower.listener.proofs) > confirmation_count,
+            1.0 + ROUND_S,
         )
