--- a/src/lovagestage/entry/__init__.py
+++ b/src/lovagestage/entry/__init__.py
@@ -1,1 +1,1 @@
-"""What an entry does for a request besides HTTP."""
+"""Work that an entry does for a request, apart from the HTTP handling."""
--- a/src/lovagestage/entry/billed.py
+++ b/src/lovagestage/entry/billed.py
@@ -1,4 +1,4 @@
-"""What of a request's answer is billed, and when its end may be given."""
+"""Computes the bill of an answer and holds its end back until it is billed."""
 
 from __future__ import annotations
 
@@ -21,11 +21,15 @@
 
     Args:
         request: The request.
-        result: The run whose answer the caller gets; other attempts are not
-            billed.
-        now_s: Unix time.
-        outcome: How it ended.
-        seen_tokens: Billed where the engine's own count is not known.
+        result: The result of the run whose answer the caller gets. Other
+            attempts are not billed.
+        now_s: Unix time in seconds.
+        outcome: How the request ended.
+        seen_tokens: Completion tokens to bill where the engine has not
+            reported its own count.
+
+    Returns:
+        The bill.
     """
     finished = result.finished
     return Bill(
@@ -41,16 +45,16 @@
 
 
 class BilledStream:
-    """Passes a stream on and keeps its end back until it is billed.
+    """Forwards a stream and holds its end back until the answer is billed.
 
-    Were the end given first, an entry lost at that moment would leave a whole
-    answer that nobody is billed for. Only the part with the last event is
-    kept back, so no other part waits.
+    If the caller got the end first, an entry that failed at that moment would
+    leave a complete answer that nobody is billed for. Only the chunk with the
+    last event is held back, so that no other chunk is delayed.
 
     Args:
         request: The request.
-        result: Filled in by the dispatcher.
-        billing: Takes the bill.
+        result: The result of the request; the dispatcher fills it in.
+        billing: The service that records the bill.
     """
 
     def __init__(
@@ -64,7 +68,15 @@
         self._is_billed = False
 
     def add(self, part: bytes) -> bytes:
-        """Takes a part; returns what may be written now."""
+        """Adds a chunk of the answer.
+
+        Args:
+            part: Bytes of the stream.
+
+        Returns:
+            Bytes that may be sent to the caller now; empty from the last
+            event on.
+        """
         self._seen_tokens += part.count(_CONTENT)
         self._kept += part
         if DONE in self._kept:
@@ -73,13 +85,27 @@
         return ready
 
     async def end(self, now_s: float) -> bytes:
-        """Bills the whole answer; returns its last part."""
+        """Bills the complete answer.
+
+        Args:
+            now_s: Unix time in seconds.
+
+        Returns:
+            The chunk that was held back, to be sent to the caller.
+        """
         self._is_billed = True
         await self._billing.add(make_bill(self._request, self._result, now_s))
         return self._kept
 
     def cancel(self, now_s: float) -> None:
-        """Bills what had come when the caller left."""
+        """Bills the tokens that had arrived when the caller disconnected.
+
+        Nothing is billed if no token had arrived, or if the answer is billed
+        already.
+
+        Args:
+            now_s: Unix time in seconds.
+        """
         if self._is_billed or not self._seen_tokens:
             return
         self._is_billed = True
--- a/src/lovagestage/entry/billing_service.py
+++ b/src/lovagestage/entry/billing_service.py
@@ -1,4 +1,4 @@
-"""Brings an entry's bills into the log and copies them to a peer before."""
+"""Copies an entry's bills to a peer and appends them to the log."""
 
 from __future__ import annotations
 
@@ -32,24 +32,25 @@
 _log = logging.getLogger(__name__)
 
 COPY_TIMEOUT_S = 0.25
-"""Longest time that an answer's end waits for a peer; then it goes out, and
-the bill has one copy until a peer answers or the log has it."""
+"""Longest time in seconds that the end of an answer waits for a peer to confirm
+its copy of the bill. After that the end is sent, and the bill has one copy only
+until a peer confirms a later copy or the log has accepted the bill."""
 RENEW_INTERVAL_S = 1.0
 JITTER_RATIO = 0.25
 FLUSH_TIMEOUT_S = 5.0
 
 
 class BillingService(mode.Service):
-    """Owns the ledger of an entry.
+    """Runs the billing ledger of an entry.
 
     Args:
-        ledger: The state.
+        ledger: The bills of this entry, and copies of other entries' bills.
         log: The platform's log.
         peers: Connections to the other entries.
         timers: Timer service.
-        hub: Hands over what arrives at the listener.
-        interval_s: Mean time between two appends.
-        rng: Source of randomness for the spread of appends.
+        hub: Delivers the messages that arrive at this entry's listener.
+        interval_s: Mean time between two appends, in seconds.
+        rng: Source of randomness that spreads the appends over time.
     """
 
     def __init__(
@@ -81,11 +82,11 @@
 
     @contextlib.contextmanager
     def reserve(self) -> Iterator[None]:
-        """Keeps room for the bill of a request while it is open.
+        """Reserves space for the bill of a request while the request is open.
 
         Raises:
-            BillingUnavailableError: There is no room: the log has taken no
-                bills for a long time.
+            BillingUnavailableError: No space is left, because the log has not
+                accepted bills for a long time.
         """
         if not self._ledger.reserve():
             _log.error("billing_buffer_full", extra=self._ledger.get_sizes())
@@ -99,7 +100,14 @@
             self._ledger.release()
 
     async def add(self, bill: Bill) -> None:
-        """Takes a bill; returns once a peer has a copy, or soon after."""
+        """Adds a bill and copies it to a peer.
+
+        The call returns once the peer has confirmed its copy, or after
+        `COPY_TIMEOUT_S` at the latest.
+
+        Args:
+            bill: The bill.
+        """
         number = self._ledger.add(bill)
         holder = self._get_holder()
         if holder is None:
@@ -109,14 +117,21 @@
             await self._copy(copy, holder)
 
     def add_unattended(self, bill: Bill) -> None:
-        """Takes a bill whose caller has left: nothing waits for the copy."""
+        """Adds a bill whose caller has disconnected.
+
+        The copy is sent in the background, because no caller waits for it.
+
+        Args:
+            bill: The bill.
+        """
         self._start(self.add(bill))
 
     async def flush(self) -> None:
-        """Appends all bills at once: a planned stop.
+        """Appends all bills immediately, before a planned stop.
 
-        With the log out of reach, the copies remain: their holder appends
-        them once this process stops renewing them.
+        If the log is unreachable for `FLUSH_TIMEOUT_S`, the copies remain:
+        the peer that holds them appends them once this process no longer
+        renews them.
         """
         end_s = time.monotonic() + FLUSH_TIMEOUT_S
         while self._ledger.make_batch() and time.monotonic() < end_s:
@@ -125,13 +140,14 @@
         _log.info("billing_flushed", extra=self._ledger.get_sizes())
 
     def get_sizes(self) -> dict[str, int]:
-        """Sizes of the tables, for the state dump."""
+        """Returns the sizes of the ledger's tables, for the state dump."""
         return self._ledger.get_sizes()
 
     @mode.Service.task
     async def _append_for_ever(self) -> None:
         # The first wait is spread over the whole interval: entries that start
-        # together would else append together and meet the log's rate limit.
+        # together would otherwise append together and exceed the log's rate
+        # limit.
         await self.sleep(self._interval_s * self._rng.random())
         while not self.should_stop:
             await self._append()
@@ -148,8 +164,9 @@
                     BILLING_STREAM, encode_batch(batch)
                 )
             except LogError as error:
-                # Also where the answer was lost: the next try may write the
-                # batch a second time, and readers drop bills that they know.
+                # This also covers a lost answer: the next attempt may write
+                # the batch a second time, and readers drop bills that they
+                # have already read.
                 _log.warning("billing_append_failed", extra={"e": error.code})
                 return False
             self._ledger.on_appended(batch)
@@ -159,8 +176,8 @@
         taken = self._ledger.take_over(time.monotonic())
         if taken:
             _log.warning("billing_taken_over", extra={"bills": taken})
-        # Only the present holder is renewed. A former one takes its copies
-        # over, which at worst makes duplicates.
+        # Only the current holder is renewed. A former holder takes over the
+        # copies that it has, which produces duplicate bills at worst.
         self._holder = self._choose_holder()
         if self._holder is None:
             return
--- a/src/lovagestage/entry/cascade_service.py
+++ b/src/lovagestage/entry/cascade_service.py
@@ -1,4 +1,4 @@
-"""Chooses plans at one entry and learns from their ratings."""
+"""Chooses cascade plans at one entry and learns from the answers' ratings."""
 
 from __future__ import annotations
 
@@ -29,19 +29,20 @@
 SHARE_INTERVAL_S = 1.0
 SOLVE_INTERVAL_S = 2.0
 MAX_TABLES = 512
-"""Classes and sets of allowed versions with a table; past it the one that was
-asked for longest ago is dropped, and begins again with the best version."""
+"""Largest number of plan tables; there is one for each combination of request
+class and allowed versions. Beyond it the least recently used table is dropped,
+and its requests get the best version until the table is solved again."""
 
 
 @dataclasses.dataclass(frozen=True)
 class TableKey:
-    """What a table is for.
+    """Identifies a plan table.
 
     Attributes:
         service: The service.
         class_name: The request class.
-        versions: Versions that the workspace may use, best last.
-        quality_target: Mean rating to hold.
+        versions: Versions that the workspace may use, the best one last.
+        quality_target: Mean rating that the plans must reach.
     """
 
     service: ServiceId
@@ -50,29 +51,38 @@
     quality_target: float
 
     def make_arm(self, difficulty: int, plan: Plan) -> Arm:
-        """The arm of a request; classes of two services are kept apart."""
+        """Makes the arm of a request.
+
+        The arm's class name includes the service, so that classes of the same
+        name in two services have separate counters.
+
+        Args:
+            difficulty: Difficulty level of the request.
+            plan: The plan that the request follows.
+        """
         return Arm(self.get_scope(), difficulty, plan)
 
     def get_scope(self) -> str:
-        """Name of the class over all services."""
+        """Returns the name of the class, unique over all services."""
         return f"{self.service}/{self.class_name}"
 
 
 class CascadeService(mode.Service):
-    """Plans for requests that name a service.
+    """Chooses plans for requests that name a service instead of a model.
 
-    A table is solved off the request path and off the event loop: it takes
-    tens of milliseconds at many versions, in which no caller would get a
-    chunk. Until a class has a table it gets the best version.
+    A table is solved outside the request path and outside the event loop:
+    with many versions that takes tens of milliseconds, during which no caller
+    would receive a chunk. Until a class has a table, its requests get the
+    best version.
 
     Args:
         control: Configuration in force.
-        learned: Counters of this entry.
+        learned: Counters that this entry knows.
         peers: Connections to the other entries.
         timers: Timer service.
-        hub: Hands over the other entries' counters.
+        hub: Delivers the other entries' counters.
         rng: Source of randomness for choices.
-        window_s: Length of the windows of the counters.
+        window_s: Length of a counter's time window, in seconds.
     """
 
     def __init__(
@@ -106,8 +116,16 @@
     ) -> Arm | None:
         """Chooses the plan of a request.
 
+        Args:
+            document: Document of the service.
+            workspace: The workspace that sent the request.
+            class_name: The request class.
+            spec: Specification of the class.
+            prompt_bytes: Size of the prompt in bytes.
+
         Returns:
-            None where the class has no target or the workspace no version.
+            The arm with the plan; None where the class has no quality target
+            or the workspace may use none of its versions.
         """
         allowed = {str(v) for v in get_open_versions(document, workspace)}
         versions = tuple(v for v in spec.cascade if v in allowed)
@@ -123,7 +141,15 @@
         return key.make_arm(difficulty, table.choose(difficulty, self._rng))
 
     def add_answer(self, arm: Arm, request: Request, result: Result) -> None:
-        """Counts an answer that followed a plan, with all that it cost."""
+        """Counts an answer that followed a plan, with its total cost.
+
+        The cost includes a first answer that a second version's has replaced.
+
+        Args:
+            arm: The arm of the request.
+            request: The request.
+            result: The result of the request.
+        """
         cost = 0.0
         if result.first is not None:
             price = self._get_price(request.service, arm.plan.start)
@@ -135,12 +161,17 @@
         self._changed = True
 
     def add_rating(self, arm: Arm, score: float) -> None:
-        """Counts the rating of such an answer."""
+        """Counts the rating of an answer that followed a plan.
+
+        Args:
+            arm: The arm of the answered request.
+            score: The rating, from 0 to 1.
+        """
         self._learned.add_rating(arm, score)
         self._changed = True
 
     def get_dump(self) -> list[dict[str, object]]:
-        """Each class's plans by level, for the dump."""
+        """Returns the plans of each class by difficulty level, for the dump."""
         return [
             {
                 "class": key.get_scope(),
@@ -160,7 +191,7 @@
         ]
 
     async def on_start(self) -> None:
-        """Begins at the present window."""
+        """Sets the counters to the current time window."""
         self._learned.set_window(int(time.time() / self._window_s))
 
     def _get_price(self, service: ServiceId, version: str) -> float:
--- a/src/lovagestage/entry/crash_watch.py
+++ b/src/lovagestage/entry/crash_watch.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash upstreams from crashing many."""
+"""Limits how many upstreams a request can crash."""
 
 from __future__ import annotations
 
@@ -26,15 +26,18 @@
 WAIT_POLL_S = 0.05
 WAIT_LIMIT_S = 10.0
 MAX_TOLD = 10_000
-"""Reports remembered so as not to pass them on twice."""
+"""Largest number of reports that are remembered, so that none is forwarded
+twice."""
 
 
 class CrashWatch:
-    """An entry's suspects, told to and heard from the other entries.
+    """The crash suspects of an entry, shared with the other entries.
+
+    A suspect is a request that was in flight when an upstream crashed.
 
     Args:
         peers: Connections to the other entries.
-        hub: Hands over their reports.
+        hub: Delivers the other entries' reports.
     """
 
     def __init__(self, peers: LinkTable, hub: Hub) -> None:
@@ -47,17 +50,29 @@
         return len(self._table)
 
     def get_strikes(self, name: Fingerprint) -> int:
-        """Crashes at which the request was in flight."""
+        """Returns the number of crashes at which the request was in flight."""
         return self._table.get_strikes(name, time.monotonic())
 
     async def admit(
         self, name: Fingerprint, run: str, deadline_at_s: float
     ) -> bool:
-        """Lets an attempt run; returns whether it is a probe.
+        """Waits until an attempt may run.
+
+        Args:
+            name: Fingerprint of the request.
+            run: Name of the attempt.
+            deadline_at_s: Deadline of the request, in seconds of monotonic
+                time.
+
+        Returns:
+            Whether the attempt is a probe, which must not run beside other
+            suspects.
 
         Raises:
-            RequestCrashesUpstreamsError: It is convicted.
-            SuspectWaitingError: Another copy was probed for too long.
+            RequestCrashesUpstreamsError: The request is convicted of crashing
+                upstreams.
+            SuspectWaitingError: Another copy of the request was being probed
+                until `WAIT_LIMIT_S` or the deadline had passed.
         """
         end_s = min(deadline_at_s, time.monotonic() + WAIT_LIMIT_S)
         while True:
@@ -82,7 +97,13 @@
 
     @contextlib.contextmanager
     def watch(self, name: Fingerprint, run: str, probe: bool) -> Iterator[None]:
-        """Notes how an attempt ends."""
+        """Records how the enclosed attempt ends.
+
+        Args:
+            name: Fingerprint of the request.
+            run: Name of the attempt.
+            probe: Whether the attempt is a probe.
+        """
         try:
             yield
         except UpstreamCrashedError:
@@ -108,9 +129,10 @@
             self._peers.send(vm, report)
 
     def _on_report(self, peer: PeerId, message: Message) -> None:
-        # An entry is connected to some of the others. Each passes on what is
-        # new to it, so that all hear; connections keep the order, and so no
-        # end of a probe overtakes its beginning.
+        # An entry is connected to some of the other entries only. Each entry
+        # forwards the reports that are new to it, so that all entries receive
+        # them. A connection keeps the order of messages, so that the end of a
+        # probe never arrives before its start.
         del peer
         assert isinstance(message, CrashReport)
         if message in self._told:
--- a/src/lovagestage/entry/deferral_service.py
+++ b/src/lovagestage/entry/deferral_service.py
@@ -1,8 +1,8 @@
-"""Holds deferrable requests until there is a slot for them.
+"""Queues deferrable requests until a slot is free for them.
 
-The caller waits on its HTTP request, so there is nothing to look up later and
-nothing to lose twice: where the entry is lost, the connection breaks, and a
-request that had not started was not run.
+The caller waits on its HTTP request, so that it has nothing to look up later
+and the entry stores nothing that could be lost separately: if the entry fails,
+the connection breaks, and a request that had not started was not run.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 DEADLINE_FIELD = "deadline_s"
 FIRST_TOKEN_S = 1.0
 DEFAULT_MAX_TOKENS = 1024
-"""Booked for a request that names no maximum."""
+"""Completion tokens that are planned for a request without a maximum."""
 RETRY_S = 0.5
 
 MakeParts = Callable[[], AsyncIterator[bytes]]
 
 
 class DeferralService:
-    """Owns the queue of an entry.
+    """Runs the deferral queue of an entry.
 
     Args:
-        queue: The state.
+        queue: Deferrable requests of this entry, ordered by deadline.
     """
 
     def __init__(self, queue: DeferralQueue) -> None:
@@ -51,16 +51,19 @@
         keyed: bool,
         make_parts: MakeParts,
     ) -> AsyncIterator[bytes]:
-        """Reads the answer; of a deferrable request once it has a slot.
+        """Streams the answer; a deferrable request waits for a slot first.
 
         Args:
             request: The request.
-            max_tokens: Most tokens of the answer, where the caller says so.
-            keyed: The request has a key, so that it may have run before.
-            make_parts: Starts the run.
+            max_tokens: Largest number of completion tokens, where the caller
+                has set one.
+            keyed: Whether the request has a request key, so that it may have
+                run before.
+            make_parts: Starts the run and streams its answer.
 
         Raises:
-            DeadlineInfeasibleError: It can't be promised in time.
+            DeadlineInfeasibleError: The queue can't guarantee the answer
+                before the deadline.
         """
         if not request.deferrable:
             return make_parts()
@@ -85,16 +88,16 @@
             self._start_next()
 
     def release(self) -> None:
-        """Starts all that wait: a planned stop, which must cut none off.
+        """Starts all queued requests, so that a planned stop drops none.
 
-        The engines still run them behind the more urgent requests.
+        The engines still run them with lower priority than urgent requests.
         """
         self._is_released = True
         for start in self._starts.values():
             start.set()
 
     def get_sizes(self) -> dict[str, int]:
-        """Sizes, for the state dump."""
+        """Returns the sizes of the queue, for the state dump."""
         return {"waiting": len(self._queue), "open": len(self._starts)}
 
     def _book(
@@ -126,8 +129,9 @@
 async def _run_when_room(
     request: Request, make_parts: MakeParts
 ) -> AsyncIterator[bytes]:
-    # More urgent requests may fill all upstreams when the slot comes. The
-    # promise was given, so a refusal that a retry helps is not passed on.
+    # More urgent requests may occupy all upstreams when the slot becomes free.
+    # The queue has already promised the answer, so that a refusal which a
+    # retry can overcome is not forwarded to the caller.
     while True:
         started = False
         try:
@@ -146,10 +150,19 @@
 def resolve_deadline_s(
     header: str | None, metadata: Mapping[str, str] | None, spec: ClassSpec
 ) -> float:
-    """Seconds until a request's deadline; 0 where nothing says so.
+    """Returns the time until a request's deadline.
+
+    Args:
+        header: Value of the deadline header, if present.
+        metadata: The `metadata` field of the request body, if present.
+        spec: Specification of the request class, which has the default.
+
+    Returns:
+        Seconds until the deadline; the class's default where the caller sets
+        none, which is 0 for no deadline.
 
     Raises:
-        MalformedRequestError: The caller's value is no positive number.
+        MalformedRequestError: The caller's value is not a positive number.
     """
     text = header or (metadata or {}).get(DEADLINE_FIELD)
     if text is None:
--- a/src/lovagestage/entry/dispatcher.py
+++ b/src/lovagestage/entry/dispatcher.py
@@ -1,4 +1,4 @@
-"""Drives one request through its attempts at upstreams."""
+"""Runs one request through its attempts at upstreams."""
 
 from __future__ import annotations
 
@@ -56,14 +56,16 @@
 CHECK_INTERVAL_S = 0.25
 RETURN_POLL_S = 0.05
 ATTACH_AFTER_S = 1.0
-"""A run that says nothing for so long is asked for what is missing."""
+"""Time in seconds without data after which the dispatcher asks the sidecar for
+the missing part of a run. Without it a message that was lost with its
+connection would stall the answer."""
 
 
 class RightsCheck(Protocol):
-    """Decides whether a request may still run."""
+    """Checks whether a request is still allowed to run."""
 
     def check(self, request: Request) -> None:
-        """Passes a request; raises `RequestRefusedError` where it may not."""
+        """Returns for an allowed request; raises `RequestRefusedError` else."""
 
 
 class Dispatcher:
@@ -71,10 +73,10 @@
 
     Args:
         upstreams: Connections to sidecars.
-        rng: Source of randomness for choices.
+        rng: Source of randomness for the choice of upstreams and for jitter.
         timers: Timer service.
-        crashes: Requests that may crash upstreams.
-        rights: Asked again right before a request is sent.
+        crashes: Requests that are suspected of crashing upstreams.
+        rights: Checks a request again immediately before it is sent.
     """
 
     def __init__(
@@ -97,21 +99,22 @@
     async def run(
         self, request: Request, result: Result
     ) -> AsyncIterator[bytes]:
-        """Yields the answer's chunks in order, each once.
+        """Yields the chunks of the answer in order, each exactly once.
 
         Args:
             request: The request.
-            result: Filled in on the way.
+            result: Filled in while the request runs.
 
         Raises:
-            RequestRefusedError: There is no whole answer; says what was run.
+            RequestRefusedError: There is no complete answer; the error says
+                whether the request was run.
         """
         self._budget.note_request(time.monotonic())
         try:
             async for data in self._run(request, result):
                 yield data
         except RequestRefusedError as error:
-            # The last attempt may not have run while one before did.
+            # The last attempt may not have run although an earlier one did.
             error.run = join_run_states(result.run, error.run)
             raise
 
@@ -174,7 +177,7 @@
                 self._end_attempt(attempt, result)
 
     def get_sizes(self) -> dict[str, int]:
-        """Sizes of the tables, for the state dump."""
+        """Returns the sizes of the tables, for the state dump."""
         return {
             "attempts": len(self._attempts),
             "crash_suspects": len(self._crashes),
@@ -184,7 +187,13 @@
     async def run_claimed(
         self, request: Request, run: RunId, result: Result
     ) -> AsyncIterator[bytes]:
-        """Starts the run that a request key was claimed for; reads it."""
+        """Starts the run that a request key was claimed for, and reads it.
+
+        Args:
+            request: The request.
+            run: The claimed run.
+            result: Filled in while the run is read.
+        """
         name = get_fingerprint(request.workspace, request.body)
         label = f"{run.request_id}/{run.attempt}"
         probe = await self._crashes.admit(name, label, request.deadline_at_s)
@@ -204,7 +213,13 @@
     async def join(
         self, request: Request, run: RunId, result: Result
     ) -> AsyncIterator[bytes]:
-        """Reads a run that another request with the same key has started."""
+        """Reads a run that another request with the same key has started.
+
+        Args:
+            request: The request that reads the answer.
+            run: The run of the other request.
+            result: Filled in while the run is read.
+        """
         attempt = self._open_run(run)
         self._upstreams.send(run.sidecar, attempt.make_attach())
         async for data in self._follow(request, attempt, result):
@@ -213,8 +228,8 @@
     async def _follow(
         self, request: Request, attempt: Attempt, result: Result
     ) -> AsyncIterator[bytes]:
-        # The run goes on when its reader leaves: the retry of a caller whose
-        # connection broke reads the answer from it.
+        # The run is not cancelled when its reader disconnects: a caller that
+        # retries after a broken connection reads the answer from this run.
         try:
             async for data in self._read(request, attempt, result):
                 yield data
@@ -224,9 +239,16 @@
     async def choose(self, request: Request, excluded: set[VmId]) -> VmId:
         """Chooses the upstream of the next attempt.
 
+        Args:
+            request: The request.
+            excluded: Upstreams that must not be chosen.
+
+        Returns:
+            The VM of the upstream.
+
         Raises:
-            NoCapacityError: None can take the request now.
-            RequestRefusedError: It may not run any more.
+            NoCapacityError: No upstream can accept the request now.
+            RequestRefusedError: The request is no longer allowed to run.
         """
         version = str(request.version)
         while True:
@@ -247,9 +269,9 @@
                     RunState.NOT_RUN,
                     retry_after_s=COME_BACK_S,
                 )
-            # All connections may have gone silent together, with nothing
-            # wrong at their ends. New ones are seconds away at most: by then
-            # a link has answered or is lost.
+            # All connections may have stopped receiving data together although
+            # the processes at their ends work. Reconnections take seconds at
+            # most: by then a link has answered or is declared lost.
             await asyncio.sleep(RETURN_POLL_S)
 
     async def _start_attempt(
@@ -348,8 +370,8 @@
             match outcome:
                 case Chunk():
                     yield outcome.data
-                    # Only what the caller has taken is acknowledged, so that
-                    # a slow one holds up its own run and nothing else.
+                    # Only data that the caller has consumed is acknowledged,
+                    # so that a slow caller delays its own run and no other.
                     ack = attempt.make_ack(outcome)
                     if ack is not None:
                         self._upstreams.send(attempt.vm, ack)
@@ -370,9 +392,10 @@
             elif attempt.is_idle and (
                 now_s - attempt.last_event_s > ATTACH_AFTER_S
             ):
-                # The dispatch, or the answer's next part, may be lost on a
-                # connection that has gone silent since. Asking costs little:
-                # a sidecar that never saw the run bars it and says so.
+                # The dispatch, or the next part of the answer, may have been
+                # lost on a connection that has stopped working since. Asking
+                # again is cheap: a sidecar that never received the run bars it
+                # from running later and reports that.
                 attempt.last_event_s = now_s
                 self._upstreams.send(attempt.vm, attempt.make_attach())
 
--- a/src/lovagestage/entry/escalation.py
+++ b/src/lovagestage/entry/escalation.py
@@ -1,7 +1,7 @@
-"""Asks a better version where the first answer is doubtful by its own signs.
+"""Asks a better version where the first answer shows signs of low quality.
 
-Only for plain answers: of a stream the caller has had the first words by the
-time that its end can be judged.
+This applies to answers that are not streamed. The caller of a stream has
+already received the first words by the time the end can be judged.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 
 class Escalation:
-    """Runs requests that have a plan with a second version.
+    """Runs requests whose plan may include a second version.
 
     Args:
-        dispatcher: Runs requests.
+        dispatcher: Runs a request at one version.
     """
 
     def __init__(self, dispatcher: Dispatcher) -> None:
@@ -43,8 +43,13 @@
     ) -> AsyncIterator[bytes]:
         """Yields the answer that the caller gets; see `Dispatcher.run`.
 
-        Where a second version is asked, `result` is of its run, and so are
-        the tokens that are billed. If that fails, the first answer stands.
+        If a second version answers, `result` describes its run, and its tokens
+        are the ones that are billed. If the second version fails, the caller
+        gets the first answer.
+
+        Args:
+            request: The request.
+            result: Filled in while the request runs.
         """
         started_s = time.monotonic()
         first = [part async for part in self._dispatcher.run(request, result)]
@@ -75,12 +80,16 @@
 def get_escalated(
     request: Request, body: bytes, started_s: float
 ) -> Request | None:
-    """The request for the second version; None where none is asked.
+    """Makes the request to the second version of a plan.
 
     Args:
-        request: As it was run first.
-        body: Its answer.
-        started_s: Monotonic time at which it began.
+        request: The request as it was first run.
+        body: The answer of the first version.
+        started_s: Monotonic time at which the first run started, in seconds.
+
+    Returns:
+        The request with the second version; None where no second version is
+        to be asked.
     """
     if request.arm is None:
         return None
@@ -96,7 +105,7 @@
 
 
 def may_run_twice(request: Request) -> bool:
-    """Whether a second answer may be asked for at all."""
+    """Returns whether a second version may be asked to answer the request."""
     return request.arm is not None and request.repeatable and not request.stream
 
 
@@ -108,6 +117,7 @@
         return True
     if answer.finish_reason != CUT_OFF:
         return False
-    # Where the caller has set the limit, a better version ends there too.
+    # Where the caller has set the limit, a better version would be cut off at
+    # the same length.
     limit = msgspec.json.decode(request.body, type=_LimitForm)
     return limit.max_tokens is None and limit.max_completion_tokens is None
--- a/src/lovagestage/entry/exposure_service.py
+++ b/src/lovagestage/entry/exposure_service.py
@@ -1,4 +1,4 @@
-"""The gates of all roll-outs in force at one entry."""
+"""Runs the exposure gates of all roll-outs in force at one entry."""
 
 from __future__ import annotations
 
@@ -42,26 +42,28 @@
 APPEND_TIMEOUT_S = 5.0
 APPEND_RETRY_S = 0.5
 BACKUP_DELAY_S = 3.0
-"""An entry that was told of a stop appends it too, should the one that found
-it be lost before it could; the common change id makes them one change."""
+"""Time in seconds after which an entry that received a stop from a peer appends
+it too, in case the entry that found the stop failed before it could append. The
+shared change id makes both appends one change."""
 
 
 class ExposureService(mode.Service):
     """Assigns requests to versions, and stops roll-outs.
 
-    A stop holds at this entry from the observation that proves it: neither
-    the log nor another entry is waited for. The other entries hear of it at
-    once and again each second, and the log whenever it takes an append.
+    A stop takes effect at this entry with the observation that proves it; it
+    waits neither for the log nor for another entry. The other entries receive
+    it immediately and again each second, and it is appended to the log as soon
+    as the log accepts the append.
 
     Args:
-        control: The folded state.
-        writer: Appends stops.
+        control: The state that is folded from the log.
+        writer: Appends stops to the log.
         peers: Connections to the other entries.
         timers: Timer service.
-        hub: Hands over the other entries' evidence.
+        hub: Delivers the other entries' evidence.
         own: Name and incarnation of this process.
         rng: Source of randomness for assignments.
-        has_rater: Whether ratings are there to wait for.
+        has_rater: Whether a rater is configured, so that ratings will arrive.
     """
 
     def __init__(
@@ -90,7 +92,11 @@
         timers.subscribe(SHARE_INTERVAL_S, self._on_share_due)
 
     def get_document(self, document: ServiceDocument) -> ServiceDocument:
-        """The document without the versions that were stopped."""
+        """Returns the document with the stopped versions withdrawn.
+
+        Args:
+            document: Document of a service.
+        """
         stopped = [
             gate.spec.new
             for key, gate in self._gates.items()
@@ -105,13 +111,16 @@
         document: ServiceDocument,
         workspace: WorkspaceId,
     ) -> Choice:
-        """Chooses between old and new where a roll-out is in force.
+        """Chooses between the old and the new version of a roll-out in force.
 
         Args:
-            name: What the request names.
-            resolved: The version that it gets without a roll-out.
-            document: From `get_document`.
-            workspace: Who asks.
+            name: The service, model or version that the request names.
+            resolved: The version that the request gets without a roll-out.
+            document: Document of the service, from `get_document`.
+            workspace: The workspace that sent the request.
+
+        Returns:
+            The version, with the trial where a roll-out has assigned it.
         """
         rollout = self._control.folded.rollouts.get(
             document.service, resolved.model
@@ -130,28 +139,45 @@
         return Choice(version, Trial(rollout.progress.key, assignment))
 
     def add_outcome(self, trial: Trial, failed: bool) -> None:
-        """Takes the end of a request that was assigned here."""
+        """Records the outcome of a request that was assigned at this entry.
+
+        Args:
+            trial: The assignment of the request.
+            failed: Whether the request failed.
+        """
         gate = self._gates.get(trial.key)
         if gate is not None:
             gate.add_outcome(trial.assignment, failed)
             self._note_stop(trial.key, gate)
 
     def add_rating(self, trial: Trial, score: float) -> None:
-        """Takes the rating of an answer to a request assigned here."""
+        """Records the rating of an answer whose request was assigned here.
+
+        Args:
+            trial: The assignment of the request.
+            score: The rating, from 0 to 1.
+        """
         gate = self._gates.get(trial.key)
         if gate is not None:
             gate.add_rating(trial.assignment.is_new, score)
             self._note_stop(trial.key, gate)
 
     def may_step(self, rollout: Rollout) -> bool:
-        """See `rollout_driver.Evidence`; without a rater time alone counts."""
+        """Returns whether a roll-out may proceed to its next step.
+
+        See `rollout_driver.Evidence`. Without a rater no evidence is required:
+        any roll-out that was not stopped may proceed.
+
+        Args:
+            rollout: The roll-out.
+        """
         gate = self._get_gate(rollout)
         if self._has_rater:
             return gate.has_proof()
         return gate.stop_reason is None
 
     def get_dump(self) -> list[dict[str, object]]:
-        """State of each gate, for the dump."""
+        """Returns the state of each gate, for the state dump."""
         return [
             {
                 "service": key.service,
@@ -202,7 +228,8 @@
             self._note_stop(progress.key, gate)
 
     def _follow(self) -> None:
-        # Also where no request asks: another entry's stop must find a gate.
+        # Gates are created even where no request needs them, because a stop
+        # from another entry is applied to an existing gate only.
         rollouts = self._control.folded.rollouts.get_all()
         for rollout in rollouts:
             self._get_gate(rollout)
@@ -234,7 +261,8 @@
 
     def _share(self, key: RolloutKey, gate: ExposureGate) -> None:
         report = EvidenceReport(key.service, key.model, gate.make_evidence())
-        # To all entries, not to the subset: one that misses a stop goes on.
+        # The report goes to all entries instead of the subset: an entry that
+        # misses a stop continues the roll-out.
         for vm in self._peers.get_listed():
             self._peers.send(vm, report)
 
@@ -282,14 +310,17 @@
         try:
             await self._writer.append(record, APPEND_TIMEOUT_S)
         except LogError as error:
-            # The stop holds here and at the peers without the log.
+            # The stop is in effect here and at the peers without the log.
             _log.warning(
                 "rollout_stop_not_appended", extra={"code": error.code}
             )
 
 
 def _make_stop_id(key: RolloutKey) -> ChangeId:
-    """One id for all entries: however many append it, it is one change."""
+    """Makes the change id of a stop, which is the same at all entries.
+
+    However many entries append the stop, it is one change.
+    """
     return ChangeId(f"stop-{key.service}-{key.model}-{key.revision}")
 
 
--- a/src/lovagestage/entry/key_service.py
+++ b/src/lovagestage/entry/key_service.py
@@ -1,4 +1,4 @@
-"""Tasks around the ledger of request keys: claims, copies, slots' pasts."""
+"""Serves the ledger of request keys: claims, copies and synchronized slots."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 class KeyService(mode.Service):
-    """Holds this entry's part of the request keys.
+    """Holds this entry's share of the request keys.
 
     Args:
         settings: Limits of the ledger.
         control: Configuration in force.
-        membership: This process as a member.
+        membership: The entries that are members, with this process.
         peers: Connections to the other entries.
-        hub: Hands over questions of the other entries.
+        hub: Delivers the other entries' questions.
     """
 
     def __init__(
@@ -69,11 +69,19 @@
 
     @property
     def view(self) -> MemberView:
-        """The members now."""
+        """Current view of the member entries."""
         return self._membership.view
 
     async def claim(self, claim: Claim) -> ClaimAnswer:
-        """Asks the key's owner, which may be this process."""
+        """Asks the owner of a key to decide a claim; it may be this process.
+
+        Args:
+            claim: The claim.
+
+        Returns:
+            The owner's answer; `STALE_VIEW` where the view has changed or has
+            no holders, and `BUSY` where the owner does not answer in time.
+        """
         holders = self._get_holders(claim)
         if not holders or claim.epoch != self.view.epoch:
             return ClaimAnswer(ClaimOutcome.STALE_VIEW)
@@ -85,7 +93,7 @@
         return ClaimAnswer(ClaimOutcome.BUSY)
 
     def get_dump(self) -> dict[str, object]:
-        """State for the dump: the view and the ledger's size."""
+        """Returns the view and the ledger's sizes, for the state dump."""
         own = self._ledger.own
         held = [s for s in range(SLOTS) if own in self.view.get_holders(s)]
         return {
@@ -115,8 +123,8 @@
         )
 
     def _on_control(self) -> None:
-        # Runs in the same step as the fold, before any question is answered:
-        # no answer mixes an old ledger with a new view.
+        # This runs in the same step as the fold and before any question is
+        # answered, so that no answer combines an old ledger with a new view.
         if self._ledger.own != self._membership.get_own_id():
             self._ledger = self._make_ledger()
         self._ledger.apply_view(self.view)
@@ -172,7 +180,15 @@
             self._ledger.remove_expired(time.monotonic(), _get_wall_ms())
 
     async def _pull(self, slot: int, limit: asyncio.Semaphore) -> bool:
-        """Makes a held slot whole; False where a source did not answer."""
+        """Synchronizes a slot that this process holds.
+
+        Args:
+            slot: Number of the slot.
+            limit: Limits the number of concurrent pulls.
+
+        Returns:
+            False where a source did not answer or the view has changed.
+        """
         if self._is_done(slot):
             return True
         async with limit:
--- a/src/lovagestage/entry/keyed_refusals.py
+++ b/src/lovagestage/entry/keyed_refusals.py
@@ -1,9 +1,9 @@
-"""Refusals of keyed requests before their key is claimed, made true.
+"""Corrects the run state of refusals that precede the claim of a request key.
 
-A caller that is told `not_run` may conclude that its key was never used. A
-check before the claim (API key, body, route, model, session, room for a bill)
-proves only that this request was not run: an earlier one with the same key may
-have, before the workspace lost the model or the session expired.
+A caller that receives `not_run` may conclude that its key was never used. A
+check before the claim (API key, body, route, model, session, space for a bill)
+proves only that this request was not run: an earlier request with the same key
+may have run before the workspace lost the model or the session expired.
 """
 
 from __future__ import annotations
@@ -27,21 +27,24 @@
 from lovagestage.types import RunState, WorkspaceId
 
 _UNREAD = b""
-"""No body has this digest: whatever the key was used with is another one."""
+"""Digest for a body that was not read completely. No body has this digest, so
+that a key which was used counts as used with another body."""
 _NEVER_RUN = (ClaimOutcome.FREE, ClaimOutcome.FULL)
-"""The holders agree that the key is new."""
+"""Outcomes which mean that the holders agree that the key is new."""
 _UNDECIDED = (ClaimOutcome.STALE_VIEW, ClaimOutcome.BUSY)
 
 
 @dataclasses.dataclass
 class Progress:
-    """How far a request came before it was refused.
+    """How far a request was processed before it was refused.
 
     Attributes:
-        workspace: Who asks; None where the API key is not known.
-        body: What its key stands for; None where it was not read whole.
-        is_claiming: The key's claim has begun; refusals from there on know
-            of earlier runs.
+        workspace: The workspace that sent the request; None where the API key
+            is unknown.
+        body: The body whose digest the request key is bound to; None where
+            the body was not read completely.
+        is_claiming: Whether the claim of the key has begun. Refusals after
+            that already take earlier runs into account.
     """
 
     workspace: WorkspaceId | None = None
@@ -53,17 +56,21 @@
 
 
 def get_progress(request: web.Request) -> Progress:
-    """The progress of a request, which its handlers keep up to date."""
+    """Returns the progress of a request, which its handlers keep up to date.
+
+    Args:
+        request: The HTTP request.
+    """
     if _PROGRESS not in request:
         request[_PROGRESS] = Progress()
     return request[_PROGRESS]
 
 
 class KeyedRefusals:
-    """Asks the holders of a key before `not_run` is said of it.
+    """Asks the holders of a key before a refusal may say `not_run`.
 
     Args:
-        keys: Claims of request keys.
+        keys: Claims request keys.
     """
 
     def __init__(self, keys: KeyService) -> None:
@@ -72,7 +79,12 @@
     async def correct(
         self, request: web.Request, error: RequestRefusedError
     ) -> None:
-        """Turns `not_run` into `unknown` where the key may have run."""
+        """Changes `not_run` to `unknown` where the key may have run.
+
+        Args:
+            request: The HTTP request.
+            error: The refusal; its run state is changed in place.
+        """
         key = request.headers.get(HEADER_KEY)
         progress = get_progress(request)
         if key is None or progress.is_claiming:
@@ -83,11 +95,12 @@
 
     async def _is_new(self, key: str, progress: Progress) -> bool:
         if progress.workspace is None:
-            # The API key may have been taken from the workspace since.
+            # The API key may have been removed from its workspace since the
+            # request key was used.
             return False
         outcome = await self._ask(key, progress.workspace, progress.body)
         if outcome is ClaimOutcome.OTHER_BODY:
-            # What ran was another request than this one.
+            # The request that ran had another body than this request.
             return progress.body is not None
         return outcome in _NEVER_RUN
 
@@ -106,7 +119,7 @@
 
 
 def _is_valid(key: str) -> bool:
-    # A key of another form is refused by every claim, so it never ran.
+    # Every claim refuses a key of an invalid form, so that it never ran.
     try:
         check_key(key)
     except RequestRefusedError:
--- a/src/lovagestage/entry/keyed_runs.py
+++ b/src/lovagestage/entry/keyed_runs.py
@@ -1,4 +1,4 @@
-"""Drives a request that has an `Idempotency-Key` to its one answer."""
+"""Runs a request that has an `Idempotency-Key`, or joins its existing run."""
 
 from __future__ import annotations
 
@@ -42,24 +42,27 @@
 HEADER_KEY = "Idempotency-Key"
 MAX_KEY_LENGTH = 255
 CLAIM_LIMIT_S = 2.0
-"""Longest search for a key's holders before the request is refused."""
+"""Longest time in seconds that a claim is retried while the holders of its key
+do not agree; after that the request is refused."""
 CLAIM_RETRY_S = 0.1
 INQUIRY_TIMEOUT_S = 1.0
 JOIN_GRACE_S = 0.1
-"""Time for a dispatch that follows its claim to reach the sidecar."""
+"""Time in seconds for a dispatch, which is sent after its claim, to reach the
+sidecar. Without it a run that is only just under way would seem never sent."""
 RETRY_AFTER_S = 2
 _DECIDED = (ClaimOutcome.GRANTED, ClaimOutcome.HELD, ClaimOutcome.FREE)
 
 
 @dataclasses.dataclass
 class _Search:
-    """How far the search for the key's one run has come.
+    """State of the search for the one run of a key.
 
     Attributes:
-        after: Run that the next one replaces.
-        may_have_run: A replaced run of a repeatable request may have run.
-        started: Part of the answer has been handed on.
-        is_finding: No run has been found in this round yet.
+        after: The run that the next claim replaces.
+        may_have_run: Whether a replaced run of a repeatable request may have
+            run.
+        started: Whether a part of the answer has been sent to the caller.
+        is_finding: Whether this round has not found a run yet.
         excluded: Upstreams that are not tried again.
     """
 
@@ -70,12 +73,21 @@
     excluded: set[VmId] = dataclasses.field(default_factory=set)
 
     def replace(self, run: RunId) -> None:
-        """Replaces a run that may have run."""
+        """Marks a run that may have run as the one to replace.
+
+        Args:
+            run: The run to replace.
+        """
         self.after = run
         self.may_have_run = True
 
     def is_over(self, error: RequestRefusedError, number: int) -> bool:
-        """Whether the error is the request's answer."""
+        """Returns whether the error is final for the request.
+
+        Args:
+            error: The error of this round.
+            number: Number of the round, from 1.
+        """
         return (
             self.is_finding
             or number == MAX_ATTEMPTS
@@ -87,8 +99,8 @@
     """Runs keyed requests at most once, or joins the run that exists.
 
     Args:
-        keys: Claims of request keys.
-        dispatcher: Reads runs.
+        keys: Claims request keys.
+        dispatcher: Starts and reads runs.
         upstreams: Connections to sidecars.
     """
 
@@ -105,10 +117,16 @@
     async def run(
         self, request: Request, key: str, result: Result
     ) -> AsyncIterator[bytes]:
-        """Yields the answer of the key's one run.
+        """Yields the answer of the one run of a key.
+
+        Args:
+            request: The request.
+            key: The request key.
+            result: Filled in while the run is read.
 
         Raises:
-            RequestRefusedError: There is no whole answer; says what was run.
+            RequestRefusedError: There is no complete answer; the error says
+                whether the request was run.
         """
         check_key(key)
         search = _Search()
@@ -138,17 +156,20 @@
     async def _find(
         self, request: Request, key: str, number: int, search: _Search
     ) -> tuple[LedgerEntry, bool]:
-        """The run to read, and whether it is this request's own.
+        """Finds the run to read.
+
+        Returns:
+            The claimed run, and whether this request started it.
 
         Raises:
-            RequestRefusedError: There is none, and none can be started.
+            RequestRefusedError: No run exists, and none can be started.
         """
         search.is_finding = True
         try:
             run = await self._choose_run(request, number, search.excluded)
         except RequestRefusedError:
-            # An earlier request may have run all the same: without this
-            # question, "not run" would be said of a key that has.
+            # An earlier request may have run nevertheless. Without this
+            # question the refusal would say `not_run` of a key that has run.
             entry = await self._claim(request, key, None, search.after)
             if entry is None or entry.run == search.after:
                 raise
@@ -197,7 +218,7 @@
         run: RunId | None,
         after: RunId | None,
     ) -> LedgerEntry | None:
-        """The run that has the key; None where none has."""
+        """Returns the run that holds the key; None where no run does."""
         end_s = time.monotonic() + CLAIM_LIMIT_S
         while True:
             claim = Claim(
@@ -220,8 +241,8 @@
                 raise KeyHoldersUnavailableError(
                     "The entries that hold the request key did not agree"
                     f" within {CLAIM_LIMIT_S} s.",
-                    # This run was never sent, but an earlier request with
-                    # the key may have run.
+                    # The run of this request was never sent, but an earlier
+                    # request with the key may have run.
                     RunState.UNKNOWN,
                     retry_after_s=RETRY_AFTER_S,
                 )
@@ -234,7 +255,12 @@
         error: RequestRefusedError,
         search: _Search,
     ) -> None:
-        """Gives up a run that ended; raises where it is the key's last."""
+        """Prepares the replacement of a failed run.
+
+        Raises:
+            RequestRefusedError: The run must not be replaced, so that its
+                error is the answer of the request.
+        """
         if error.run is RunState.NOT_RUN:
             search.after = run
         elif request.repeatable:
@@ -256,10 +282,11 @@
     async def _give_up(
         self, request: Request, run: RunId, search: _Search
     ) -> None:
-        """Gives up another's run that is not at its sidecar.
+        """Abandons a run of another request that its sidecar does not hold.
 
         Raises:
-            KeyRunLostError: It may have run and may not run again.
+            KeyRunLostError: The run may have run, and the request must not
+                run again.
         """
         known = await self._inquire(run, forbid=True)
         if known is RunKnown.FORBIDDEN:
@@ -271,7 +298,8 @@
                 f"Upstream {run.sidecar!r}, which was to run the request, no"
                 " longer tells what became of it.",
                 RunState.UNKNOWN,
-                # One that does not answer may only be paused.
+                # A sidecar that does not answer may only be paused, so that a
+                # retry can still succeed.
                 RETRY_AFTER_S if known is None else None,
             )
 
@@ -283,15 +311,18 @@
 
 
 def get_body_digest(body: bytes) -> bytes:
-    """What a key's holders compare bodies by."""
+    """Returns the digest by which the holders of a key compare bodies."""
     return hashlib.blake2b(body, digest_size=16).digest()
 
 
 def check_key(key: str) -> None:
     """Checks the form of a request key.
 
+    Args:
+        key: The request key.
+
     Raises:
-        MalformedRequestError: It is empty, too long or not printable ASCII.
+        MalformedRequestError: The key is empty, too long or not ASCII.
     """
     if not (0 < len(key) <= MAX_KEY_LENGTH and key.isascii()):
         raise MalformedRequestError(
--- a/src/lovagestage/entry/limit_service.py
+++ b/src/lovagestage/entry/limit_service.py
@@ -1,4 +1,4 @@
-"""Charges requests to their workspaces and tells the other entries."""
+"""Charges requests to their workspaces and reports usage to other entries."""
 
 from __future__ import annotations
 
@@ -29,20 +29,21 @@
 
 REPORT_INTERVAL_S = 0.5
 REPORT_BUDGET_BYTES_PER_S = 2500
-"""Of the 3 KB/s that control may use on each VM."""
+"""Bytes per second for usage reports, out of the 3 KB/s that control traffic
+may use on each VM."""
 FRAME_BYTES = 100
-"""IP, TCP, ZMTP and CURVE headers of one message."""
+"""Size in bytes of the IP, TCP, ZMTP and CURVE headers of one message."""
 
 
 class LimitService(mode.Service):
-    """Owns an entry's table of limits.
+    """Runs an entry's table of token limits.
 
     Args:
-        table: The state.
+        table: Limits and usage by workspace.
         control: Configuration in force.
         peers: Connections to the other entries.
         timers: Timer service.
-        hub: Hands over what arrives at the listener.
+        hub: Delivers the messages that arrive at this entry's listener.
     """
 
     def __init__(
@@ -74,16 +75,18 @@
         max_tokens: int | None,
         keyed: bool,
     ) -> Iterator[None]:
-        """Charges an estimate, and what was used once the request ends.
+        """Charges an estimate first, and the actual usage at the request's end.
 
         Args:
             request: The request.
-            result: Filled in by the dispatcher.
-            max_tokens: Most tokens of the answer, where the caller says so.
-            keyed: The request has a key, so that it may have run before.
+            result: The result of the request; the dispatcher fills it in.
+            max_tokens: Largest number of completion tokens, where the caller
+                has set one.
+            keyed: Whether the request has a request key, so that it may have
+                run before.
 
         Raises:
-            WorkspaceLimitError: The workspace is over its limit.
+            WorkspaceLimitError: The workspace has reached its token limit.
         """
         self._read_limits()
         tag = get_workspace_tag(request.service, request.workspace)
@@ -101,8 +104,9 @@
         try:
             yield
         except RequestRefusedError as error:
-            # Of a request with a key the refusal must say `unknown`, though
-            # this one of its requests has not run.
+            # The refusal of a keyed request must say `unknown` even though
+            # this request itself was not run, because an earlier request with
+            # the key may have run.
             is_proved_not_run = error.run is RunState.NOT_RUN or isinstance(
                 error, DeadlineInfeasibleError
             )
@@ -114,7 +118,7 @@
             self._table.settle(tag, charge, used, time.monotonic())
 
     def get_dump(self) -> list[dict[str, object]]:
-        """State by workspace, for the dump."""
+        """Returns the state of each workspace, for the state dump."""
         return self._table.get_dump()
 
     def _read_limits(self) -> None:
@@ -153,7 +157,15 @@
 
 
 def get_report_count(size_bytes: int, peers: int) -> int:
-    """How many peers are told in one interval within the budget."""
+    """Returns how many peers get a report per interval within the budget.
+
+    Args:
+        size_bytes: Size of the report in bytes.
+        peers: Number of peers.
+
+    Returns:
+        The number of peers, at least 1.
+    """
     budget_bytes = REPORT_BUDGET_BYTES_PER_S * REPORT_INTERVAL_S
     affordable = int(budget_bytes // (size_bytes + FRAME_BYTES))
     return max(1, min(peers, affordable))
@@ -162,17 +174,23 @@
 def get_used_tokens(
     request: Request, result: Result, estimate: float, is_proved_not_run: bool
 ) -> float:
-    """Tokens that a request has cost, as far as its end tells.
+    """Returns the tokens that a request has used, as far as its end shows.
 
     Args:
         request: The request.
-        result: What is known of its answer.
-        estimate: Stands where the count is not known: the caller has left,
-            or the run has failed after it may have started.
-        is_proved_not_run: The request was refused and was surely not run.
+        result: What is known of the answer.
+        estimate: Tokens to charge where the count is unknown, because the
+            caller has disconnected or the run has failed after it may have
+            started.
+        is_proved_not_run: Whether the request was refused and certainly not
+            run.
+
+    Returns:
+        Completion tokens.
     """
     if result.request_id not in (None, request.request_id):
-        # It has read the run of another request, which is charged for it.
+        # The request has read the run of another request, which is charged
+        # for that run.
         return 0.0
     if result.finished is not None:
         return float(result.finished.completion_tokens)
--- a/src/lovagestage/entry/quality.py
+++ b/src/lovagestage/entry/quality.py
@@ -1,4 +1,4 @@
-"""Hands answers to the rater and its ratings to who asked for them."""
+"""Sends answers to the rater and delivers its ratings to their consumers."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 POSTS_AT_ONCE = 4
 MAX_QUEUED = 1_000
 MAX_AWAITED = 50_000
-"""Answers whose ratings are waited for; at 20 requests/s that is 40 minutes,
-and ratings come within a few."""
+"""Largest number of answers whose ratings are awaited. At 20 requests/s it is
+reached after 40 minutes, whereas ratings arrive within a few minutes."""
 POLL_INTERVAL_S = 0.5
 RETRY_S = 2.0
 
 
 class QualityService(mode.Service):
-    """Posts answers and polls ratings.
+    """Posts answers to the rater and polls for ratings.
 
     Args:
         rater: The platform's rater.
-        exposure: Gets the ratings of requests in roll-outs.
-        cascades: Gets the ratings of requests that follow a plan.
+        exposure: Receives the ratings of requests in roll-outs.
+        cascades: Receives the ratings of requests that follow a plan.
 
     Attributes:
-        dropped: Answers that were not handed over.
+        dropped: Number of answers that were not handed to the rater.
     """
 
     def __init__(
@@ -57,30 +57,35 @@
         self._rated = 0
 
     async def on_start(self) -> None:
-        """Starts the posts."""
+        """Starts the tasks that post answers."""
         for _ in range(POSTS_AT_ONCE):
             self.add_future(self._post_all())
 
     def offer(self, answer: RatedAnswer, request: Request) -> None:
-        """Takes an answer; never waits.
+        """Queues an answer for the rater without waiting.
 
-        A rater that is slow or down would otherwise hold up the callers, or
-        fill the memory with answers. What is dropped is dropped for old and
-        new versions alike, and costs evidence, not truth.
+        If the call waited, a rater that is slow or down would delay the
+        callers; if the queue had no bound, answers would fill the memory.
+        Answers are dropped for old and new versions alike, so that a drop
+        reduces the evidence but does not bias it.
+
+        Args:
+            answer: The answer.
+            request: The request that was answered.
         """
         try:
             self._queue.put_nowait(answer)
         except asyncio.QueueFull:
             self.dropped += 1
             return
-        # The body may be large, and is not needed any more.
+        # The body may be large, and the rating does not need it.
         kept = dataclasses.replace(request, body=b"")
         self._awaited[answer.request_id] = kept
         if len(self._awaited) > MAX_AWAITED:
             self._awaited.popitem(last=False)
 
     def get_sizes(self) -> dict[str, int]:
-        """Sizes and counts, for the state dump."""
+        """Returns sizes and counts, for the state dump."""
         return {
             "queued": self._queue.qsize(),
             "awaited": len(self._awaited),
@@ -122,7 +127,8 @@
         page = await self._rater.read(self._next)
         self._next = max(self._next, page.next)
         for rating in page.ratings:
-            # All entries read all ratings; the others' are not known here.
+            # Each entry reads all ratings; this entry does not know the
+            # requests of other entries.
             request = self._awaited.pop(rating.request_id, None)
             if request is not None:
                 self._rated += 1
--- a/src/lovagestage/entry/trials.py
+++ b/src/lovagestage/entry/trials.py
@@ -1,4 +1,4 @@
-"""What the callers' API asks: which version, and who hears of the answer."""
+"""Connects the callers' API with roll-outs, cascade plans and the rater."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 MAX_ANSWER_BYTES = 256 * 1024
-"""A longer answer is not rated."""
+"""Largest answer in bytes that is rated; a longer answer is not kept."""
 
 
 class _PromptForm(msgspec.Struct):
@@ -32,36 +32,47 @@
 
 @dataclasses.dataclass
 class _Copy:
-    """An answer as it went to the caller.
+    """Copy of an answer as it was sent to the caller.
 
     Attributes:
-        parts: Its parts, while they are within the limit.
-        size_bytes: Bytes of all parts.
+        parts: Chunks of the answer, as long as they are within the limit.
+        size_bytes: Size of all chunks in bytes.
     """
 
     parts: list[bytes] = dataclasses.field(default_factory=list)
     size_bytes: int = 0
 
     def add(self, part: bytes) -> None:
-        """Takes a part."""
+        """Adds a chunk, unless the answer is over the limit.
+
+        Args:
+            part: Bytes of the answer.
+        """
         self.size_bytes += len(part)
         if self.size_bytes <= MAX_ANSWER_BYTES:
             self.parts.append(part)
 
     def parse(self, stream: bool) -> Answer | None:
-        """The answer; None where it is too long or has another form."""
+        """Parses the copied answer.
+
+        Args:
+            stream: Whether the answer was sent as a stream of events.
+
+        Returns:
+            The answer; None where it is over the limit or can't be parsed.
+        """
         if self.size_bytes > MAX_ANSWER_BYTES:
             return None
         return parse_answer(b"".join(self.parts), stream)
 
 
 class Trials:
-    """Gives requests plans and parts in roll-outs, and reports their ends.
+    """Assigns requests to plans and roll-outs, and reports their outcomes.
 
     Args:
-        exposure: The gates.
-        cascades: The plans.
-        quality: The way to the rater; None where there is no rater.
+        exposure: The gates of the roll-outs.
+        cascades: The cascade plans.
+        quality: Sends answers to the rater; None where there is no rater.
     """
 
     def __init__(
@@ -75,7 +86,7 @@
         self._quality = quality
 
     def get_document(self, document: ServiceDocument) -> ServiceDocument:
-        """See `ExposureService.get_document`."""
+        """Returns the document; see `ExposureService.get_document`."""
         return self._exposure.get_document(document)
 
     def choose(
@@ -85,7 +96,7 @@
         document: ServiceDocument,
         workspace: WorkspaceId,
     ) -> Choice:
-        """See `ExposureService.choose`."""
+        """Chooses a version; see `ExposureService.choose`."""
         return self._exposure.choose(name, resolved, document, workspace)
 
     def choose_plan(
@@ -96,13 +107,21 @@
         spec: ClassSpec,
         prompt_bytes: int,
     ) -> Choice | None:
-        """Chooses for a request that names the service.
+        """Chooses the plan of a request that names the service.
+
+        The plan is chosen first: its first version may be one that a roll-out
+        is replacing, and then the roll-out decides between the old and the
+        new version.
 
-        The plan comes first: it may lead to a version that a roll-out is
-        replacing, and then the roll-out decides between the two.
+        Args:
+            document: Document of the service.
+            workspace: The workspace that sent the request.
+            class_name: The request class.
+            spec: Specification of the class.
+            prompt_bytes: Size of the prompt in bytes.
 
         Returns:
-            None where no plan is to be followed.
+            The version of the request; None where no plan applies.
         """
         arm = self._cascades.choose(
             document, workspace, class_name, spec, prompt_bytes
@@ -116,7 +135,7 @@
         return dataclasses.replace(choice, arm=arm)
 
     def get_dump(self) -> dict[str, object]:
-        """State of the gates and of the ratings, for the dump."""
+        """Returns the state of the gates and of the ratings, for the dump."""
         return {
             "gates": self._exposure.get_dump(),
             "cascades": self._cascades.get_dump(),
@@ -126,7 +145,13 @@
     async def watch(
         self, request: Request, result: Result, parts: AsyncIterator[bytes]
     ) -> AsyncIterator[bytes]:
-        """Passes an answer on and reports it once it has ended."""
+        """Forwards an answer and reports its outcome once it has ended.
+
+        Args:
+            request: The request.
+            result: The result of the request; the dispatcher fills it in.
+            parts: Chunks of the answer.
+        """
         trial = request.trial
         copy = _Copy()
         try:
@@ -157,7 +182,8 @@
         if answer is None or self._quality is None:
             return
         if result.first is not None:
-            # The rating is the second version's, and no evidence of the first.
+            # The rating applies to the second version's answer, so that it is
+            # no evidence about the first version.
             request = dataclasses.replace(request, trial=None)
         self._quality.offer(
             RatedAnswer(
@@ -174,13 +200,15 @@
         self, trial: Trial, result: Result, answer: Answer | None
     ) -> None:
         is_failure = answer is not None and answer.is_failure
-        # A first answer that was replaced was doubtful by its own signs.
+        # A first answer that was replaced had itself shown signs of low
+        # quality.
         failed = result.version_failed or is_failure or bool(result.first)
         self._exposure.add_outcome(trial, failed)
 
 
 def _is_own_run(request: Request, result: Result) -> bool:
-    # A request that joined another's run says nothing of its own assignment.
+    # A request that joined the run of another request provides no evidence
+    # about its own assignment.
     return result.request_id in (None, request.request_id)
 
 
--- a/src/lovagestage/entry/version_search.py
+++ b/src/lovagestage/entry/version_search.py
@@ -1,8 +1,9 @@
 """Finds upstreams of versions that an entry's own subset lacks.
 
 A subset is chosen by names alone, so that a version which few upstreams have
-loaded may be at none of it. Other entries have other subsets: some are asked
-which of their sidecars have the version, and these are connected to as well.
+loaded may be missing from it. Other entries have other subsets: the search asks
+some of them which of their sidecars have the version, and connects to these
+sidecars as well.
 """
 
 from __future__ import annotations
@@ -32,17 +33,22 @@
 
 CHECK_INTERVAL_S = 1.0
 MAX_PAUSE_S = 30.0
-"""Longest pause between searches that find nothing new."""
+"""Longest pause in seconds between searches that find nothing new."""
 ASK_TIMEOUT_S = 1.0
 MAX_ASKED = 8
 MIN_UPSTREAMS = 4
-"""Upstreams of each version that an entry wants to know."""
+"""Number of upstreams of each version that an entry tries to know."""
 
 
 def get_scarce(
     wanted: Iterable[str], loaded: Mapping[VmId, Sequence[str]]
 ) -> list[str]:
-    """Wanted versions that too few known upstreams have loaded."""
+    """Returns the wanted versions that too few known upstreams have loaded.
+
+    Args:
+        wanted: Versions in the documents.
+        loaded: Loaded versions by upstream.
+    """
     counts = dict.fromkeys(wanted, 0)
     for versions in loaded.values():
         for version in counts.keys() & set(versions):
@@ -53,7 +59,12 @@
 def choose_places(
     versions: Iterable[str], loaded: Mapping[VmId, Sequence[str]]
 ) -> list[VersionPlace]:
-    """For each version some of the upstreams that have it."""
+    """Returns, for each version, some of the upstreams that have loaded it.
+
+    Args:
+        versions: The versions.
+        loaded: Loaded versions by upstream.
+    """
     places = []
     for version in versions:
         having = (vm for vm in sorted(loaded) if version in loaded[vm])
@@ -69,12 +80,12 @@
     wanted: Iterable[str],
     known: Mapping[VmId, Sequence[str]],
 ) -> frozenset[VmId]:
-    """Upstreams to connect to beside the subset.
+    """Chooses upstreams to connect to in addition to the subset.
 
     Args:
-        places: What others have told, over time.
+        places: Locations of versions that other entries have reported so far.
         wanted: Versions in the documents.
-        known: Versions at the subset.
+        known: Loaded versions by upstream of the subset.
     """
     scarce = set(get_scarce(wanted, known))
     extra: dict[str, list[VmId]] = {version: [] for version in scarce}
@@ -86,14 +97,14 @@
 
 
 class VersionSearch(mode.Service):
-    """Asks other entries for versions, and answers them.
+    """Asks other entries where versions are loaded, and answers such questions.
 
     Args:
         control: Configuration in force.
         upstreams: Connections to sidecars.
         peers: Connections to the other entries.
-        hub: Hands over the other entries' questions.
-        rng: Source of randomness.
+        hub: Delivers the other entries' questions.
+        rng: Source of randomness for the choice of the entries to ask.
     """
 
     def __init__(
@@ -121,7 +132,11 @@
             await self.search(time.monotonic())
 
     async def search(self, now_s: float) -> None:
-        """Asks for what is scarce, more and more rarely while in vain."""
+        """Searches for scarce versions, with longer pauses while it fails.
+
+        Args:
+            now_s: Monotonic time in seconds.
+        """
         scarce = get_scarce(self._get_wanted(), self._upstreams.get_versions())
         if not scarce or self._upstreams.has_all:
             self._pause_s = CHECK_INTERVAL_S
@@ -137,8 +152,9 @@
         self._apply(found)
 
     def _apply(self, found: list[VersionPlace]) -> None:
-        # What the extra links' own heartbeats say decides over what was told:
-        # a place that has lost the version since is not held on to.
+        # The extra upstreams' own heartbeats take precedence over the reports
+        # of other entries: an upstream that has unloaded the version since is
+        # dropped.
         loaded = self._upstreams.get_versions()
         held = [
             place
--- a/src/lovagestage/execution/__init__.py
+++ b/src/lovagestage/execution/__init__.py
@@ -1,1 +1,1 @@
-"""A request, its attempts, and the run at a sidecar."""
+"""A request, its attempts, and the run that executes it at a sidecar."""
--- a/src/lovagestage/execution/attempts.py
+++ b/src/lovagestage/execution/attempts.py
@@ -1,4 +1,4 @@
-"""One run of a request as its entry sees it."""
+"""The reading side of a run: one attempt at a request, as its entry sees it."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 
 class Attempt:
-    """One run of a request, read in order.
+    """Reads one run of a request in order.
 
     Attributes:
         key: Request id and attempt number.
         vm: The upstream.
-        incarnation: The sidecar's process that may run it.
-        accepted: Whether the sidecar may have run it.
-        next_seq: Next chunk that is expected.
-        sent_s: Monotonic time of the dispatch.
-        last_event_s: Monotonic time of the latest event.
-        passed_on: Whether the caller has had a part of the answer.
+        incarnation: The only sidecar process that may execute the run.
+        accepted: Whether the sidecar may have run the request.
+        next_seq: Sequence number of the next expected chunk.
+        sent_s: Monotonic time of the dispatch, in seconds.
+        last_event_s: Monotonic time of the latest event, in seconds.
+        passed_on: Whether the caller has received a part of the answer.
     """
 
     def __init__(self, key: AttemptKey, vm: VmId, incarnation: int) -> None:
@@ -57,11 +57,15 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether everything that has come was taken."""
+        """Whether all outcomes that are ready have been read."""
         return not self._ready
 
     def add(self, event: Event) -> None:
-        """Takes an event; late and repeated chunks are dropped."""
+        """Adds an event of the run; late and repeated chunks are dropped.
+
+        Args:
+            event: The message from the sidecar.
+        """
         self.last_event_s = time.monotonic()
         self.accepted = True
         match event:
@@ -75,11 +79,19 @@
         self._release()
 
     def fail(self, error: RequestRefusedError) -> None:
-        """Ends the attempt after what has come so far."""
+        """Ends the attempt with an error, after the chunks that have arrived.
+
+        Args:
+            error: The error.
+        """
         self._put(error)
 
     async def get(self) -> Outcome:
-        """Next chunks in order, joined, or the end."""
+        """Waits for the next outcome.
+
+        Returns:
+            The next chunks in order, joined into one, or the end.
+        """
         while not self._ready:
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
@@ -90,7 +102,14 @@
         return self._join(first) if self._ready else first
 
     def make_ack(self, taken: Chunk) -> Ack | None:
-        """The acknowledgement that is due once `taken` is passed on."""
+        """Makes the acknowledgement that may be due for a chunk.
+
+        Args:
+            taken: The chunk that was sent to the caller.
+
+        Returns:
+            The acknowledgement; None until `ACK_BYTES` are unacknowledged.
+        """
         self._unacked_bytes += len(taken.data)
         if self._unacked_bytes < ACK_BYTES:
             return None
@@ -98,11 +117,11 @@
         return Ack(*self.key, taken.seq + taken.count)
 
     def make_attach(self) -> Attach:
-        """Asks for what has not come."""
+        """Makes the message that asks for the chunks that are missing."""
         return Attach(*self.key, self.next_seq, self.incarnation)
 
     def make_cancel(self) -> Cancel:
-        """Cancels the run."""
+        """Makes the message that cancels the run."""
         return Cancel(*self.key)
 
     def _join(self, first: Chunk) -> Chunk:
--- a/src/lovagestage/execution/engine_stream.py
+++ b/src/lovagestage/execution/engine_stream.py
@@ -1,4 +1,4 @@
-"""Reads one answer from an engine over as many connections as it takes."""
+"""Reads one answer from an engine, over several connections if necessary."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 class EngineStream:
-    """The blocks of one answer, resumed where a connection fails.
+    """Reads the blocks of one answer, and resumes where a connection fails.
 
     Args:
-        engine: The upstream.
-        dispatch: What to run.
-        first_token_timeout_s: Longest wait for the first block.
-        progress_timeout_s: Longest wait for each further block.
+        engine: The engine of the upstream.
+        dispatch: The request to run.
+        first_token_timeout_s: Longest wait for the first block, in seconds.
+        progress_timeout_s: Longest wait for each further block, in seconds.
     """
 
     def __init__(
@@ -54,11 +54,12 @@
         self._keep_usage = _get_stream_options(dispatch.body)
 
     async def read(self) -> AsyncIterator[Block]:
-        """Yields blocks up to and with the one that ends the answer.
+        """Yields the blocks up to and including the one that ends the answer.
 
         Raises:
-            EngineRefusedError: The engine did not run it.
-            EngineError: It failed, with what is known of its run.
+            EngineRefusedError: The engine did not run the request.
+            EngineError: The engine failed; the error says what is known of
+                its run.
         """
         blocks = self._engine.run(
             self._dispatch.request_id,
@@ -100,9 +101,10 @@
             await blocks.aclose()  # type: ignore[attr-defined]
 
     async def _read_block(self, blocks: AsyncIterator[bytes]) -> bytes | None:
-        # A connection may stay open and say nothing for good while new ones
-        # work. Only progress tells; the wait for the first token is apart,
-        # since a queue at the engine may be long while nothing is wrong.
+        # A connection may stay open and deliver no data for good while new
+        # connections work, so that only progress shows that it is usable. The
+        # first token has a timeout of its own, because the engine's queue may
+        # be long although nothing is wrong.
         timeout_s = (
             self._progress_timeout_s
             if self._next_seq
@@ -121,9 +123,9 @@
             raise error
         self._failures += 1
         if error.run is RunState.NOT_RUN:
-            # A resumption is refused by an engine that has ended, or has
-            # started again and knows nothing of it. That says nothing of the
-            # run that was begun, but that the engine died under it.
+            # An engine refuses a resumption if it has stopped, or has
+            # restarted and has no record of the run. That proves nothing about
+            # the run that was started, except that the engine died during it.
             raise EngineCrashedError(error.message) from error
         if self._failures > RESUME_ATTEMPTS:
             raise EngineError(error.message, RunState.UNKNOWN) from error
--- a/src/lovagestage/execution/events.py
+++ b/src/lovagestage/execution/events.py
@@ -1,4 +1,4 @@
-"""Reads the server-sent events of a chat completion."""
+"""Parses the server-sent events of a chat completion."""
 
 from __future__ import annotations
 
@@ -45,12 +45,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Block:
-    """Whole events that arrived together.
+    """Complete events that arrived together.
 
     Attributes:
-        data: Bytes for the caller, the usage event left out if unwanted.
+        data: Bytes for the caller, without the usage event if the caller did
+            not ask for it.
         next_seq: Number of the event that follows, for resumption.
-        usage: Present where the block holds the usage event.
+        usage: Token counts, where the block contains the usage event.
         done: Whether the block ends the stream.
     """
 
@@ -61,10 +62,10 @@
 
 
 def parse_block(data: bytes, next_seq: int, keep_usage: bool) -> Block:
-    """Looks at a block without decoding what need not be decoded.
+    """Parses a block and decodes only the events that need decoding.
 
     Args:
-        data: Whole events.
+        data: Complete events.
         next_seq: Expected number of the first event.
         keep_usage: Whether the caller asked for the usage event.
     """
@@ -100,7 +101,15 @@
 
 
 def make_plain_answer(events: bytes, usage: Usage) -> bytes:
-    """Joins the events of a stream into one `chat.completion` object."""
+    """Joins the events of a stream into one `chat.completion` object.
+
+    Args:
+        events: All events of the stream.
+        usage: Token counts of the answer.
+
+    Returns:
+        The JSON body of the answer.
+    """
     text: list[str] = []
     last = _ChunkForm()
     finish_reason = "stop"
--- a/src/lovagestage/execution/plain_stream.py
+++ b/src/lovagestage/execution/plain_stream.py
@@ -1,4 +1,4 @@
-"""Reads the answer of a plain service as the one block of a run."""
+"""Reads the answer of a plain service as the only block of a run."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class PlainStream:
-    """One call; it is made once, whatever becomes of it.
+    """Makes one call to a plain service, which is never retried.
 
     Args:
-        service: The upstream.
+        service: The plain service of the upstream.
         dispatch: The call.
     """
 
@@ -33,7 +33,8 @@
         """Yields the answer.
 
         Raises:
-            EngineError: There is none, with what is known of the run.
+            EngineError: There is no answer; the error says what is known of
+                the run.
         """
         dispatch = self._dispatch
         headers = [
@@ -54,7 +55,13 @@
     dispatch: Dispatch,
     settings: SidecarSettings,
 ) -> EngineStream | PlainStream:
-    """Opens the answer of a run at either kind of upstream."""
+    """Opens the answer of a run at an engine or a plain service.
+
+    Args:
+        upstream: The engine or the plain service.
+        dispatch: The request to run.
+        settings: Timeouts of the engine.
+    """
     if isinstance(upstream, PlainService):
         return PlainStream(upstream, dispatch)
     return EngineStream(
--- a/src/lovagestage/execution/readers.py
+++ b/src/lovagestage/execution/readers.py
@@ -1,4 +1,4 @@
-"""A run's answer and the connections that read it, each at its own pace."""
+"""A run's answer and the connections that read it, each at its own speed."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 from lovagestage.messages.runs import Chunk, Dispatch, Finished, Refused
 
 WINDOW_BYTES = 128 * 1024
-"""Most bytes under way to a reader that it has not passed on."""
+"""Largest number of bytes in flight to a reader: sent and not acknowledged."""
 COALESCE_BYTES = 32 * 1024
-"""Chunks that wait are joined up to this size: a message costs the same for
-one token as for a hundred."""
+"""Size in bytes up to which waiting chunks are joined into one message, because
+a message costs the same for one token as for a hundred."""
 PAUSE_BYTES = 256 * 1024
-"""The engine is read no further ahead of the fastest reader than this."""
+"""Largest number of bytes by which the engine is read ahead of the fastest
+reader."""
 
 PACE_PER_RUN_S = 0.0015
 PACE_FREE_RUNS = 8
@@ -26,11 +27,18 @@
 
 
 def get_pace_s(running: int) -> float:
-    """Time between two reads of one engine stream, by runs under way.
+    """Returns the time between two reads of one engine stream.
 
     Each read costs about the same for one token as for several. With many
-    streams the tokens of some tens of milliseconds are taken together, which
-    a reader does not see; a few streams are passed on as they come.
+    streams the tokens of some tens of milliseconds are read together, a delay
+    that readers do not notice; with few streams each token is forwarded as it
+    arrives.
+
+    Args:
+        running: Number of runs in progress.
+
+    Returns:
+        Seconds.
     """
     if running <= PACE_FREE_RUNS:
         return 0.0
@@ -43,9 +51,9 @@
 
     Attributes:
         peer: The connection.
-        next_seq: Next chunk to send.
-        acked_seq: All chunks before it have been passed on.
-        ended: Whether the end was sent.
+        next_seq: Sequence number of the next chunk to send.
+        acked_seq: The reader has acknowledged all chunks before this number.
+        ended: Whether the end of the run was sent.
     """
 
     peer: PeerId
@@ -59,13 +67,15 @@
     """One execution of a request.
 
     Attributes:
-        dispatch: What was asked.
-        readers: Connections that read it.
+        dispatch: The request.
+        readers: Connections that read the run.
         chunks: The answer so far.
-        sizes: Bytes of the answer before each chunk, and in all.
-        end: How it ended; None while it runs.
-        ended_at_s: Monotonic time of the end.
-        moved: Set when a reader moves on or leaves.
+        sizes: Cumulative size of the answer in bytes: before each chunk, and
+            in total.
+        end: How the run ended; None while it is in progress.
+        ended_at_s: Monotonic time of the end, in seconds.
+        task: The task that executes the run.
+        moved: Set when a reader is added, removed or acknowledges chunks.
     """
 
     dispatch: Dispatch
@@ -79,23 +89,40 @@
 
     @property
     def size_bytes(self) -> int:
-        """Size of the answer so far."""
+        """Size of the answer so far, in bytes."""
         return self.sizes[-1]
 
     def add_chunk(self, data: bytes) -> None:
-        """Appends to the answer."""
+        """Appends a chunk to the answer.
+
+        Args:
+            data: Bytes of the answer.
+        """
         self.chunks.append(data)
         self.sizes.append(self.sizes[-1] + len(data))
 
     def attach(self, peer: PeerId, from_seq: int) -> Reader:
-        """Adds a reader, or moves it back to `from_seq`."""
+        """Adds a reader, or sets an existing one back to `from_seq`.
+
+        Args:
+            peer: The connection.
+            from_seq: Sequence number of the first chunk to send.
+        """
         from_seq = max(0, min(from_seq, len(self.chunks)))
         self.readers[peer] = Reader(peer, from_seq, from_seq)
         self.moved.set()
         return self.readers[peer]
 
     def acknowledge(self, peer: PeerId, next_seq: int) -> Reader | None:
-        """Notes what a reader has passed on."""
+        """Records which chunks a reader has acknowledged.
+
+        Args:
+            peer: The connection.
+            next_seq: The reader has consumed all chunks before this number.
+
+        Returns:
+            The reader; None where the acknowledgement is not new.
+        """
         reader = self.readers.get(peer)
         if reader is None or next_seq <= reader.acked_seq:
             return None
@@ -104,15 +131,15 @@
         return reader
 
     def remove_reader(self, peer: PeerId) -> None:
-        """Forgets a reader whose connection is gone."""
+        """Removes a reader whose connection is gone."""
         if self.readers.pop(peer, None) is not None:
             self.moved.set()
 
     def is_ahead(self) -> bool:
-        """Whether the answer is too far ahead of its fastest reader.
+        """Returns whether the answer is too far ahead of its fastest reader.
 
-        A run without readers goes on: its answer may be asked for, and its
-        size is bounded by the engine's token limit.
+        A run without readers is not stopped: its answer may still be asked
+        for, and the engine's token limit bounds its size.
         """
         if not self.readers:
             return False
@@ -120,13 +147,18 @@
         return self.size_bytes - self.sizes[fastest] > PAUSE_BYTES
 
     def is_delivered(self) -> bool:
-        """Whether it has ended and each reader has had all of it."""
+        """Returns whether the run has ended and each reader has all of it."""
         return self.end is not None and all(
             reader.ended for reader in self.readers.values()
         )
 
     def pump(self, reader: Reader, send: Send) -> None:
-        """Sends what the reader's window has room for."""
+        """Sends the chunks that the reader's window has space for.
+
+        Args:
+            reader: The reader.
+            send: Sends a message to a connection; returns whether it could.
+        """
         while reader.next_seq < len(self.chunks):
             under_way = (
                 self.sizes[reader.next_seq] - self.sizes[reader.acked_seq]
@@ -135,8 +167,8 @@
                 return
             chunk = self._join_chunks(reader.next_seq)
             if not send(reader.peer, chunk):
-                # The queue is full or the connection gone; the next timer,
-                # acknowledgement or attachment tries again.
+                # The send queue is full or the connection is gone. The next
+                # timer, acknowledgement or attachment sends again.
                 return
             reader.next_seq += chunk.count
         if self.end is not None and not reader.ended:
--- a/src/lovagestage/execution/request.py
+++ b/src/lovagestage/execution/request.py
@@ -32,21 +32,22 @@
     """A request that was admitted.
 
     Attributes:
-        request_id: Chosen by the entry.
-        workspace: Who asks.
+        request_id: Id that the entry has assigned.
+        workspace: The workspace that sent the request.
         service: The service.
         version: Version to run on.
-        priority: 0 is most urgent.
-        repeatable: Whether it may run more than once.
-        deadline_at_s: Monotonic time of the deadline.
-        stream: Whether the caller reads chunks.
+        priority: Priority; 0 is the most urgent.
+        repeatable: Whether the request may run more than once.
+        deadline_at_s: Monotonic time of the deadline, in seconds.
+        stream: Whether the caller reads the answer as a stream.
         body: The JSON body.
-        session: The session that it came with.
-        trial: Its part in a roll-out.
-        class_name: Its request class.
-        arm: What its answer counts for, where it follows a plan.
+        session: The session that the request belongs to.
+        trial: Assignment in a roll-out.
+        class_name: The request class.
+        arm: Counter that the answer is added to, where the request follows a
+            cascade plan.
         headers: Headers of a call to a plain service.
-        deferrable: It may wait until its deadline.
+        deferrable: Whether the request may wait until its deadline.
     """
 
     request_id: RequestId
@@ -68,19 +69,21 @@
 
 @dataclasses.dataclass
 class Result:
-    """What is known of an answer once it is whole.
+    """What is known of an answer.
 
     Attributes:
         version: Version that answered.
-        attempts: Attempts made.
-        request_id: The request whose run is read, where another one with
-            the same key has started it; the bill is that one's.
-        finished: Token counts and digest.
-        waits: Attempts that were refused until a probe has ended.
-        run: Whether any attempt that failed was run.
-        passed_on: Whether the caller has had a part of the answer.
-        version_failed: Whether an attempt failed as a bad version's would.
-        first: Token counts of an earlier answer that was not good enough.
+        attempts: Number of attempts made.
+        request_id: The request whose run is read, where another request with
+            the same key has started it. The run is billed to that request.
+        finished: Token counts and digest, once the answer is complete.
+        waits: Number of attempts that were refused until a probe had ended.
+        run: Whether any failed attempt was run.
+        passed_on: Whether the caller has received a part of the answer.
+        version_failed: Whether an attempt failed in a way that a bad version
+            would cause.
+        first: Token counts of an earlier answer that a second version's
+            answer has replaced.
     """
 
     version: ModelVersion
@@ -94,7 +97,11 @@
     first: Finished | None = None
 
     def take(self, second: Result) -> None:
-        """Puts another version's answer in place of this one."""
+        """Replaces this answer by the answer of another version.
+
+        Args:
+            second: Result of the other version's run.
+        """
         self.first = self.finished
         self.version = second.version
         self.attempts = second.attempts
@@ -103,19 +110,28 @@
     def note_failure(
         self, error: RequestRefusedError, attempt: Attempt
     ) -> None:
-        """Keeps what is known of the run over all attempts."""
+        """Accumulates what is known of the run over all attempts.
+
+        Args:
+            error: How the attempt failed.
+            attempt: The attempt.
+        """
         self.passed_on = self.passed_on or attempt.passed_on
         self.waits += isinstance(error, SuspectWaitingError)
-        # A retry that succeeds would hide a version that fails now and then.
+        # A retry that succeeds would hide a version that fails occasionally.
         self.version_failed |= is_version_at_fault(error)
         self.run = join_run_states(self.run, error.run)
 
 
 def is_version_at_fault(error: RequestRefusedError) -> bool:
-    """Whether a failure may be its version's doing.
+    """Returns whether a failure may be caused by its version.
+
+    Failures of the upstream itself affect old and new versions alike, and the
+    exposure gate distinguishes them; a lack of capacity is a failure of
+    neither version.
 
-    An upstream's own failures hit old and new versions alike and are told
-    apart by the exposure gate; a lack of capacity is no failure of either.
+    Args:
+        error: The failure.
     """
     return isinstance(
         error,
@@ -127,7 +143,14 @@
 
 
 def join_run_states(earlier: RunState, later: RunState) -> RunState:
-    """Run state of two attempts together: a proof of a run stands."""
+    """Combines the run states of two attempts.
+
+    A proof that one of them has run is kept.
+
+    Args:
+        earlier: Run state of the earlier attempt.
+        later: Run state of the later attempt.
+    """
     if RunState.RAN in (earlier, later):
         return RunState.RAN
     return earlier if later is RunState.NOT_RUN else later
--- a/src/lovagestage/execution/rights.py
+++ b/src/lovagestage/execution/rights.py
@@ -1,8 +1,8 @@
-"""Whether a request may run where it is about to: by the document in force.
+"""Checks whether a request may run, by the document in force.
 
-Asked twice, by the entry right before a request is sent and by the sidecar
-right before it runs: either may act on an older document than the other, and
-the later one decides.
+The check is made twice: by the entry immediately before it sends a request, and
+by the sidecar immediately before it runs the request. Either process may use an
+older document than the other, and the later check decides.
 """
 
 from __future__ import annotations
@@ -26,15 +26,17 @@
 from lovagestage.types import ModelVersion, PoolId, WorkspaceId
 
 WITHDRAWN_RETRY_S = 1
-"""When a refused caller may come back: another version is chosen then."""
+"""Seconds after which a refused caller may retry; another version is chosen
+then."""
 
 
 class RequestRights:
     """The entry's check of a request that it is about to send.
 
-    A request may have been held after its admission, for instance until a
-    silent upstream is heard again. Sent without this check, it would reach a
-    sidecar that was paused, has not read of a withdrawal yet and would run it.
+    A request may have been held after its admission, for instance until an
+    upstream answers again that was not heard from. Sent without this check, it
+    could reach a sidecar that was paused and has not read of a withdrawal yet,
+    and that sidecar would run it.
 
     Args:
         control: Documents in force.
@@ -44,10 +46,13 @@
         self._control = control
 
     def check(self, request: Request) -> None:
-        """Passes a request that may still run.
+        """Returns for a request that may still run.
+
+        Args:
+            request: The request.
 
         Raises:
-            RequestRefusedError: It may not any more.
+            RequestRefusedError: The request may no longer run.
         """
         service = self._control.services.get(request.service)
         if service is None:
@@ -75,17 +80,17 @@
     *,
     in_session: bool,
 ) -> None:
-    """Passes a request of a workspace for a version.
+    """Returns for a workspace that may send a request to a version.
 
     Args:
-        document: In force here.
-        workspace: Who asks.
-        version: Where the request is about to run.
+        document: The document in force at this process.
+        workspace: The workspace that sent the request.
+        version: Version that the request is about to run on.
         in_session: Whether an open session is pinned to the version.
 
     Raises:
         ModelNotAllowedError: The workspace may not use the version.
-        VersionWithdrawnError: The version takes no new work.
+        VersionWithdrawnError: The version accepts no new work.
     """
     if not is_version_granted(document, workspace, version):
         raise ModelNotAllowedError(
@@ -102,10 +107,15 @@
 def check_pool(
     document: ServiceDocument, workspace: WorkspaceId, pool: PoolId
 ) -> None:
-    """Passes a call of a workspace to a pool of a plain service.
+    """Returns for a workspace that may call a pool of a plain service.
+
+    Args:
+        document: The document in force at this process.
+        workspace: The workspace that made the call.
+        pool: The pool.
 
     Raises:
-        RouteNotAllowedError: The workspace has no route there.
+        RouteNotAllowedError: The workspace has no route to the pool.
     """
     if not has_pool(document, workspace, pool):
         raise RouteNotAllowedError(
--- a/src/lovagestage/execution/runs.py
+++ b/src/lovagestage/execution/runs.py
@@ -1,8 +1,8 @@
-"""Runs at a sidecar: each executes at the engine and can be read again.
+"""Runs at a sidecar: each executes at the engine and can be read repeatedly.
 
-A run keeps its chunks for a while after its end, so that an entry whose
-connection went silent, or another entry that joins, gets the whole answer
-without a second execution.
+A run retains its chunks for a while after its end, so that an entry whose
+connection stopped working, or another entry that joins, gets the complete
+answer without a second execution.
 """
 
 from __future__ import annotations
@@ -40,8 +40,9 @@
 TOMBSTONES = 50_000
 TOMBSTONE_KEEP_S = 3_600.0
 MAX_DISPATCH_AGE_MS = 5_000
-"""By the own clock that a dispatch brings back; heartbeats tell it twice a
-second, and an entry sends nothing once they have stayed away for 2 s."""
+"""Largest age in milliseconds of a dispatch, by the sidecar's own clock value
+that the dispatch returns. Heartbeats report the clock twice a second, and an
+entry sends nothing after 2 s without them."""
 
 _TRACE_STATES = {
     RunTrace.BARRED: (RunState.NOT_RUN, "dispatch_lost"),
@@ -54,13 +55,15 @@
     """All runs of a sidecar.
 
     Args:
-        engine: The upstream.
-        hub: Where answers go.
-        settings: Time-outs and what is kept.
-        incarnation: Of this process.
+        engine: The engine or plain service of the upstream.
+        hub: Sends answers to the entries.
+        settings: Timeouts and the limits for retained answers.
+        incarnation: Incarnation of this process.
 
     Attributes:
-        gate: Last check of keyed runs.
+        gate: Final check of keyed runs.
+        running: Number of runs in progress.
+        idle: Set while no run is in progress.
     """
 
     def __init__(
@@ -85,11 +88,11 @@
         hub.register_answer(Inquiry, self.answer_inquiry)
 
     def get_clock_ms(self) -> int:
-        """Time since the start of the process."""
+        """Returns the milliseconds since the start of the process."""
         return int((time.monotonic() - self._started_s) * 1000)
 
     async def answer_inquiry(self, message: Message) -> Message:
-        """Says what is known of a keyed run; may forbid it."""
+        """Reports what is known of a keyed run, and forbids it if asked to."""
         assert isinstance(message, Inquiry)
         run = message.run
         key = (run.request_id, run.attempt)
@@ -105,21 +108,26 @@
         return InquiryAnswer(known)
 
     def forbid(self, dispatch: Dispatch) -> None:
-        """Keeps a refused keyed run from starting later."""
+        """Prevents a refused keyed run from starting later."""
         if dispatch.keyed:
             key = (dispatch.request_id, dispatch.attempt)
             self.gate.forbid(key, self.get_clock_ms())
 
     def start(self, peer: PeerId, dispatch: Dispatch) -> None:
-        """Starts a run; a repeated dispatch reads the run that exists."""
+        """Starts a run; a repeated dispatch reads the run that exists.
+
+        Args:
+            peer: The connection that reads the answer.
+            dispatch: The request to run.
+        """
         key = (dispatch.request_id, dispatch.attempt)
         if key in self._runs:
             self.attach(peer, Attach(*key, from_seq=0))
             return
         trace = self._tombstones.get(key)
         if trace is not None:
-            # The dispatch was held up on a connection that went silent, and
-            # its entry has been told that it will not run.
+            # The dispatch was delayed on a connection that had stopped
+            # working, and its entry has been told that it will not run.
             self._refuse(peer, key, trace)
             return
         if self._is_late(dispatch):
@@ -139,10 +147,10 @@
         run.task = asyncio.create_task(self._execute(run))
 
     def _is_late(self, dispatch: Dispatch) -> bool:
-        # A process that was paused comes to what its sockets have kept before
+        # A process that was paused handles the messages in its sockets before
         # it has read the log: it would run a version that was withdrawn long
-        # ago, for an entry that has given the attempt up. The age shows by
-        # this process's clock alone, which goes on while it is paused.
+        # ago, for an entry that has abandoned the attempt. The age is measured
+        # by this process's clock alone, which advances during the pause.
         if dispatch.clock_ms < 0:
             return False
         return self.get_clock_ms() - dispatch.clock_ms > MAX_DISPATCH_AGE_MS
@@ -168,7 +176,12 @@
         )
 
     def attach(self, peer: PeerId, message: Attach) -> None:
-        """Sends a run's chunks again to `peer`, which reads it from now on."""
+        """Sends a run's chunks again to `peer`, which reads it from now on.
+
+        Args:
+            peer: The connection that reads the run.
+            message: The run, and the first chunk to send.
+        """
         key = (message.request_id, message.attempt)
         run = self._runs.get(key)
         if run is None:
@@ -178,7 +191,12 @@
         run.pump(run.attach(peer, message.from_seq), self._hub.send)
 
     def acknowledge(self, peer: PeerId, message: Ack) -> None:
-        """Sends more to a reader that has passed on what it had."""
+        """Sends more chunks to a reader that has acknowledged some.
+
+        Args:
+            peer: The connection of the reader.
+            message: The acknowledgement.
+        """
         run = self._runs.get((message.request_id, message.attempt))
         if run is None:
             return
@@ -187,7 +205,7 @@
             run.pump(reader, self._hub.send)
 
     async def cancel(self, message: Cancel) -> None:
-        """Cancels a run, down to the engine; bars one that never came."""
+        """Cancels a run, also at the engine; bars a run that never arrived."""
         key = (message.request_id, message.attempt)
         run = self._runs.get(key)
         if run is None:
@@ -199,10 +217,13 @@
         await self._engine.cancel(message.request_id)
 
     def is_barred_beside(self, dispatch: Dispatch) -> bool:
-        """Whether a request with strikes may not run beside what runs.
+        """Returns whether a suspect must not run beside the runs in progress.
+
+        A crash during a probe convicts the probed request. If another request
+        with strikes ran beside it, the wrong request could be convicted.
 
-        A crash during a probe convicts the probe; were another request with
-        strikes beside it, the wrong one could be convicted.
+        Args:
+            dispatch: The request to run.
         """
         if not dispatch.strikes:
             return False
@@ -214,28 +235,29 @@
         )
 
     def drop_peer(self, peer: PeerId) -> None:
-        """Forgets a connection that has gone silent."""
+        """Removes a connection that no data was received from for too long."""
         for run in self._runs.values():
             run.remove_reader(peer)
 
     async def wait_until_delivered(self) -> None:
         """Waits until all runs have ended and their readers have the end.
 
-        A run may end at the engine while its reader's window is full; a
-        process that stopped then would cut the stream of a slow caller.
+        A run may end at the engine while its reader's window is full. A
+        process that stopped at that point would truncate the stream of a slow
+        caller.
         """
         while not all(run.is_delivered() for run in self._runs.values()):
             await asyncio.sleep(DELIVERY_POLL_S)
 
     def on_timer(self) -> None:
-        """Sends what could not be sent, and forgets what has expired."""
+        """Sends the chunks that could not be sent, and removes expired runs."""
         for run in self._runs.values():
             for reader in run.readers.values():
                 run.pump(reader, self._hub.send)
         self.remove_expired()
 
     def remove_expired(self) -> None:
-        """Forgets ended runs past the window or over the byte limit."""
+        """Removes ended runs that are too old or exceed the byte limit."""
         now_s = time.monotonic()
         horizon_s = now_s - self._settings.replay_window_s
         limit_bytes = self._settings.replay_limit_bytes
@@ -253,7 +275,7 @@
         self.gate.remove_expired(self.get_clock_ms())
 
     def get_sizes(self) -> dict[str, int]:
-        """Sizes of the tables, for the state dump."""
+        """Returns the sizes of the tables, for the state dump."""
         return {
             "running": self.running,
             "runs": len(self._runs),
@@ -279,7 +301,7 @@
         except EngineError as error:
             end = _make_engine_refusal(run, error)
         except TimeoutError:
-            # The request may still have waited at the upstream.
+            # The request may still have been queued at the upstream.
             state = RunState.RAN if run.chunks else RunState.UNKNOWN
             end = _make_refusal(
                 run, "deadline_exceeded", "The deadline has passed.", state
@@ -344,9 +366,9 @@
 
 
 async def _wait_for_readers(run: Run) -> None:
-    # A caller that reads slowly must not make the sidecar hold what the
-    # engine could hold: the connection to the engine is read no further and
-    # its own flow control does the rest.
+    # A caller that reads slowly must not make the sidecar buffer what the
+    # engine could buffer: the sidecar stops reading the engine's connection,
+    # and its flow control stops the engine.
     while run.is_ahead():
         run.moved.clear()
         await run.moved.wait()
--- a/src/lovagestage/execution/sidecar.py
+++ b/src/lovagestage/execution/sidecar.py
@@ -1,4 +1,4 @@
-"""The process beside an upstream: the last check before a request runs."""
+"""The process beside an upstream, which makes the last check before a run."""
 
 from __future__ import annotations
 
@@ -49,10 +49,11 @@
 
 EXPIRY_INTERVAL_S = 1.0
 ENGINE_LOST_S = 2.0
-"""An engine whose state can't be read for so long is told to have no versions;
-as long as a silent sidecar is waited for. A single reading may fail on a
-connection that the engine has just closed, and entries would refuse requests
-until the next one although the engine serves them."""
+"""Time in seconds after which an engine whose state can't be read is reported
+to have no versions; it equals the time that an entry waits for a sidecar that
+sends nothing. A single read may fail on a connection that the engine has just
+closed, and entries would refuse requests until the next read although the
+engine serves them."""
 _PASSING = (
     "no_capacity",
     "version_withdrawn",
@@ -60,14 +61,14 @@
     "dispatch_lost",
     "suspect_waiting",
 )
-"""Refusals that a retry helps against: another upstream may have room, and
-the entry will have read the document that this process has."""
+"""Codes of refusals that a retry may overcome: another upstream may have
+capacity, and the entry will have read the document that this process has."""
 _NO_LOAD = EngineLoad(0, 0, 0, 0.0, 0.0)
 
 
 @dataclasses.dataclass(frozen=True)
 class _Told:
-    """What entries are told at once when it changes."""
+    """State that is published to entries immediately when it changes."""
 
     leaving: bool
     full: bool
@@ -76,13 +77,24 @@
 
 
 def get_state_hash(vm: VmId, zone: ZoneId, versions: list[str]) -> int:
-    """Hash of what a heartbeat may leave out; never 0."""
+    """Returns the hash of the state that a heartbeat may omit; never 0.
+
+    Args:
+        vm: VM of the sidecar.
+        zone: Availability zone of the sidecar.
+        versions: Versions that the engine has loaded.
+    """
     text = "\0".join((vm, zone, *versions))
     return int(xxhash.xxh32_intdigest(text.encode())) or 1
 
 
 def shorten(heartbeat: Heartbeat, asked: Hello) -> Heartbeat:
-    """Leaves out what the asker knows."""
+    """Omits the state that the asking entry already knows.
+
+    Args:
+        heartbeat: The complete heartbeat.
+        asked: Message of the entry, with the hash of the state that it knows.
+    """
     if asked.known_state != heartbeat.state_hash:
         return heartbeat
     return msgspec.structs.replace(
@@ -95,12 +107,12 @@
 
     Args:
         settings: Settings of the process.
-        role: The part for this role.
+        role: The section of the settings for sidecars.
         control: Configuration in force.
-        engine: The upstream.
+        engine: The engine or plain service of the upstream.
         runs: Runs at the upstream.
         timers: Timer service.
-        hub: Hands over what arrives at the listener.
+        hub: Delivers the messages that arrive at the sidecar's listener.
     """
 
     def __init__(
@@ -144,7 +156,10 @@
         self._timers.subscribe(EXPIRY_INTERVAL_S, self._on_expiry)
 
     async def drain(self) -> None:
-        """Takes no new work and waits for what runs: a planned stop."""
+        """Refuses new work and waits for runs in progress, for a planned stop.
+
+        The wait ends after the setting `drain_timeout_s`.
+        """
         self._leaving = True
         self._send_heartbeats()
         _log.info("drain_started", extra={"running": self._runs.running})
@@ -167,8 +182,8 @@
         if message.incarnation in (0, self._runs.gate.incarnation):
             self._runs.attach(peer, message)
             return
-        # The run was meant for the process before this one, and what that
-        # did with it is not known here.
+        # The run was sent to an earlier process of this sidecar. This process
+        # does not know what the earlier one did with it.
         self._hub.send(
             peer,
             Refused(
@@ -248,8 +263,8 @@
         else:
             await self._refresh_engine(self._engine)
         if (self._versions, self._is_up) != known:
-            # Entries would otherwise refuse a version that is there, or send
-            # requests for one that is gone, until the next heartbeat.
+            # Until the next heartbeat, entries would otherwise refuse a version
+            # that is loaded, or send requests for one that is not.
             self._send_heartbeats()
 
     async def _refresh_engine(self, engine: Engine) -> None:
@@ -275,8 +290,8 @@
                 self._runs.drop_peer(peer)
 
     def _drop_silent_peers(self) -> None:
-        # An entry with a run open sends heartbeats often: one that does not
-        # reads no more. An idle one has nothing open and sends them rarely.
+        # An entry with an open run sends heartbeats often: if it sends none, it
+        # no longer reads. An idle entry has no run open and sends them rarely.
         bus = self._settings.bus
         now_s = time.monotonic()
         for peer, seen_s in list(self._peers.items()):
