--- a/src/lovagestage/entry/billed.py
+++ b/src/lovagestage/entry/billed.py
@@ -15,7 +15,7 @@
     result: Result,
     now_s: float,
     outcome: BillOutcome = BillOutcome.FINISHED,
-    seen_tokens: int = 0,
+    received_tokens: int = 0,
 ) -> Bill:
     """Makes the bill of a request.
 
@@ -25,7 +25,7 @@
             attempts are not billed.
         now_s: Unix time in seconds.
         outcome: How the request ended.
-        seen_tokens: Completion tokens to bill where the engine has not
+        received_tokens: Completion tokens to bill where the engine has not
             reported its own count.
 
     Returns:
@@ -39,7 +39,7 @@
         str(result.version),
         int(now_s),
         finished.prompt_tokens if finished else 0,
-        finished.completion_tokens if finished else seen_tokens,
+        finished.completion_tokens if finished else received_tokens,
         outcome,
     )
 
@@ -63,26 +63,26 @@
         self._request = request
         self._result = result
         self._billing = billing
-        self._kept = b""
-        self._seen_tokens = 0
+        self._held_back = b""
+        self._received_tokens = 0
         self._is_billed = False
 
-    def add(self, part: bytes) -> bytes:
+    def add(self, chunk: bytes) -> bytes:
         """Adds a chunk of the answer.
 
         Args:
-            part: Bytes of the stream.
+            chunk: Bytes of the stream.
 
         Returns:
             Bytes that may be sent to the caller now; empty from the last
             event on.
         """
-        self._seen_tokens += part.count(_CONTENT)
-        self._kept += part
-        if DONE in self._kept:
+        self._received_tokens += chunk.count(_CONTENT)
+        self._held_back += chunk
+        if DONE in self._held_back:
             return b""
-        ready, self._kept = self._kept, b""
-        return ready
+        sendable, self._held_back = self._held_back, b""
+        return sendable
 
     async def end(self, now_s: float) -> bytes:
         """Bills the complete answer.
@@ -95,7 +95,7 @@
         """
         self._is_billed = True
         await self._billing.add(make_bill(self._request, self._result, now_s))
-        return self._kept
+        return self._held_back
 
     def cancel(self, now_s: float) -> None:
         """Bills the tokens that had arrived when the caller disconnected.
@@ -106,15 +106,15 @@
         Args:
             now_s: Unix time in seconds.
         """
-        if self._is_billed or not self._seen_tokens:
+        if self._is_billed or not self._received_tokens:
             return
         self._is_billed = True
-        self._billing.add_unattended(
+        self._billing.add_in_background(
             make_bill(
                 self._request,
                 self._result,
                 now_s,
                 BillOutcome.CANCELLED,
-                self._seen_tokens,
+                self._received_tokens,
             )
         )
--- a/src/lovagestage/entry/billing_service.py
+++ b/src/lovagestage/entry/billing_service.py
@@ -70,9 +70,9 @@
         self._timers = timers
         self._interval_s = interval_s
         self._rng = rng
-        self._appending = asyncio.Lock()
-        self._holder: VmId | None = None
-        self._tasks_open: set[asyncio.Task[None]] = set()
+        self._append_lock = asyncio.Lock()
+        self._copy_holder: VmId | None = None
+        self._background_tasks: set[asyncio.Task[None]] = set()
         hub.register(BillRelease, self._on_release)
         hub.register_answer(BillCopy, self._on_copy)
 
@@ -109,14 +109,14 @@
             bill: The bill.
         """
         number = self._ledger.add(bill)
-        holder = self._get_holder()
+        holder = self._get_copy_holder()
         if holder is None:
             return
         copy = self._ledger.make_copy(number, holder)
         if copy is not None:
-            await self._copy(copy, holder)
+            await self._send_copy(copy, holder)
 
-    def add_unattended(self, bill: Bill) -> None:
+    def add_in_background(self, bill: Bill) -> None:
         """Adds a bill whose caller has disconnected.
 
         The copy is sent in the background, because no caller waits for it.
@@ -124,7 +124,7 @@
         Args:
             bill: The bill.
         """
-        self._start(self.add(bill))
+        self._start_task(self.add(bill))
 
     async def flush(self) -> None:
         """Appends all bills immediately, before a planned stop.
@@ -144,7 +144,7 @@
         return self._ledger.get_sizes()
 
     @mode.Service.task
-    async def _append_for_ever(self) -> None:
+    async def _append_periodically(self) -> None:
         # The first wait is spread over the whole interval: entries that start
         # together would otherwise append together and exceed the log's rate
         # limit.
@@ -155,7 +155,7 @@
             await self.sleep(self._interval_s * (1 + spread))
 
     async def _append(self) -> bool:
-        async with self._appending:
+        async with self._append_lock:
             batch = self._ledger.make_batch()
             if batch is None:
                 return True
@@ -173,42 +173,46 @@
             return True
 
     def _on_renew_due(self) -> None:
-        taken = self._ledger.take_over(time.monotonic())
-        if taken:
-            _log.warning("billing_taken_over", extra={"bills": taken})
+        taken_over = self._ledger.take_over(time.monotonic())
+        if taken_over:
+            _log.warning("billing_taken_over", extra={"bills": taken_over})
         # Only the current holder is renewed. A former holder takes over the
         # copies that it has, which produces duplicate bills at worst.
-        self._holder = self._choose_holder()
-        if self._holder is None:
+        self._copy_holder = self._choose_copy_holder()
+        if self._copy_holder is None:
             return
-        self._peers.send(self._holder, self._ledger.make_release())
-        copy = self._ledger.make_missing_copy(self._holder)
+        self._peers.send(self._copy_holder, self._ledger.make_release())
+        copy = self._ledger.make_missing_copy(self._copy_holder)
         if copy is not None:
-            self._start(self._copy(copy, self._holder))
+            self._start_task(self._send_copy(copy, self._copy_holder))
 
-    async def _copy(self, copy: BillCopy, holder: VmId) -> None:
+    async def _send_copy(self, copy: BillCopy, holder: VmId) -> None:
         answer = await self._peers.ask(holder, copy, COPY_TIMEOUT_S)
         if isinstance(answer, BillCopied) and answer.held:
             self._ledger.on_copied(copy, holder)
         else:
             _log.warning("billing_copy_failed", extra={"peer": holder})
 
-    def _choose_holder(self) -> VmId | None:
+    def _choose_copy_holder(self) -> VmId | None:
         links = self._peers.links
         return self._ledger.choose_holder(
             Peer(vm, links[vm].vm.zone) for vm in self._peers.get_live()
         )
 
-    def _get_holder(self) -> VmId | None:
-        link = self._peers.links.get(self._holder) if self._holder else None
+    def _get_copy_holder(self) -> VmId | None:
+        link = (
+            self._peers.links.get(self._copy_holder)
+            if self._copy_holder
+            else None
+        )
         if link is None or not link.kept or not self._peers.is_heard(link):
-            self._holder = self._choose_holder()
-        return self._holder
+            self._copy_holder = self._choose_copy_holder()
+        return self._copy_holder
 
-    def _start(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.create_task(work)
-        self._tasks_open.add(task)
-        task.add_done_callback(self._tasks_open.discard)
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.create_task(coroutine)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     async def _on_copy(self, message: Message) -> Message:
         assert isinstance(message, BillCopy)
--- a/src/lovagestage/entry/cascade_service.py
+++ b/src/lovagestage/entry/cascade_service.py
@@ -26,7 +26,7 @@
 from lovagestage.timers import TimerService
 from lovagestage.types import ServiceId, WorkspaceId, parse_model_version
 
-SHARE_INTERVAL_S = 1.0
+PUBLISH_INTERVAL_S = 1.0
 SOLVE_INTERVAL_S = 2.0
 MAX_TABLES = 512
 """Largest number of plan tables; there is one for each combination of request
@@ -102,9 +102,9 @@
         self._rng = rng
         self._window_s = window_s
         self._tables: dict[TableKey, CascadeTable | None] = {}
-        self._changed = False
+        self._has_new_counts = False
         hub.register(LearnedDelta, self._on_delta)
-        timers.subscribe(SHARE_INTERVAL_S, self._on_share_due)
+        timers.subscribe(PUBLISH_INTERVAL_S, self._on_publish_due)
 
     def choose(
         self,
@@ -135,7 +135,7 @@
             document.service, class_name, versions, spec.quality_target
         )
         difficulty = get_difficulty(prompt_bytes)
-        table = self._find(key)
+        table = self._get_table(key)
         if table is None:
             return key.make_arm(difficulty, Plan(versions[-1]))
         return key.make_arm(difficulty, table.choose(difficulty, self._rng))
@@ -151,14 +151,14 @@
             result: The result of the request.
         """
         cost = 0.0
-        if result.first is not None:
+        if result.replaced_answer is not None:
             price = self._get_price(request.service, arm.plan.start)
-            cost += price * result.first.completion_tokens
+            cost += price * result.replaced_answer.completion_tokens
         if result.finished is not None:
             price = self._get_price(request.service, str(result.version))
             cost += price * result.finished.completion_tokens
         self._learned.add_request(arm, cost)
-        self._changed = True
+        self._has_new_counts = True
 
     def add_rating(self, arm: Arm, score: float) -> None:
         """Counts the rating of an answer that followed a plan.
@@ -168,7 +168,7 @@
             score: The rating, from 0 to 1.
         """
         self._learned.add_rating(arm, score)
-        self._changed = True
+        self._has_new_counts = True
 
     def get_dump(self) -> list[dict[str, object]]:
         """Returns the plans of each class by difficulty level, for the dump."""
@@ -195,19 +195,23 @@
         self._learned.set_window(int(time.time() / self._window_s))
 
     def _get_price(self, service: ServiceId, version: str) -> float:
-        held = self._control.services.get(service)
+        service_state = self._control.services.get(service)
         name = parse_model_version(version)
-        spec = held.document.get_version(name) if held and name else None
+        spec = (
+            service_state.document.get_version(name)
+            if service_state and name
+            else None
+        )
         return spec.price if spec else 0.0
 
-    def _find(self, key: TableKey) -> CascadeTable | None:
+    def _get_table(self, key: TableKey) -> CascadeTable | None:
         table = self._tables.pop(key, None)
         self._tables[key] = table
         if len(self._tables) > MAX_TABLES:
             del self._tables[next(iter(self._tables))]
         return table
 
-    def _on_share_due(self) -> None:
+    def _on_publish_due(self) -> None:
         self._learned.set_window(int(time.time() / self._window_s))
         delta = self._learned.make_delta()
         if not delta.entries:
@@ -219,20 +223,20 @@
         del peer
         assert isinstance(message, LearnedDelta)
         self._learned.merge(message)
-        self._changed = True
+        self._has_new_counts = True
 
     @mode.Service.task
-    async def _solve_all(self) -> None:
-        window = 0
+    async def _solve_periodically(self) -> None:
+        solved_window = 0
         while not self.should_stop:
-            latest = int(time.time() / self._window_s)
-            if self._changed or latest != window:
-                self._changed = False
-                window = latest
-                await self._solve_once()
+            current_window = int(time.time() / self._window_s)
+            if self._has_new_counts or current_window != solved_window:
+                self._has_new_counts = False
+                solved_window = current_window
+                await self._solve_tables()
             await self.sleep(SOLVE_INTERVAL_S)
 
-    async def _solve_once(self) -> None:
+    async def _solve_tables(self) -> None:
         for key in list(self._tables):
             table = await asyncio.to_thread(
                 CascadeTable,
--- a/src/lovagestage/entry/crash_watch.py
+++ b/src/lovagestage/entry/crash_watch.py
@@ -25,7 +25,7 @@
 
 WAIT_POLL_S = 0.05
 WAIT_LIMIT_S = 10.0
-MAX_TOLD = 10_000
+MAX_FORWARDED_REPORTS = 10_000
 """Largest number of reports that are remembered, so that none is forwarded
 twice."""
 
@@ -43,24 +43,24 @@
     def __init__(self, peers: LinkTable, hub: Hub) -> None:
         self._peers = peers
         self._table = SuspectTable()
-        self._told: dict[CrashReport, None] = {}
+        self._forwarded: dict[CrashReport, None] = {}
         hub.register(CrashReport, self._on_report)
 
     def __len__(self) -> int:
         return len(self._table)
 
-    def get_strikes(self, name: Fingerprint) -> int:
+    def get_strikes(self, fingerprint: Fingerprint) -> int:
         """Returns the number of crashes at which the request was in flight."""
-        return self._table.get_strikes(name, time.monotonic())
+        return self._table.get_strikes(fingerprint, time.monotonic())
 
     async def admit(
-        self, name: Fingerprint, run: str, deadline_at_s: float
+        self, fingerprint: Fingerprint, label: str, deadline_at_s: float
     ) -> bool:
         """Waits until an attempt may run.
 
         Args:
-            name: Fingerprint of the request.
-            run: Name of the attempt.
+            fingerprint: Fingerprint of the request.
+            label: Name of the attempt.
             deadline_at_s: Deadline of the request, in seconds of monotonic
                 time.
 
@@ -77,11 +77,13 @@
         end_s = min(deadline_at_s, time.monotonic() + WAIT_LIMIT_S)
         while True:
             now_s = time.monotonic()
-            match self._table.admit(name, now_s):
+            match self._table.admit(fingerprint, now_s):
                 case Admission.FREE:
                     return False
                 case Admission.PROBE:
-                    self._tell(self._table.start_probe(name, run, now_s))
+                    self._publish(
+                        self._table.start_probe(fingerprint, label, now_s)
+                    )
                     return True
                 case Admission.REFUSE:
                     raise RequestCrashesUpstreamsError(
@@ -96,35 +98,45 @@
             await asyncio.sleep(WAIT_POLL_S)
 
     @contextlib.contextmanager
-    def watch(self, name: Fingerprint, run: str, probe: bool) -> Iterator[None]:
+    def track_attempt(
+        self, fingerprint: Fingerprint, label: str, is_probe: bool
+    ) -> Iterator[None]:
         """Records how the enclosed attempt ends.
 
         Args:
-            name: Fingerprint of the request.
-            run: Name of the attempt.
-            probe: Whether the attempt is a probe.
+            fingerprint: Fingerprint of the request.
+            label: Name of the attempt.
+            is_probe: Whether the attempt is a probe.
         """
         try:
             yield
         except UpstreamCrashedError:
             now_s = time.monotonic()
-            self._tell(self._table.add_crash(name, run, probe, now_s))
-            _log.warning("upstream_crashed", extra={"run": run, "probe": probe})
+            self._publish(
+                self._table.add_crash(fingerprint, label, is_probe, now_s)
+            )
+            _log.warning(
+                "upstream_crashed", extra={"run": label, "probe": is_probe}
+            )
             raise
         except BaseException:
-            self._end(name, run, False)
+            self._record_end(fingerprint, label, False)
             raise
-        self._end(name, run, True)
-
-    def _end(self, name: Fingerprint, run: str, answered: bool) -> None:
-        report = self._table.add_end(name, run, answered, time.monotonic())
+        self._record_end(fingerprint, label, True)
+
+    def _record_end(
+        self, fingerprint: Fingerprint, label: str, answered: bool
+    ) -> None:
+        report = self._table.add_end(
+            fingerprint, label, answered, time.monotonic()
+        )
         if report is not None:
-            self._tell(report)
+            self._publish(report)
 
-    def _tell(self, report: CrashReport) -> None:
-        self._told[report] = None
-        while len(self._told) > MAX_TOLD:
-            del self._told[next(iter(self._told))]
+    def _publish(self, report: CrashReport) -> None:
+        self._forwarded[report] = None
+        while len(self._forwarded) > MAX_FORWARDED_REPORTS:
+            del self._forwarded[next(iter(self._forwarded))]
         for vm in self._peers.get_kept():
             self._peers.send(vm, report)
 
@@ -135,7 +147,7 @@
         # probe never arrives before its start.
         del peer
         assert isinstance(message, CrashReport)
-        if message in self._told:
+        if message in self._forwarded:
             return
         self._table.apply(message, time.monotonic())
-        self._tell(message)
+        self._publish(message)
--- a/src/lovagestage/entry/deferral_service.py
+++ b/src/lovagestage/entry/deferral_service.py
@@ -27,9 +27,9 @@
 FIRST_TOKEN_S = 1.0
 DEFAULT_MAX_TOKENS = 1024
 """Completion tokens that are planned for a request without a maximum."""
-RETRY_S = 0.5
+RETRY_INTERVAL_S = 0.5
 
-MakeParts = Callable[[], AsyncIterator[bytes]]
+StartAnswer = Callable[[], AsyncIterator[bytes]]
 
 
 class DeferralService:
@@ -41,15 +41,15 @@
 
     def __init__(self, queue: DeferralQueue) -> None:
         self._queue = queue
-        self._starts: dict[RequestId, asyncio.Event] = {}
-        self._is_released = False
+        self._start_events: dict[RequestId, asyncio.Event] = {}
+        self._is_stopping = False
 
     def run(
         self,
         request: Request,
         max_tokens: int | None,
         keyed: bool,
-        make_parts: MakeParts,
+        start_answer: StartAnswer,
     ) -> AsyncIterator[bytes]:
         """Streams the answer; a deferrable request waits for a slot first.
 
@@ -59,32 +59,32 @@
                 has set one.
             keyed: Whether the request has a request key, so that it may have
                 run before.
-            make_parts: Starts the run and streams its answer.
+            start_answer: Starts the run and streams its answer.
 
         Raises:
             DeadlineInfeasibleError: The queue can't guarantee the answer
                 before the deadline.
         """
         if not request.deferrable:
-            return make_parts()
-        return self._run_in_slot(request, max_tokens, keyed, make_parts)
+            return start_answer()
+        return self._run_in_slot(request, max_tokens, keyed, start_answer)
 
     async def _run_in_slot(
         self,
         request: Request,
         max_tokens: int | None,
         keyed: bool,
-        make_parts: MakeParts,
+        start_answer: StartAnswer,
     ) -> AsyncIterator[bytes]:
-        start = self._book(request, max_tokens, keyed)
+        start_event = self._enqueue(request, max_tokens, keyed)
         try:
             self._start_next()
-            await start.wait()
-            async for part in _run_when_room(request, make_parts):
-                yield part
+            await start_event.wait()
+            async for chunk in _run_until_accepted(request, start_answer):
+                yield chunk
         finally:
             self._queue.end(request.request_id)
-            self._starts.pop(request.request_id, None)
+            self._start_events.pop(request.request_id, None)
             self._start_next()
 
     def release(self) -> None:
@@ -92,22 +92,22 @@
 
         The engines still run them with lower priority than urgent requests.
         """
-        self._is_released = True
-        for start in self._starts.values():
-            start.set()
+        self._is_stopping = True
+        for start_event in self._start_events.values():
+            start_event.set()
 
     def get_sizes(self) -> dict[str, int]:
         """Returns the sizes of the queue, for the state dump."""
-        return {"waiting": len(self._queue), "open": len(self._starts)}
+        return {"waiting": len(self._queue), "open": len(self._start_events)}
 
-    def _book(
+    def _enqueue(
         self, request: Request, max_tokens: int | None, keyed: bool
     ) -> asyncio.Event:
-        start = asyncio.Event()
-        if self._is_released:
-            start.set()
-            self._starts[request.request_id] = start
-            return start
+        start_event = asyncio.Event()
+        if self._is_stopping:
+            start_event.set()
+            self._start_events[request.request_id] = start_event
+            return start_event
         tokens = max_tokens or DEFAULT_MAX_TOKENS
         deferred = Deferred(request.deadline_at_s, request.request_id, tokens)
         now_s = time.monotonic()
@@ -118,33 +118,40 @@
                 f" {left_s:.0f} s beside what was admitted before.",
                 RunState.UNKNOWN if keyed else RunState.NOT_RUN,
             )
-        self._starts[request.request_id] = start
-        return start
+        self._start_events[request.request_id] = start_event
+        return start_event
 
     def _start_next(self) -> None:
-        while (job := self._queue.take(time.monotonic())) is not None:
-            self._starts[job.request_id].set()
+        while (deferred := self._queue.take(time.monotonic())) is not None:
+            self._start_events[deferred.request_id].set()
 
 
-async def _run_when_room(
-    request: Request, make_parts: MakeParts
+async def _run_until_accepted(
+    request: Request, start_answer: StartAnswer
 ) -> AsyncIterator[bytes]:
     # More urgent requests may occupy all upstreams when the slot becomes free.
     # The queue has already promised the answer, so that a refusal which a
     # retry can overcome is not forwarded to the caller.
     while True:
-        started = False
+        has_started = False
         try:
-            async for part in make_parts():
-                started = True
-                yield part
+            async for chunk in start_answer():
+                has_started = True
+                yield chunk
             return
         except RequestRefusedError as error:
-            late = time.monotonic() + RETRY_S >= request.deadline_at_s
+            is_late = (
+                time.monotonic() + RETRY_INTERVAL_S >= request.deadline_at_s
+            )
             is_final = error.retry_after_s is None
-            if started or late or is_final or error.run is not RunState.NOT_RUN:
+            if (
+                has_started
+                or is_late
+                or is_final
+                or error.run is not RunState.NOT_RUN
+            ):
                 raise
-        await asyncio.sleep(RETRY_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
 
 
 def resolve_deadline_s(
--- a/src/lovagestage/entry/dispatcher.py
+++ b/src/lovagestage/entry/dispatcher.py
@@ -34,7 +34,7 @@
     UpstreamLostError,
 )
 from lovagestage.execution.attempts import Attempt, AttemptKey
-from lovagestage.execution.request import Request, Result, join_run_states
+from lovagestage.execution.request import Request, Result, combine_run_states
 from lovagestage.messages.envelope import Message
 from lovagestage.messages.keys import RunId
 from lovagestage.messages.runs import (
@@ -54,14 +54,14 @@
 _log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.25
-RETURN_POLL_S = 0.05
+RECONNECT_POLL_S = 0.05
 ATTACH_AFTER_S = 1.0
 """Time in seconds without data after which the dispatcher asks the sidecar for
 the missing part of a run. Without it a message that was lost with its
 connection would stall the answer."""
 
 
-class RightsCheck(Protocol):
+class PermissionCheck(Protocol):
     """Checks whether a request is still allowed to run."""
 
     def check(self, request: Request) -> None:
@@ -76,7 +76,7 @@
         rng: Source of randomness for the choice of upstreams and for jitter.
         timers: Timer service.
         crashes: Requests that are suspected of crashing upstreams.
-        rights: Checks a request again immediately before it is sent.
+        permissions: Checks a request again immediately before it is sent.
     """
 
     def __init__(
@@ -85,15 +85,17 @@
         rng: random.Random,
         timers: TimerService,
         crashes: CrashWatch,
-        rights: RightsCheck,
+        permissions: PermissionCheck,
     ) -> None:
         self._upstreams = upstreams
         self._crashes = crashes
-        self._rights = rights
+        self._permissions = permissions
         self._rng = rng
-        self._budget = RetryBudget(time.monotonic())
+        self._retry_budget = RetryBudget(time.monotonic())
         self._attempts: dict[AttemptKey, list[Attempt]] = {}
-        upstreams.subscribe(self._on_message, self._on_reconnect, self._on_gone)
+        upstreams.subscribe(
+            self._on_message, self._on_reconnect, self._on_upstream_gone
+        )
         timers.subscribe(CHECK_INTERVAL_S, self._on_check_due)
 
     async def run(
@@ -109,32 +111,37 @@
             RequestRefusedError: There is no complete answer; the error says
                 whether the request was run.
         """
-        self._budget.note_request(time.monotonic())
+        self._retry_budget.note_request(time.monotonic())
         try:
             async for data in self._run(request, result):
                 yield data
         except RequestRefusedError as error:
             # The last attempt may not have run although an earlier one did.
-            error.run = join_run_states(result.run, error.run)
+            error.run = combine_run_states(result.run, error.run)
             raise
 
     async def _run(
         self, request: Request, result: Result
     ) -> AsyncIterator[bytes]:
-        name = get_fingerprint(request.workspace, request.body)
+        fingerprint = get_fingerprint(request.workspace, request.body)
         excluded: set[VmId] = set()
         while True:
-            tried = result.attempts
+            attempts_before = result.attempts
             try:
-                async for data in self._try(request, result, name, excluded):
+                async for data in self._run_attempt(
+                    request, result, fingerprint, excluded
+                ):
                     yield data
                 return
             except RequestRefusedError as error:
-                if result.attempts == tried:
+                if result.attempts == attempts_before:
                     raise
                 failure = _make_failure(request, result, error)
             delay_s = get_retry_delay_s(
-                failure, self._budget, time.monotonic(), self._rng.random()
+                failure,
+                self._retry_budget,
+                time.monotonic(),
+                self._rng.random(),
             )
             if delay_s is None:
                 raise make_final_error(failure)
@@ -147,29 +154,31 @@
             )
             await asyncio.sleep(delay_s)
 
-    async def _try(
+    async def _run_attempt(
         self,
         request: Request,
         result: Result,
-        name: Fingerprint,
+        fingerprint: Fingerprint,
         excluded: set[VmId],
     ) -> AsyncIterator[bytes]:
-        run = f"{request.request_id}/{result.attempts + 1}"
-        probe = await self._crashes.admit(name, run, request.deadline_at_s)
-        with self._crashes.watch(name, run, probe):
+        label = f"{request.request_id}/{result.attempts + 1}"
+        probe = await self._crashes.admit(
+            fingerprint, label, request.deadline_at_s
+        )
+        with self._crashes.track_attempt(fingerprint, label, probe):
             attempt = await self._start_attempt(
                 request,
                 result,
                 excluded,
-                self._crashes.get_strikes(name),
+                self._crashes.get_strikes(fingerprint),
                 probe,
             )
             try:
-                async for data in self._read(request, attempt, result):
+                async for data in self._read_answer(request, attempt, result):
                     yield data
                 return
             except RequestRefusedError as error:
-                result.note_failure(error, attempt)
+                result.record_failure(error, attempt)
                 if is_upstream_at_fault(error):
                     excluded.add(attempt.vm)
                 raise
@@ -181,7 +190,7 @@
         return {
             "attempts": len(self._attempts),
             "crash_suspects": len(self._crashes),
-            "retry_budget": int(self._budget.tokens),
+            "retry_budget": int(self._retry_budget.tokens),
         }
 
     async def run_claimed(
@@ -194,20 +203,25 @@
             run: The claimed run.
             result: Filled in while the run is read.
         """
-        name = get_fingerprint(request.workspace, request.body)
+        fingerprint = get_fingerprint(request.workspace, request.body)
         label = f"{run.request_id}/{run.attempt}"
-        probe = await self._crashes.admit(name, label, request.deadline_at_s)
-        with self._crashes.watch(name, label, probe):
+        probe = await self._crashes.admit(
+            fingerprint, label, request.deadline_at_s
+        )
+        with self._crashes.track_attempt(fingerprint, label, probe):
             attempt = self._open_run(run)
             dispatch = msgspec.structs.replace(
                 self._make_dispatch(
-                    request, attempt, self._crashes.get_strikes(name), probe
+                    request,
+                    attempt,
+                    self._crashes.get_strikes(fingerprint),
+                    probe,
                 ),
                 keyed=True,
                 permit_ms=run.permit_ms,
             )
             self._upstreams.send(run.sidecar, dispatch)
-            async for data in self._follow(request, attempt, result):
+            async for data in self._read_shared_run(request, attempt, result):
                 yield data
 
     async def join(
@@ -222,21 +236,23 @@
         """
         attempt = self._open_run(run)
         self._upstreams.send(run.sidecar, attempt.make_attach())
-        async for data in self._follow(request, attempt, result):
+        async for data in self._read_shared_run(request, attempt, result):
             yield data
 
-    async def _follow(
+    async def _read_shared_run(
         self, request: Request, attempt: Attempt, result: Result
     ) -> AsyncIterator[bytes]:
         # The run is not cancelled when its reader disconnects: a caller that
         # retries after a broken connection reads the answer from this run.
         try:
-            async for data in self._read(request, attempt, result):
+            async for data in self._read_answer(request, attempt, result):
                 yield data
         finally:
-            self._close(attempt)
+            self._close_attempt(attempt)
 
-    async def choose(self, request: Request, excluded: set[VmId]) -> VmId:
+    async def select_upstream(
+        self, request: Request, excluded: set[VmId]
+    ) -> VmId:
         """Chooses the upstream of the next attempt.
 
         Args:
@@ -259,10 +275,10 @@
                 self._rng,
             )
             if vm is not None:
-                self._rights.check(request)
+                self._permissions.check(request)
                 return vm
             if not self._upstreams.may_return(version, excluded) or (
-                time.monotonic() + RETURN_POLL_S >= request.deadline_at_s
+                time.monotonic() + RECONNECT_POLL_S >= request.deadline_at_s
             ):
                 raise NoCapacityError(
                     f"No upstream can take {version!r} now.",
@@ -272,7 +288,7 @@
             # All connections may have stopped receiving data together although
             # the processes at their ends work. Reconnections take seconds at
             # most: by then a link has answered or is declared lost.
-            await asyncio.sleep(RETURN_POLL_S)
+            await asyncio.sleep(RECONNECT_POLL_S)
 
     async def _start_attempt(
         self,
@@ -282,10 +298,10 @@
         strikes: int,
         probe: bool,
     ) -> Attempt:
-        vm = await self.choose(request, excluded)
+        vm = await self.select_upstream(request, excluded)
         result.attempts += 1
         heartbeat = self._upstreams.get_heartbeat(vm)
-        attempt = self._open(
+        attempt = self._open_attempt(
             (request.request_id, result.attempts),
             vm,
             heartbeat.incarnation if heartbeat else 0,
@@ -297,15 +313,17 @@
 
     def _open_run(self, run: RunId) -> Attempt:
         key = (run.request_id, run.attempt)
-        return self._open(key, run.sidecar, run.incarnation)
+        return self._open_attempt(key, run.sidecar, run.incarnation)
 
-    def _open(self, key: AttemptKey, vm: VmId, incarnation: int) -> Attempt:
+    def _open_attempt(
+        self, key: AttemptKey, vm: VmId, incarnation: int
+    ) -> Attempt:
         attempt = Attempt(key, vm, incarnation)
         self._attempts.setdefault(key, []).append(attempt)
         self._upstreams.note_sent(vm)
         return attempt
 
-    def _close(self, attempt: Attempt) -> None:
+    def _close_attempt(self, attempt: Attempt) -> None:
         readers = self._attempts[attempt.key]
         readers.remove(attempt)
         if not readers:
@@ -314,8 +332,12 @@
         if link is not None and link.in_use > 0:
             link.in_use -= 1
 
-    def _get_attempts(self) -> list[Attempt]:
-        return [each for readers in self._attempts.values() for each in readers]
+    def _list_attempts(self) -> list[Attempt]:
+        return [
+            attempt
+            for readers in self._attempts.values()
+            for attempt in readers
+        ]
 
     def _make_dispatch(
         self, request: Request, attempt: Attempt, strikes: int, probe: bool
@@ -344,14 +366,14 @@
         return heartbeat.clock_ms
 
     def _end_attempt(self, attempt: Attempt, result: Result) -> None:
-        self._close(attempt)
+        self._close_attempt(attempt)
         if result.finished is None:
             self._upstreams.send(attempt.vm, attempt.make_cancel())
 
-    async def _read(
+    async def _read_answer(
         self, request: Request, attempt: Attempt, result: Result
     ) -> AsyncIterator[bytes]:
-        deadline = asyncio.get_running_loop().call_later(
+        deadline_timer = asyncio.get_running_loop().call_later(
             request.deadline_at_s - time.monotonic(),
             attempt.fail,
             DeadlineExceededError("The deadline has passed.", RunState.UNKNOWN),
@@ -360,7 +382,7 @@
             async for data in self._read_outcomes(attempt, result):
                 yield data
         finally:
-            deadline.cancel()
+            deadline_timer.cancel()
 
     async def _read_outcomes(
         self, attempt: Attempt, result: Result
@@ -385,10 +407,10 @@
 
     def _on_check_due(self) -> None:
         now_s = time.monotonic()
-        for attempt in self._get_attempts():
+        for attempt in self._list_attempts():
             link = self._upstreams.links.get(attempt.vm)
             if link is None or self._upstreams.is_lost(link):
-                self._fail_lost(attempt, "The upstream is silent.")
+                self._fail_as_lost(attempt, "The upstream is silent.")
             elif attempt.is_idle and (
                 now_s - attempt.last_event_s > ATTACH_AFTER_S
             ):
@@ -399,7 +421,7 @@
                 attempt.last_event_s = now_s
                 self._upstreams.send(attempt.vm, attempt.make_attach())
 
-    def _fail_lost(self, attempt: Attempt, message: str) -> None:
+    def _fail_as_lost(self, attempt: Attempt, message: str) -> None:
         attempt.fail(UpstreamLostError(message, RunState.UNKNOWN))
 
     def _on_message(self, vm: VmId, message: Message) -> None:
@@ -411,12 +433,12 @@
             attempt.add(message)
 
     def _on_reconnect(self, vm: VmId) -> None:
-        for attempt in self._get_attempts():
+        for attempt in self._list_attempts():
             if attempt.vm == vm:
                 self._upstreams.send(vm, attempt.make_attach())
 
-    def _on_gone(self, vm: VmId) -> None:
-        for attempt in self._get_attempts():
+    def _on_upstream_gone(self, vm: VmId) -> None:
+        for attempt in self._list_attempts():
             if attempt.vm == vm:
                 attempt.fail(
                     UpstreamCrashedError(
@@ -430,13 +452,13 @@
 ) -> Failure:
     return Failure(
         error,
-        result.attempts - result.waits,
-        result.passed_on,
+        result.attempts - result.probe_waits,
+        result.has_yielded_output,
         request.repeatable,
         request.deadline_at_s - time.monotonic(),
     )
 
 
 def _make_refusal(refused: Refused) -> RequestRefusedError:
-    kind = REFUSALS.get(refused.code, UpstreamFailedError)
-    return kind(refused.message, refused.run, refused.retry_after_s)
+    error_type = REFUSALS.get(refused.code, UpstreamFailedError)
+    return error_type(refused.message, refused.run, refused.retry_after_s)
--- a/src/lovagestage/entry/escalation.py
+++ b/src/lovagestage/entry/escalation.py
@@ -52,32 +52,39 @@
             result: Filled in while the request runs.
         """
         started_s = time.monotonic()
-        first = [part async for part in self._dispatcher.run(request, result)]
-        better = get_escalated(request, b"".join(first), started_s)
-        if better is None:
-            for part in first:
-                yield part
+        first_chunks = [
+            chunk async for chunk in self._dispatcher.run(request, result)
+        ]
+        escalated = make_escalated_request(
+            request, b"".join(first_chunks), started_s
+        )
+        if escalated is None:
+            for chunk in first_chunks:
+                yield chunk
             return
         _log.info(
             "request_escalated",
             extra={
                 "request": request.request_id,
-                "version": str(better.version),
+                "version": str(escalated.version),
             },
         )
-        second = Result(better.version, attempts=result.attempts)
+        second_result = Result(escalated.version, attempts=result.attempts)
         try:
-            parts = [p async for p in self._dispatcher.run(better, second)]
+            chunks = [
+                data
+                async for data in self._dispatcher.run(escalated, second_result)
+            ]
         except RequestRefusedError as error:
             _log.info("escalation_failed", extra={"code": error.code})
-            parts = first
+            chunks = first_chunks
         else:
-            result.take(second)
-        for part in parts:
-            yield part
+            result.replace_answer(second_result)
+        for chunk in chunks:
+            yield chunk
 
 
-def get_escalated(
+def make_escalated_request(
     request: Request, body: bytes, started_s: float
 ) -> Request | None:
     """Makes the request to the second version of a plan.
@@ -96,7 +103,7 @@
     now_s = time.monotonic()
     plan = request.arm.plan
     spent_s, left_s = now_s - started_s, request.deadline_at_s - now_s
-    if not may_escalate(plan, _is_doubtful(request, body), spent_s, left_s):
+    if not may_escalate(plan, _is_low_quality(request, body), spent_s, left_s):
         return None
     version = parse_model_version(plan.then)
     if version is None:
@@ -109,7 +116,7 @@
     return request.arm is not None and request.repeatable and not request.stream
 
 
-def _is_doubtful(request: Request, body: bytes) -> bool:
+def _is_low_quality(request: Request, body: bytes) -> bool:
     answer = parse_answer(body, stream=False)
     if answer is None:
         return False
--- a/src/lovagestage/entry/exposure_service.py
+++ b/src/lovagestage/entry/exposure_service.py
@@ -38,7 +38,7 @@
 
 _log = logging.getLogger(__name__)
 
-SHARE_INTERVAL_S = 1.0
+PUBLISH_INTERVAL_S = 1.0
 APPEND_TIMEOUT_S = 5.0
 APPEND_RETRY_S = 0.5
 BACKUP_DELAY_S = 3.0
@@ -85,11 +85,11 @@
         self._rng = rng
         self._has_rater = has_rater
         self._gates: dict[RolloutKey, ExposureGate] = {}
-        self._stopped_s: dict[RolloutKey, float] = {}
+        self._stopped_at_s: dict[RolloutKey, float] = {}
         self._stop_found = asyncio.Event()
         hub.register(EvidenceReport, self._on_report)
-        control.subscribe(self._follow)
-        timers.subscribe(SHARE_INTERVAL_S, self._on_share_due)
+        control.subscribe(self._apply_rollouts)
+        timers.subscribe(PUBLISH_INTERVAL_S, self._on_publish_due)
 
     def get_document(self, document: ServiceDocument) -> ServiceDocument:
         """Returns the document with the stopped versions withdrawn.
@@ -148,7 +148,7 @@
         gate = self._gates.get(trial.key)
         if gate is not None:
             gate.add_outcome(trial.assignment, failed)
-            self._note_stop(trial.key, gate)
+            self._record_stop(trial.key, gate)
 
     def add_rating(self, trial: Trial, score: float) -> None:
         """Records the rating of an answer whose request was assigned here.
@@ -160,7 +160,7 @@
         gate = self._gates.get(trial.key)
         if gate is not None:
             gate.add_rating(trial.assignment.is_new, score)
-            self._note_stop(trial.key, gate)
+            self._record_stop(trial.key, gate)
 
     def may_step(self, rollout: Rollout) -> bool:
         """Returns whether a roll-out may proceed to its next step.
@@ -214,20 +214,20 @@
                 self._own.incarnation,
             )
             self._gates[key] = gate
-        self._follow_one(gate, rollout)
+        self._apply_progress(gate, rollout)
         return gate
 
-    def _follow_one(self, gate: ExposureGate, rollout: Rollout) -> None:
+    def _apply_progress(self, gate: ExposureGate, rollout: Rollout) -> None:
         progress = rollout.progress
         gate.raise_entries(len(self._peers.get_listed()) + 1)
-        done = progress.phase is RolloutPhase.DONE
-        step = len(rollout.spec.steps) if done else progress.step
+        is_done = progress.phase is RolloutPhase.DONE
+        step = len(rollout.spec.steps) if is_done else progress.step
         gate.follow(step, rollout.get_share())
         if progress.stop_reason:
-            gate.stop(_get_reason(progress.stop_reason))
-            self._note_stop(progress.key, gate)
+            gate.stop(_parse_stop_reason(progress.stop_reason))
+            self._record_stop(progress.key, gate)
 
-    def _follow(self) -> None:
+    def _apply_rollouts(self) -> None:
         # Gates are created even where no request needs them, because a stop
         # from another entry is applied to an existing gate only.
         rollouts = self._control.folded.rollouts.get_all()
@@ -236,12 +236,12 @@
         keys = {rollout.progress.key for rollout in rollouts}
         for key in self._gates.keys() - keys:
             del self._gates[key]
-            self._stopped_s.pop(key, None)
+            self._stopped_at_s.pop(key, None)
 
-    def _note_stop(self, key: RolloutKey, gate: ExposureGate) -> None:
-        if gate.stop_reason is None or key in self._stopped_s:
+    def _record_stop(self, key: RolloutKey, gate: ExposureGate) -> None:
+        if gate.stop_reason is None or key in self._stopped_at_s:
             return
-        self._stopped_s[key] = time.monotonic()
+        self._stopped_at_s[key] = time.monotonic()
         _log.warning(
             "rollout_stopped",
             extra={
@@ -252,14 +252,14 @@
                 "exposed": gate.exposed,
             },
         )
-        self._share(key, gate)
+        self._publish_evidence(key, gate)
         self._stop_found.set()
 
-    def _on_share_due(self) -> None:
+    def _on_publish_due(self) -> None:
         for key, gate in self._gates.items():
-            self._share(key, gate)
+            self._publish_evidence(key, gate)
 
-    def _share(self, key: RolloutKey, gate: ExposureGate) -> None:
+    def _publish_evidence(self, key: RolloutKey, gate: ExposureGate) -> None:
         report = EvidenceReport(key.service, key.model, gate.make_evidence())
         # The report goes to all entries instead of the subset: an entry that
         # misses a stop continues the roll-out.
@@ -274,7 +274,7 @@
         gate = self._gates.get(key)
         if gate is not None:
             gate.absorb(message.evidence)
-            self._note_stop(key, gate)
+            self._record_stop(key, gate)
 
     @mode.Service.task
     async def _append_stops(self) -> None:
@@ -289,10 +289,10 @@
                 pass
 
     def _is_append_due(self, key: RolloutKey, gate: ExposureGate) -> bool:
-        stopped_s = self._stopped_s.get(key)
-        if stopped_s is None or self._is_recorded(key):
+        stopped_at_s = self._stopped_at_s.get(key)
+        if stopped_at_s is None or self._is_recorded(key):
             return False
-        waited_s = time.monotonic() - stopped_s
+        waited_s = time.monotonic() - stopped_at_s
         return (
             gate.stop_reason is not StopReason.PEER
             or waited_s >= BACKUP_DELAY_S
@@ -324,7 +324,7 @@
     return ChangeId(f"stop-{key.service}-{key.model}-{key.revision}")
 
 
-def _get_reason(recorded: str) -> StopReason:
+def _parse_stop_reason(recorded: str) -> StopReason:
     if recorded == StopReason.OPERATOR.value:
         return StopReason.OPERATOR
     return StopReason.PEER
--- a/src/lovagestage/entry/key_service.py
+++ b/src/lovagestage/entry/key_service.py
@@ -33,7 +33,7 @@
 CLAIM_TIMEOUT_S = 1.0
 PULL_TIMEOUT_S = 1.0
 PULL_INTERVAL_S = 0.2
-PULLS_AT_ONCE = 16
+MAX_CONCURRENT_PULLS = 16
 EXPIRY_INTERVAL_S = 10.0
 
 
@@ -95,19 +95,21 @@
     def get_dump(self) -> dict[str, object]:
         """Returns the view and the ledger's sizes, for the state dump."""
         own = self._ledger.own
-        held = [s for s in range(SLOTS) if own in self.view.get_holders(s)]
+        held_slots = [
+            s for s in range(SLOTS) if own in self.view.get_holders(s)
+        ]
         return {
             "epoch": self.view.epoch,
             "members": sorted(self.view.members),
             "may_be_paused": sorted(self.view.may_be_paused),
             "keys": self._ledger.size,
             "key_limit": self._settings.key_limit,
-            "slots_held": len(held),
+            "slots_held": len(held_slots),
             "slots_whole": sum(
-                self._ledger.is_whole(self.view, s) for s in held
+                self._ledger.is_whole(self.view, s) for s in held_slots
             ),
             "slots_with_loss": sum(
-                self._ledger.slots[s].lost_at_ms > 0 for s in held
+                self._ledger.slots[s].lost_at_ms > 0 for s in held_slots
             ),
         }
 
@@ -144,16 +146,16 @@
 
     async def _decide(self, claim: Claim) -> ClaimAnswer:
         ledger = self._ledger
-        decided = ledger.claim(
+        decision = ledger.claim(
             self.view, claim, time.monotonic(), _get_wall_ms()
         )
-        if isinstance(decided, ClaimAnswer):
-            return decided
+        if isinstance(decision, ClaimAnswer):
+            return decision
         answer: Message | None = None
-        for holder in self.view.get_holders(decided.slot)[1:]:
-            answer = await self._ask(holder.vm, decided, COPY_TIMEOUT_S)
-        taken = answer if isinstance(answer, CopyAnswer) else None
-        return ledger.confirm(self.view, decided, taken)
+        for holder in self.view.get_holders(decision.slot)[1:]:
+            answer = await self._ask(holder.vm, decision, COPY_TIMEOUT_S)
+        copy_answer = answer if isinstance(answer, CopyAnswer) else None
+        return ledger.confirm(self.view, decision, copy_answer)
 
     async def _ask(
         self, vm: VmId, question: Message, timeout_s: float
@@ -161,25 +163,25 @@
         return await self._peers.ask(vm, question, timeout_s)
 
     @mode.Service.task
-    async def _keep_whole(self) -> None:
-        limit = asyncio.Semaphore(PULLS_AT_ONCE)
+    async def _sync_slots(self) -> None:
+        limit = asyncio.Semaphore(MAX_CONCURRENT_PULLS)
         while not self.should_stop:
             self._view_changed.clear()
-            done = await asyncio.gather(
-                *(self._pull(slot, limit) for slot in range(SLOTS))
+            synced = await asyncio.gather(
+                *(self._sync_slot(slot, limit) for slot in range(SLOTS))
             )
-            if not all(done):
+            if not all(synced):
                 await self.sleep(PULL_INTERVAL_S)
             else:
                 await self._view_changed.wait()
 
     @mode.Service.task
-    async def _expire(self) -> None:
+    async def _expire_periodically(self) -> None:
         while not self.should_stop:
             await self.sleep(EXPIRY_INTERVAL_S)
             self._ledger.remove_expired(time.monotonic(), _get_wall_ms())
 
-    async def _pull(self, slot: int, limit: asyncio.Semaphore) -> bool:
+    async def _sync_slot(self, slot: int, limit: asyncio.Semaphore) -> bool:
         """Synchronizes a slot that this process holds.
 
         Args:
@@ -189,21 +191,21 @@
         Returns:
             False where a source did not answer or the view has changed.
         """
-        if self._is_done(slot):
+        if self._is_in_sync(slot):
             return True
         async with limit:
-            return await self._pull_now(slot)
+            return await self._pull_slot(slot)
 
-    def _is_done(self, slot: int) -> bool:
+    def _is_in_sync(self, slot: int) -> bool:
         ledger = self._ledger
         return ledger.own not in self.view.get_holders(slot) or ledger.is_whole(
             self.view, slot
         )
 
-    async def _pull_now(self, slot: int) -> bool:
+    async def _pull_slot(self, slot: int) -> bool:
         ledger, epoch = self._ledger, self.view.epoch
         answers: dict[MemberId, Offset] = {}
-        while not self._is_done(slot):
+        while not self._is_in_sync(slot):
             step = ledger.plan_pull(self.view, slot, answers)
             if step.state is not PullState.ASK:
                 if step.state is PullState.LOST:
@@ -211,16 +213,16 @@
                     ledger.mark_lost(slot, step.lost, _get_wall_ms())
                 ledger.finish_pull(self.view, slot)
                 return True
-            asked = step.sources[0]
+            source = step.sources[0]
             answer = await self._ask(
-                asked.vm, Pull(epoch, slot), PULL_TIMEOUT_S
+                source.vm, Pull(epoch, slot), PULL_TIMEOUT_S
             )
             if epoch != self.view.epoch or ledger is not self._ledger:
                 return False
             if not isinstance(answer, PullAnswer) or answer.epoch != epoch:
                 return False
             ledger.merge(slot, answer, time.monotonic())
-            answers[asked] = answer.whole_start
+            answers[source] = answer.whole_start
         return True
 
 
--- a/src/lovagestage/entry/keyed_refusals.py
+++ b/src/lovagestage/entry/keyed_refusals.py
@@ -26,16 +26,16 @@
 from lovagestage.messages.keys import Claim, ClaimOutcome
 from lovagestage.types import RunState, WorkspaceId
 
-_UNREAD = b""
+_UNREAD_BODY_DIGEST = b""
 """Digest for a body that was not read completely. No body has this digest, so
 that a key which was used counts as used with another body."""
-_NEVER_RUN = (ClaimOutcome.FREE, ClaimOutcome.FULL)
+_NEW_KEY_OUTCOMES = (ClaimOutcome.FREE, ClaimOutcome.FULL)
 """Outcomes which mean that the holders agree that the key is new."""
-_UNDECIDED = (ClaimOutcome.STALE_VIEW, ClaimOutcome.BUSY)
+_RETRYABLE_OUTCOMES = (ClaimOutcome.STALE_VIEW, ClaimOutcome.BUSY)
 
 
 @dataclasses.dataclass
-class Progress:
+class RequestProgress:
     """How far a request was processed before it was refused.
 
     Attributes:
@@ -52,17 +52,17 @@
     is_claiming: bool = False
 
 
-_PROGRESS = web.RequestKey("progress", Progress)
+_PROGRESS = web.RequestKey("progress", RequestProgress)
 
 
-def get_progress(request: web.Request) -> Progress:
+def get_progress(request: web.Request) -> RequestProgress:
     """Returns the progress of a request, which its handlers keep up to date.
 
     Args:
         request: The HTTP request.
     """
     if _PROGRESS not in request:
-        request[_PROGRESS] = Progress()
+        request[_PROGRESS] = RequestProgress()
     return request[_PROGRESS]
 
 
@@ -90,30 +90,30 @@
         if key is None or progress.is_claiming:
             return
         if error.run is RunState.NOT_RUN and _is_valid(key):
-            if not await self._is_new(key, progress):
+            if not await self._is_key_new(key, progress):
                 error.run = RunState.UNKNOWN
 
-    async def _is_new(self, key: str, progress: Progress) -> bool:
+    async def _is_key_new(self, key: str, progress: RequestProgress) -> bool:
         if progress.workspace is None:
             # The API key may have been removed from its workspace since the
             # request key was used.
             return False
-        outcome = await self._ask(key, progress.workspace, progress.body)
+        outcome = await self._query_key(key, progress.workspace, progress.body)
         if outcome is ClaimOutcome.OTHER_BODY:
             # The request that ran had another body than this request.
             return progress.body is not None
-        return outcome in _NEVER_RUN
+        return outcome in _NEW_KEY_OUTCOMES
 
-    async def _ask(
+    async def _query_key(
         self, key: str, workspace: WorkspaceId, body: bytes | None
     ) -> ClaimOutcome:
         end_s = time.monotonic() + CLAIM_LIMIT_S
-        digest = _UNREAD if body is None else get_body_digest(body)
+        digest = _UNREAD_BODY_DIGEST if body is None else get_body_digest(body)
         while True:
             epoch = self._keys.view.epoch
             question = Claim(epoch, workspace, key, digest, None, "", False)
             outcome = (await self._keys.claim(question)).outcome
-            if outcome not in _UNDECIDED or time.monotonic() > end_s:
+            if outcome not in _RETRYABLE_OUTCOMES or time.monotonic() > end_s:
                 return outcome
             await asyncio.sleep(CLAIM_RETRY_S)
 
--- a/src/lovagestage/entry/keyed_runs.py
+++ b/src/lovagestage/entry/keyed_runs.py
@@ -50,7 +50,7 @@
 """Time in seconds for a dispatch, which is sent after its claim, to reach the
 sidecar. Without it a run that is only just under way would seem never sent."""
 RETRY_AFTER_S = 2
-_DECIDED = (ClaimOutcome.GRANTED, ClaimOutcome.HELD, ClaimOutcome.FREE)
+_DECIDED_OUTCOMES = (ClaimOutcome.GRANTED, ClaimOutcome.HELD, ClaimOutcome.FREE)
 
 
 @dataclasses.dataclass
@@ -58,39 +58,39 @@
     """State of the search for the one run of a key.
 
     Attributes:
-        after: The run that the next claim replaces.
+        replaced_run: The run that the next claim replaces.
         may_have_run: Whether a replaced run of a repeatable request may have
             run.
-        started: Whether a part of the answer has been sent to the caller.
-        is_finding: Whether this round has not found a run yet.
+        started: Whether a part of the answer has been yielded.
+        is_searching: Whether this round has not found a run yet.
         excluded: Upstreams that are not tried again.
     """
 
-    after: RunId | None = None
+    replaced_run: RunId | None = None
     may_have_run: bool = False
     started: bool = False
-    is_finding: bool = True
+    is_searching: bool = True
     excluded: set[VmId] = dataclasses.field(default_factory=set)
 
-    def replace(self, run: RunId) -> None:
+    def replace_run(self, run: RunId) -> None:
         """Marks a run that may have run as the one to replace.
 
         Args:
             run: The run to replace.
         """
-        self.after = run
+        self.replaced_run = run
         self.may_have_run = True
 
-    def is_over(self, error: RequestRefusedError, number: int) -> bool:
+    def is_final(self, error: RequestRefusedError, round_number: int) -> bool:
         """Returns whether the error is final for the request.
 
         Args:
             error: The error of this round.
-            number: Number of the round, from 1.
+            round_number: Number of the round, from 1.
         """
         return (
-            self.is_finding
-            or number == MAX_ATTEMPTS
+            self.is_searching
+            or round_number == MAX_ATTEMPTS
             or isinstance(error, DeadlineExceededError | KeyRunLostError)
         )
 
@@ -130,22 +130,28 @@
         """
         check_key(key)
         search = _Search()
-        for number in range(1, MAX_ATTEMPTS + 1):
+        for round_number in range(1, MAX_ATTEMPTS + 1):
             try:
-                entry, is_own = await self._find(request, key, number, search)
-                if not is_own and not await self._is_here(entry.run):
-                    await self._give_up(request, entry.run, search)
+                entry, is_own = await self._find_run(
+                    request, key, round_number, search
+                )
+                if not is_own and not await self._is_at_sidecar(entry.run):
+                    await self._abandon_run(request, entry.run, search)
                     continue
-                async for data in self._read(request, entry, is_own, result):
+                async for data in self._read_run(
+                    request, entry, is_own, result
+                ):
                     search.started = True
                     yield data
                 return
             except RequestRefusedError as error:
                 if search.may_have_run and error.run is RunState.NOT_RUN:
                     error.run = RunState.UNKNOWN
-                if search.started or search.is_over(error, number):
+                if search.started or search.is_final(error, round_number):
                     raise
-                await self._resolve(request, entry.run, error, search)
+                await self._prepare_replacement(
+                    request, entry.run, error, search
+                )
             search.excluded.add(entry.run.sidecar)
         raise NoCapacityError(
             f"No upstream took the request in {MAX_ATTEMPTS} attempts.",
@@ -153,8 +159,8 @@
             retry_after_s=RETRY_AFTER_S,
         )
 
-    async def _find(
-        self, request: Request, key: str, number: int, search: _Search
+    async def _find_run(
+        self, request: Request, key: str, round_number: int, search: _Search
     ) -> tuple[LedgerEntry, bool]:
         """Finds the run to read.
 
@@ -164,36 +170,36 @@
         Raises:
             RequestRefusedError: No run exists, and none can be started.
         """
-        search.is_finding = True
+        search.is_searching = True
         try:
-            run = await self._choose_run(request, number, search.excluded)
+            run = await self._choose_run(request, round_number, search.excluded)
         except RequestRefusedError:
             # An earlier request may have run nevertheless. Without this
             # question the refusal would say `not_run` of a key that has run.
-            entry = await self._claim(request, key, None, search.after)
-            if entry is None or entry.run == search.after:
+            entry = await self._claim(request, key, None, search.replaced_run)
+            if entry is None or entry.run == search.replaced_run:
                 raise
         else:
-            entry = await self._claim(request, key, run, search.after)
+            entry = await self._claim(request, key, run, search.replaced_run)
             assert entry is not None
-        search.is_finding = False
+        search.is_searching = False
         return entry, entry.run.request_id == request.request_id
 
     async def _choose_run(
-        self, request: Request, number: int, excluded: set[VmId]
+        self, request: Request, round_number: int, excluded: set[VmId]
     ) -> RunId:
-        vm = await self._dispatcher.choose(request, excluded)
+        vm = await self._dispatcher.select_upstream(request, excluded)
         heartbeat = self._upstreams.get_heartbeat(vm)
         assert heartbeat is not None
         return RunId(
             request.request_id,
-            number,
+            round_number,
             vm,
             heartbeat.incarnation,
             heartbeat.clock_ms,
         )
 
-    def _read(
+    def _read_run(
         self,
         request: Request,
         entry: LedgerEntry,
@@ -209,14 +215,14 @@
             "run_joined",
             extra={"request": request.request_id, "run": entry.run.request_id},
         )
-        return self._dispatcher.join(request, entry.run, result)
+        return self._dispatcher.join_run(request, entry.run, result)
 
     async def _claim(
         self,
         request: Request,
         key: str,
         run: RunId | None,
-        after: RunId | None,
+        replaced_run: RunId | None,
     ) -> LedgerEntry | None:
         """Returns the run that holds the key; None where no run does."""
         end_s = time.monotonic() + CLAIM_LIMIT_S
@@ -229,10 +235,10 @@
                 run,
                 str(request.version),
                 request.repeatable,
-                after,
+                replaced_run,
             )
             answer = await self._keys.claim(claim)
-            if answer.outcome in _DECIDED:
+            if answer.outcome in _DECIDED_OUTCOMES:
                 return answer.entry
             refusal = _make_refusal(answer, key)
             if refusal is not None:
@@ -248,7 +254,7 @@
                 )
             await asyncio.sleep(CLAIM_RETRY_S)
 
-    async def _resolve(
+    async def _prepare_replacement(
         self,
         request: Request,
         run: RunId,
@@ -262,24 +268,24 @@
                 error is the answer of the request.
         """
         if error.run is RunState.NOT_RUN:
-            search.after = run
+            search.replaced_run = run
         elif request.repeatable:
-            search.replace(run)
+            search.replace_run(run)
         elif error.run is RunState.RAN:
             raise error
-        elif await self._inquire(run, forbid=True) is RunKnown.FORBIDDEN:
-            search.after = run
+        elif await self._query_run(run, forbid=True) is RunKnown.FORBIDDEN:
+            search.replaced_run = run
         else:
             raise error
 
-    async def _is_here(self, run: RunId) -> bool:
-        known = await self._inquire(run, forbid=False)
-        if known is RunKnown.NEVER:
+    async def _is_at_sidecar(self, run: RunId) -> bool:
+        run_known = await self._query_run(run, forbid=False)
+        if run_known is RunKnown.NEVER:
             await asyncio.sleep(JOIN_GRACE_S)
-            known = await self._inquire(run, forbid=False)
-        return known is RunKnown.HERE
+            run_known = await self._query_run(run, forbid=False)
+        return run_known is RunKnown.HERE
 
-    async def _give_up(
+    async def _abandon_run(
         self, request: Request, run: RunId, search: _Search
     ) -> None:
         """Abandons a run of another request that its sidecar does not hold.
@@ -288,11 +294,11 @@
             KeyRunLostError: The run may have run, and the request must not
                 run again.
         """
-        known = await self._inquire(run, forbid=True)
-        if known is RunKnown.FORBIDDEN:
-            search.after = run
+        run_known = await self._query_run(run, forbid=True)
+        if run_known is RunKnown.FORBIDDEN:
+            search.replaced_run = run
         elif request.repeatable:
-            search.replace(run)
+            search.replace_run(run)
         else:
             raise KeyRunLostError(
                 f"Upstream {run.sidecar!r}, which was to run the request, no"
@@ -300,10 +306,10 @@
                 RunState.UNKNOWN,
                 # A sidecar that does not answer may only be paused, so that a
                 # retry can still succeed.
-                RETRY_AFTER_S if known is None else None,
+                RETRY_AFTER_S if run_known is None else None,
             )
 
-    async def _inquire(self, run: RunId, forbid: bool) -> RunKnown | None:
+    async def _query_run(self, run: RunId, forbid: bool) -> RunKnown | None:
         answer = await self._upstreams.ask(
             run.sidecar, Inquiry(run, forbid), INQUIRY_TIMEOUT_S
         )
--- a/src/lovagestage/entry/limit_service.py
+++ b/src/lovagestage/entry/limit_service.py
@@ -59,7 +59,7 @@
         self._control = control
         self._peers = peers
         self._timers = timers
-        self._next_peer = 0
+        self._next_peer_index = 0
         self._revisions: dict[str, int] = {}
         hub.register(UsageReport, self._on_report)
 
@@ -88,7 +88,7 @@
         Raises:
             WorkspaceLimitError: The workspace has reached its token limit.
         """
-        self._read_limits()
+        self._refresh_limits()
         tag = get_workspace_tag(request.service, request.workspace)
         charge = self._table.admit(
             tag, max_tokens, request.priority, time.monotonic()
@@ -121,7 +121,7 @@
         """Returns the state of each workspace, for the state dump."""
         return self._table.get_dump()
 
-    def _read_limits(self) -> None:
+    def _refresh_limits(self) -> None:
         for name, service in self._control.services.items():
             if self._revisions.get(name) == service.revision:
                 continue
@@ -133,26 +133,28 @@
                 )
 
     def _on_report_due(self) -> None:
-        self._read_limits()
-        live = sorted(self._peers.get_presumed())
+        self._refresh_limits()
+        peer_names = sorted(self._peers.get_presumed())
         report = self._table.make_report(time.monotonic())
         size_bytes = len(encode_message(report)) if report else 0
-        count = get_report_count(size_bytes, len(live))
-        cycle_s = REPORT_INTERVAL_S * max(1.0, len(live) / count)
-        self._table.set_peers(live, cycle_s)
+        count = get_report_count(size_bytes, len(peer_names))
+        cycle_s = REPORT_INTERVAL_S * max(1.0, len(peer_names) / count)
+        self._table.set_peers(peer_names, cycle_s)
         if report is not None:
-            for vm in self._take_next(live, count):
+            for vm in self._select_next_peers(peer_names, count):
                 self._peers.send(vm, report)
 
-    def _take_next(self, live: list[VmId], count: int) -> list[VmId]:
-        start = self._next_peer % max(1, len(live))
-        self._next_peer = start + count
-        return (live[start:] + live[:start])[:count]
+    def _select_next_peers(
+        self, peer_names: list[VmId], count: int
+    ) -> list[VmId]:
+        start = self._next_peer_index % max(1, len(peer_names))
+        self._next_peer_index = start + count
+        return (peer_names[start:] + peer_names[:start])[:count]
 
     def _on_report(self, peer: PeerId, message: Message) -> None:
         del peer
         assert isinstance(message, UsageReport)
-        self._read_limits()
+        self._refresh_limits()
         self._table.apply_report(message, time.monotonic())
 
 
@@ -167,8 +169,8 @@
         The number of peers, at least 1.
     """
     budget_bytes = REPORT_BUDGET_BYTES_PER_S * REPORT_INTERVAL_S
-    affordable = int(budget_bytes // (size_bytes + FRAME_BYTES))
-    return max(1, min(peers, affordable))
+    affordable_reports = int(budget_bytes // (size_bytes + FRAME_BYTES))
+    return max(1, min(peers, affordable_reports))
 
 
 def get_used_tokens(
--- a/src/lovagestage/entry/quality.py
+++ b/src/lovagestage/entry/quality.py
@@ -17,13 +17,13 @@
 
 _log = logging.getLogger(__name__)
 
-POSTS_AT_ONCE = 4
+MAX_CONCURRENT_POSTS = 4
 MAX_QUEUED = 1_000
 MAX_AWAITED = 50_000
 """Largest number of answers whose ratings are awaited. At 20 requests/s it is
 reached after 40 minutes, whereas ratings arrive within a few minutes."""
 POLL_INTERVAL_S = 0.5
-RETRY_S = 2.0
+RETRY_INTERVAL_S = 2.0
 
 
 class QualityService(mode.Service):
@@ -53,13 +53,13 @@
         self._awaited: collections.OrderedDict[RequestId, Request] = (
             collections.OrderedDict()
         )
-        self._next = 0
+        self._next_rating = 0
         self._rated = 0
 
     async def on_start(self) -> None:
         """Starts the tasks that post answers."""
-        for _ in range(POSTS_AT_ONCE):
-            self.add_future(self._post_all())
+        for _ in range(MAX_CONCURRENT_POSTS):
+            self.add_future(self._post_answers())
 
     def offer(self, answer: RatedAnswer, request: Request) -> None:
         """Queues an answer for the rater without waiting.
@@ -79,8 +79,8 @@
             self.dropped += 1
             return
         # The body may be large, and the rating does not need it.
-        kept = dataclasses.replace(request, body=b"")
-        self._awaited[answer.request_id] = kept
+        pending_request = dataclasses.replace(request, body=b"")
+        self._awaited[answer.request_id] = pending_request
         if len(self._awaited) > MAX_AWAITED:
             self._awaited.popitem(last=False)
 
@@ -91,16 +91,16 @@
             "awaited": len(self._awaited),
             "dropped": self.dropped,
             "rated": self._rated,
-            "next": self._next,
+            "next": self._next_rating,
         }
 
-    def _add(self, request: Request, score: float) -> None:
+    def _deliver_rating(self, request: Request, score: float) -> None:
         if request.trial is not None:
             self._exposure.add_rating(request.trial, score)
         if request.arm is not None:
             self._cascades.add_rating(request.arm, score)
 
-    async def _post_all(self) -> None:
+    async def _post_answers(self) -> None:
         while not self.should_stop:
             answer = await self._queue.get()
             try:
@@ -109,28 +109,28 @@
                 self.dropped += 1
                 self._awaited.pop(answer.request_id, None)
                 _log.warning("answer_not_rated", extra={"code": error.code})
-                await self.sleep(RETRY_S)
+                await self.sleep(RETRY_INTERVAL_S)
 
     @mode.Service.task
-    async def _poll(self) -> None:
+    async def _poll_ratings(self) -> None:
         while not self.should_stop:
             try:
                 count = await self._read_page()
             except RaterError as error:
                 _log.warning("ratings_not_read", extra={"code": error.code})
-                await self.sleep(RETRY_S)
+                await self.sleep(RETRY_INTERVAL_S)
                 continue
             if not count:
                 await self.sleep(POLL_INTERVAL_S)
 
     async def _read_page(self) -> int:
-        page = await self._rater.read(self._next)
-        self._next = max(self._next, page.next)
+        page = await self._rater.read(self._next_rating)
+        self._next_rating = max(self._next_rating, page.next)
         for rating in page.ratings:
             # Each entry reads all ratings; this entry does not know the
             # requests of other entries.
             request = self._awaited.pop(rating.request_id, None)
             if request is not None:
                 self._rated += 1
-                self._add(request, rating.score)
+                self._deliver_rating(request, rating.score)
         return len(page.ratings)
--- a/src/lovagestage/entry/trials.py
+++ b/src/lovagestage/entry/trials.py
@@ -31,26 +31,26 @@
 
 
 @dataclasses.dataclass
-class _Copy:
+class _AnswerCopy:
     """Copy of an answer as it was sent to the caller.
 
     Attributes:
-        parts: Chunks of the answer, as long as they are within the limit.
+        chunks: Chunks of the answer, as long as they are within the limit.
         size_bytes: Size of all chunks in bytes.
     """
 
-    parts: list[bytes] = dataclasses.field(default_factory=list)
+    chunks: list[bytes] = dataclasses.field(default_factory=list)
     size_bytes: int = 0
 
-    def add(self, part: bytes) -> None:
+    def add(self, chunk: bytes) -> None:
         """Adds a chunk, unless the answer is over the limit.
 
         Args:
-            part: Bytes of the answer.
+            chunk: Bytes of the answer.
         """
-        self.size_bytes += len(part)
+        self.size_bytes += len(chunk)
         if self.size_bytes <= MAX_ANSWER_BYTES:
-            self.parts.append(part)
+            self.chunks.append(chunk)
 
     def parse(self, stream: bool) -> Answer | None:
         """Parses the copied answer.
@@ -63,7 +63,7 @@
         """
         if self.size_bytes > MAX_ANSWER_BYTES:
             return None
-        return parse_answer(b"".join(self.parts), stream)
+        return parse_answer(b"".join(self.chunks), stream)
 
 
 class Trials:
@@ -143,22 +143,22 @@
         }
 
     async def watch(
-        self, request: Request, result: Result, parts: AsyncIterator[bytes]
+        self, request: Request, result: Result, chunks: AsyncIterator[bytes]
     ) -> AsyncIterator[bytes]:
         """Forwards an answer and reports its outcome once it has ended.
 
         Args:
             request: The request.
             result: The result of the request; the dispatcher fills it in.
-            parts: Chunks of the answer.
+            chunks: Chunks of the answer.
         """
         trial = request.trial
-        copy = _Copy()
+        copy = _AnswerCopy()
         try:
-            async for part in parts:
+            async for chunk in chunks:
                 if trial is not None or request.arm is not None:
-                    copy.add(part)
-                yield part
+                    copy.add(chunk)
+                yield chunk
         except RequestRefusedError as error:
             if trial is not None and (
                 result.version_failed or is_version_at_fault(error)
@@ -166,13 +166,13 @@
                 self._exposure.add_outcome(trial, True)
             raise
         finally:
-            await parts.aclose()  # type: ignore[attr-defined]
+            await chunks.aclose()  # type: ignore[attr-defined]
         if trial is None and request.arm is None:
             return
         if _is_own_run(request, result):
-            self._report(request, result, copy.parse(request.stream))
+            self._report_answer(request, result, copy.parse(request.stream))
 
-    def _report(
+    def _report_answer(
         self, request: Request, result: Result, answer: Answer | None
     ) -> None:
         if request.trial is not None:
@@ -181,7 +181,7 @@
             self._cascades.add_answer(request.arm, request, result)
         if answer is None or self._quality is None:
             return
-        if result.first is not None:
+        if result.replaced_answer is not None:
             # The rating applies to the second version's answer, so that it is
             # no evidence about the first version.
             request = dataclasses.replace(request, trial=None)
@@ -202,7 +202,9 @@
         is_failure = answer is not None and answer.is_failure
         # A first answer that was replaced had itself shown signs of low
         # quality.
-        failed = result.version_failed or is_failure or bool(result.first)
+        failed = (
+            result.version_failed or is_failure or bool(result.replaced_answer)
+        )
         self._exposure.add_outcome(trial, failed)
 
 
--- a/src/lovagestage/entry/version_search.py
+++ b/src/lovagestage/entry/version_search.py
@@ -35,12 +35,12 @@
 MAX_PAUSE_S = 30.0
 """Longest pause in seconds between searches that find nothing new."""
 ASK_TIMEOUT_S = 1.0
-MAX_ASKED = 8
+MAX_ENTRIES_ASKED = 8
 MIN_UPSTREAMS = 4
 """Number of upstreams of each version that an entry tries to know."""
 
 
-def get_scarce(
+def find_scarce_versions(
     wanted: Iterable[str], loaded: Mapping[VmId, Sequence[str]]
 ) -> list[str]:
     """Returns the wanted versions that too few known upstreams have loaded.
@@ -56,7 +56,7 @@
     return sorted(v for v, count in counts.items() if count < MIN_UPSTREAMS)
 
 
-def choose_places(
+def find_locations(
     versions: Iterable[str], loaded: Mapping[VmId, Sequence[str]]
 ) -> list[VersionPlace]:
     """Returns, for each version, some of the upstreams that have loaded it.
@@ -67,15 +67,15 @@
     """
     places = []
     for version in versions:
-        having = (vm for vm in sorted(loaded) if version in loaded[vm])
+        holders = (vm for vm in sorted(loaded) if version in loaded[vm])
         places += [
             VersionPlace(vm, version)
-            for vm, _ in zip(having, range(MIN_UPSTREAMS), strict=False)
+            for vm, _ in zip(holders, range(MIN_UPSTREAMS), strict=False)
         ]
     return places
 
 
-def choose_extra(
+def choose_extra_upstreams(
     places: Iterable[VersionPlace],
     wanted: Iterable[str],
     known: Mapping[VmId, Sequence[str]],
@@ -87,12 +87,12 @@
         wanted: Versions in the documents.
         known: Loaded versions by upstream of the subset.
     """
-    scarce = set(get_scarce(wanted, known))
+    scarce = set(find_scarce_versions(wanted, known))
     extra: dict[str, list[VmId]] = {version: [] for version in scarce}
-    for place in places:
-        vms = extra.get(place.version)
+    for location in places:
+        vms = extra.get(location.version)
         if vms is not None and len(vms) < MIN_UPSTREAMS:
-            vms.append(place.vm)
+            vms.append(location.vm)
     return frozenset(vm for vms in extra.values() for vm in vms)
 
 
@@ -120,13 +120,13 @@
         self._upstreams = upstreams
         self._peers = peers
         self._rng = rng
-        self._places: list[VersionPlace] = []
+        self._locations: list[VersionPlace] = []
         self._pause_s = CHECK_INTERVAL_S
-        self._search_at_s = 0.0
-        hub.register_answer(VersionQuestion, self._answer)
+        self._next_search_s = 0.0
+        hub.register_answer(VersionQuestion, self._answer_question)
 
     @mode.Service.task
-    async def _search_often(self) -> None:
+    async def _search_periodically(self) -> None:
         while not self.should_stop:
             await self.sleep(CHECK_INTERVAL_S)
             await self.search(time.monotonic())
@@ -137,39 +137,46 @@
         Args:
             now_s: Monotonic time in seconds.
         """
-        scarce = get_scarce(self._get_wanted(), self._upstreams.get_versions())
+        scarce = find_scarce_versions(
+            self._list_wanted_versions(), self._upstreams.get_versions()
+        )
         if not scarce or self._upstreams.has_all:
             self._pause_s = CHECK_INTERVAL_S
             return
-        if now_s < self._search_at_s:
+        if now_s < self._next_search_s:
             return
-        found = await self._ask(scarce)
-        new = [place for place in found if place not in self._places]
+        found = await self._ask_entries(scarce)
+        new_locations = [
+            location for location in found if location not in self._locations
+        ]
         self._pause_s = (
-            CHECK_INTERVAL_S if new else min(MAX_PAUSE_S, self._pause_s * 2)
+            CHECK_INTERVAL_S
+            if new_locations
+            else min(MAX_PAUSE_S, self._pause_s * 2)
         )
-        self._search_at_s = now_s + self._pause_s
-        self._apply(found)
+        self._next_search_s = now_s + self._pause_s
+        self._apply_locations(found)
 
-    def _apply(self, found: list[VersionPlace]) -> None:
+    def _apply_locations(self, found: list[VersionPlace]) -> None:
         # The extra upstreams' own heartbeats take precedence over the reports
         # of other entries: an upstream that has unloaded the version since is
         # dropped.
         loaded = self._upstreams.get_versions()
-        held = [
-            place
-            for place in self._places
-            if place.version in loaded.get(place.vm, ()) and place not in found
+        still_loaded = [
+            location
+            for location in self._locations
+            if location.version in loaded.get(location.vm, ())
+            and location not in found
         ]
-        self._places = held + found
+        self._locations = still_loaded + found
         known = self._upstreams.get_subset_versions()
-        wanted = self._get_wanted()
-        extra = choose_extra(self._places, wanted, known)
+        wanted = self._list_wanted_versions()
+        extra = choose_extra_upstreams(self._locations, wanted, known)
         if extra:
             _log.info("versions_found", extra={"upstreams": len(extra)})
         self._upstreams.set_extra(extra)
 
-    def _get_wanted(self) -> set[str]:
+    def _list_wanted_versions(self) -> set[str]:
         wanted = set()
         for service in self._control.services.values():
             document = service.document
@@ -180,22 +187,27 @@
             }
         return wanted
 
-    async def _ask(self, versions: list[str]) -> list[VersionPlace]:
-        names = self._peers.get_listed()
-        asked = self._rng.sample(names, min(MAX_ASKED, len(names)))
+    async def _ask_entries(self, versions: list[str]) -> list[VersionPlace]:
+        entries = self._peers.get_listed()
+        chosen_entries = self._rng.sample(
+            entries, min(MAX_ENTRIES_ASKED, len(entries))
+        )
         question = VersionQuestion(versions)
         answers = await asyncio.gather(
-            *(self._peers.ask(vm, question, ASK_TIMEOUT_S) for vm in asked)
+            *(
+                self._peers.ask(vm, question, ASK_TIMEOUT_S)
+                for vm in chosen_entries
+            )
         )
         places = [
-            place
+            location
             for answer in answers
             if isinstance(answer, VersionAnswer)
-            for place in answer.places
+            for location in answer.places
         ]
         return list(dict.fromkeys(places))
 
-    async def _answer(self, message: Message) -> Message:
+    async def _answer_question(self, message: Message) -> Message:
         assert isinstance(message, VersionQuestion)
         loaded = self._upstreams.get_versions()
-        return VersionAnswer(choose_places(message.versions, loaded))
+        return VersionAnswer(find_locations(message.versions, loaded))
--- a/src/lovagestage/execution/attempts.py
+++ b/src/lovagestage/execution/attempts.py
@@ -37,7 +37,8 @@
         next_seq: Sequence number of the next expected chunk.
         sent_s: Monotonic time of the dispatch, in seconds.
         last_event_s: Monotonic time of the latest event, in seconds.
-        passed_on: Whether the caller has received a part of the answer.
+        has_yielded_output: Whether a part of the answer has been read, so that
+            the caller may have received it.
     """
 
     def __init__(self, key: AttemptKey, vm: VmId, incarnation: int) -> None:
@@ -48,9 +49,9 @@
         self.next_seq = 0
         self.sent_s = time.monotonic()
         self.last_event_s = self.sent_s
-        self.passed_on = False
+        self.has_yielded_output = False
         self._unacked_bytes = 0
-        self._early: dict[int, Chunk] = {}
+        self._out_of_order: dict[int, Chunk] = {}
         self._end: Finished | Refused | None = None
         self._ready: collections.deque[Outcome] = collections.deque()
         self._waiter: asyncio.Future[None] | None = None
@@ -73,10 +74,10 @@
                 return
             case Chunk():
                 if event.seq >= self.next_seq:
-                    self._early[event.seq] = event
+                    self._out_of_order[event.seq] = event
             case _:
                 self._end = event
-        self._release()
+        self._deliver_in_order()
 
     def fail(self, error: RequestRefusedError) -> None:
         """Ends the attempt with an error, after the chunks that have arrived.
@@ -84,7 +85,7 @@
         Args:
             error: The error.
         """
-        self._put(error)
+        self._enqueue(error)
 
     async def get(self) -> Outcome:
         """Waits for the next outcome.
@@ -98,23 +99,23 @@
         first = self._ready.popleft()
         if not isinstance(first, Chunk):
             return first
-        self.passed_on = True
-        return self._join(first) if self._ready else first
+        self.has_yielded_output = True
+        return self._join_chunks(first) if self._ready else first
 
-    def make_ack(self, taken: Chunk) -> Ack | None:
+    def make_ack(self, chunk: Chunk) -> Ack | None:
         """Makes the acknowledgement that may be due for a chunk.
 
         Args:
-            taken: The chunk that was sent to the caller.
+            chunk: The chunk that was yielded.
 
         Returns:
             The acknowledgement; None until `ACK_BYTES` are unacknowledged.
         """
-        self._unacked_bytes += len(taken.data)
+        self._unacked_bytes += len(chunk.data)
         if self._unacked_bytes < ACK_BYTES:
             return None
         self._unacked_bytes = 0
-        return Ack(*self.key, taken.seq + taken.count)
+        return Ack(*self.key, chunk.seq + chunk.count)
 
     def make_attach(self) -> Attach:
         """Makes the message that asks for the chunks that are missing."""
@@ -124,7 +125,7 @@
         """Makes the message that cancels the run."""
         return Cancel(*self.key)
 
-    def _join(self, first: Chunk) -> Chunk:
+    def _join_chunks(self, first: Chunk) -> Chunk:
         chunks = [first]
         while self._ready and isinstance(self._ready[0], Chunk):
             chunk = self._ready.popleft()
@@ -137,18 +138,18 @@
             sum(chunk.count for chunk in chunks),
         )
 
-    def _release(self) -> None:
-        while self.next_seq in self._early:
-            chunk = self._early.pop(self.next_seq)
+    def _deliver_in_order(self) -> None:
+        while self.next_seq in self._out_of_order:
+            chunk = self._out_of_order.pop(self.next_seq)
             self.next_seq += chunk.count
-            self._put(chunk)
+            self._enqueue(chunk)
         end = self._end
         if end is None:
             return
         if isinstance(end, Refused) or end.chunks == self.next_seq:
-            self._put(end)
+            self._enqueue(end)
 
-    def _put(self, outcome: Outcome) -> None:
+    def _enqueue(self, outcome: Outcome) -> None:
         self._ready.append(outcome)
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
--- a/src/lovagestage/execution/engine_stream.py
+++ b/src/lovagestage/execution/engine_stream.py
@@ -51,7 +51,7 @@
         self._progress_timeout_s = progress_timeout_s
         self._next_seq = 0
         self._failures = 0
-        self._keep_usage = _get_stream_options(dispatch.body)
+        self._keep_usage = _is_usage_requested(dispatch.body)
 
     async def read(self) -> AsyncIterator[Block]:
         """Yields the blocks up to and including the one that ends the answer.
@@ -138,7 +138,7 @@
         )
 
 
-def _get_stream_options(body: bytes) -> bool:
+def _is_usage_requested(body: bytes) -> bool:
     form = msgspec.json.decode(body, type=_OptionsForm)
     return form.stream_options is not None and form.stream_options.include_usage
 
--- a/src/lovagestage/execution/events.py
+++ b/src/lovagestage/execution/events.py
@@ -70,24 +70,24 @@
         keep_usage: Whether the caller asked for the usage event.
     """
     ids = _EVENT_ID.findall(data)
-    following = int(ids[-1]) + 1 if ids else next_seq
+    following_seq = int(ids[-1]) + 1 if ids else next_seq
     usage = None
     if _USAGE.search(data):
-        data, usage = _take_usage(data, keep_usage)
-    return Block(data, following, usage, DONE in data)
+        data, usage = _extract_usage(data, keep_usage)
+    return Block(data, following_seq, usage, DONE in data)
 
 
-def _take_usage(data: bytes, keep_usage: bool) -> tuple[bytes, Usage | None]:
+def _extract_usage(data: bytes, keep_usage: bool) -> tuple[bytes, Usage | None]:
     usage = None
-    kept = []
+    forwarded = []
     for event in data.split(b"\n\n"):
         chunk = _parse_event(event)
         if chunk is not None and chunk.usage is not None:
             usage = chunk.usage
             if not chunk.choices and not keep_usage:
                 continue
-        kept.append(event)
-    return b"\n\n".join(kept), usage
+        forwarded.append(event)
+    return b"\n\n".join(forwarded), usage
 
 
 def _parse_event(event: bytes) -> _ChunkForm | None:
@@ -110,27 +110,27 @@
     Returns:
         The JSON body of the answer.
     """
-    text: list[str] = []
-    last = _ChunkForm()
+    texts: list[str] = []
+    last_chunk = _ChunkForm()
     finish_reason = "stop"
     for event in events.split(b"\n\n"):
         chunk = _parse_event(event)
         if chunk is None or not chunk.choices:
             continue
-        last = chunk
+        last_chunk = chunk
         choice = chunk.choices[0]
-        text.append(choice.delta.content or "")
+        texts.append(choice.delta.content or "")
         finish_reason = choice.finish_reason or finish_reason
     return msgspec.json.encode(
         {
-            "id": last.id,
+            "id": last_chunk.id,
             "object": "chat.completion",
-            "created": last.created,
-            "model": last.model,
+            "created": last_chunk.created,
+            "model": last_chunk.model,
             "choices": [
                 {
                     "index": 0,
-                    "message": {"role": "assistant", "content": "".join(text)},
+                    "message": {"role": "assistant", "content": "".join(texts)},
                     "finish_reason": finish_reason,
                 }
             ],
--- a/src/lovagestage/execution/readers.py
+++ b/src/lovagestage/execution/readers.py
@@ -11,22 +11,23 @@
 from lovagestage.messages.runs import Chunk, Dispatch, Finished, Refused
 
 WINDOW_BYTES = 128 * 1024
-"""Largest number of bytes in flight to a reader: sent and not acknowledged."""
+"""Number of bytes in flight to a reader, sent and not acknowledged, from which
+on no further chunk is sent to it."""
 COALESCE_BYTES = 32 * 1024
 """Size in bytes up to which waiting chunks are joined into one message, because
 a message costs the same for one token as for a hundred."""
-PAUSE_BYTES = 256 * 1024
-"""Largest number of bytes by which the engine is read ahead of the fastest
-reader."""
+MAX_READ_AHEAD_BYTES = 256 * 1024
+"""Number of bytes ahead of the fastest reader beyond which the engine is read no
+further."""
 
-PACE_PER_RUN_S = 0.0015
-PACE_FREE_RUNS = 8
-PACE_LIMIT_S = 0.02
+READ_INTERVAL_PER_RUN_S = 0.0015
+MAX_UNPACED_RUNS = 8
+MAX_READ_INTERVAL_S = 0.02
 
 Send = Callable[[PeerId, Message], bool]
 
 
-def get_pace_s(running: int) -> float:
+def get_read_interval_s(running: int) -> float:
     """Returns the time between two reads of one engine stream.
 
     Each read costs about the same for one token as for several. With many
@@ -40,9 +41,9 @@
     Returns:
         Seconds.
     """
-    if running <= PACE_FREE_RUNS:
+    if running <= MAX_UNPACED_RUNS:
         return 0.0
-    return min(PACE_LIMIT_S, running * PACE_PER_RUN_S)
+    return min(MAX_READ_INTERVAL_S, running * READ_INTERVAL_PER_RUN_S)
 
 
 @dataclasses.dataclass
@@ -75,7 +76,8 @@
         end: How the run ended; None while it is in progress.
         ended_at_s: Monotonic time of the end, in seconds.
         task: The task that executes the run.
-        moved: Set when a reader is added, removed or acknowledges chunks.
+        readers_changed: Set when a reader is added or removed, or acknowledges
+            chunks.
     """
 
     dispatch: Dispatch
@@ -85,7 +87,9 @@
     end: Finished | Refused | None = None
     ended_at_s: float = 0.0
     task: asyncio.Task[None] | None = None
-    moved: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    readers_changed: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
+    )
 
     @property
     def size_bytes(self) -> int:
@@ -110,7 +114,7 @@
         """
         from_seq = max(0, min(from_seq, len(self.chunks)))
         self.readers[peer] = Reader(peer, from_seq, from_seq)
-        self.moved.set()
+        self.readers_changed.set()
         return self.readers[peer]
 
     def acknowledge(self, peer: PeerId, next_seq: int) -> Reader | None:
@@ -127,15 +131,15 @@
         if reader is None or next_seq <= reader.acked_seq:
             return None
         reader.acked_seq = min(next_seq, reader.next_seq)
-        self.moved.set()
+        self.readers_changed.set()
         return reader
 
     def remove_reader(self, peer: PeerId) -> None:
         """Removes a reader whose connection is gone."""
         if self.readers.pop(peer, None) is not None:
-            self.moved.set()
+            self.readers_changed.set()
 
-    def is_ahead(self) -> bool:
+    def is_too_far_ahead(self) -> bool:
         """Returns whether the answer is too far ahead of its fastest reader.
 
         A run without readers is not stopped: its answer may still be asked
@@ -144,7 +148,7 @@
         if not self.readers:
             return False
         fastest = max(reader.acked_seq for reader in self.readers.values())
-        return self.size_bytes - self.sizes[fastest] > PAUSE_BYTES
+        return self.size_bytes - self.sizes[fastest] > MAX_READ_AHEAD_BYTES
 
     def is_delivered(self) -> bool:
         """Returns whether the run has ended and each reader has all of it."""
@@ -152,7 +156,7 @@
             reader.ended for reader in self.readers.values()
         )
 
-    def pump(self, reader: Reader, send: Send) -> None:
+    def send_available(self, reader: Reader, send: Send) -> None:
         """Sends the chunks that the reader's window has space for.
 
         Args:
@@ -160,10 +164,10 @@
             send: Sends a message to a connection; returns whether it could.
         """
         while reader.next_seq < len(self.chunks):
-            under_way = (
+            in_flight_bytes = (
                 self.sizes[reader.next_seq] - self.sizes[reader.acked_seq]
             )
-            if under_way >= WINDOW_BYTES:
+            if in_flight_bytes >= WINDOW_BYTES:
                 return
             chunk = self._join_chunks(reader.next_seq)
             if not send(reader.peer, chunk):
--- a/src/lovagestage/execution/request.py
+++ b/src/lovagestage/execution/request.py
@@ -77,37 +77,39 @@
         request_id: The request whose run is read, where another request with
             the same key has started it. The run is billed to that request.
         finished: Token counts and digest, once the answer is complete.
-        waits: Number of attempts that were refused until a probe had ended.
+        probe_waits: Number of attempts that were refused because a probe of a
+            suspect had to end first.
         run: Whether any failed attempt was run.
-        passed_on: Whether the caller has received a part of the answer.
+        has_yielded_output: Whether a part of the answer has been read, so that
+            the caller may have received it.
         version_failed: Whether an attempt failed in a way that a bad version
             would cause.
-        first: Token counts of an earlier answer that a second version's
-            answer has replaced.
+        replaced_answer: Token counts of an earlier answer that a second
+            version's answer has replaced.
     """
 
     version: ModelVersion
     attempts: int = 0
     request_id: RequestId | None = None
     finished: Finished | None = None
-    waits: int = 0
+    probe_waits: int = 0
     run: RunState = RunState.NOT_RUN
-    passed_on: bool = False
+    has_yielded_output: bool = False
     version_failed: bool = False
-    first: Finished | None = None
+    replaced_answer: Finished | None = None
 
-    def take(self, second: Result) -> None:
+    def replace_answer(self, second: Result) -> None:
         """Replaces this answer by the answer of another version.
 
         Args:
             second: Result of the other version's run.
         """
-        self.first = self.finished
+        self.replaced_answer = self.finished
         self.version = second.version
         self.attempts = second.attempts
         self.finished = second.finished
 
-    def note_failure(
+    def record_failure(
         self, error: RequestRefusedError, attempt: Attempt
     ) -> None:
         """Accumulates what is known of the run over all attempts.
@@ -116,11 +118,13 @@
             error: How the attempt failed.
             attempt: The attempt.
         """
-        self.passed_on = self.passed_on or attempt.passed_on
-        self.waits += isinstance(error, SuspectWaitingError)
+        self.has_yielded_output = (
+            self.has_yielded_output or attempt.has_yielded_output
+        )
+        self.probe_waits += isinstance(error, SuspectWaitingError)
         # A retry that succeeds would hide a version that fails occasionally.
         self.version_failed |= is_version_at_fault(error)
-        self.run = join_run_states(self.run, error.run)
+        self.run = combine_run_states(self.run, error.run)
 
 
 def is_version_at_fault(error: RequestRefusedError) -> bool:
@@ -142,7 +146,7 @@
     )
 
 
-def join_run_states(earlier: RunState, later: RunState) -> RunState:
+def combine_run_states(earlier: RunState, later: RunState) -> RunState:
     """Combines the run states of two attempts.
 
     A proof that one of them has run is kept.
--- a/src/lovagestage/execution/rights.py
+++ b/src/lovagestage/execution/rights.py
@@ -33,10 +33,10 @@
 class RequestRights:
     """The entry's check of a request that it is about to send.
 
-    A request may have been held after its admission, for instance until an
-    upstream answers again that was not heard from. Sent without this check, it
-    could reach a sidecar that was paused and has not read of a withdrawal yet,
-    and that sidecar would run it.
+    A request may have been held after its admission, for instance while the
+    dispatcher waited for an upstream that had stopped answering. Sent without
+    this check, it could reach a sidecar that was paused and has not read of a
+    withdrawal yet, and that sidecar would run it.
 
     Args:
         control: Documents in force.
--- a/src/lovagestage/execution/runs.py
+++ b/src/lovagestage/execution/runs.py
@@ -21,7 +21,7 @@
 from lovagestage.exceptions import EngineCrashedError, EngineError
 from lovagestage.execution.events import Usage, make_plain_answer
 from lovagestage.execution.plain_stream import open_stream
-from lovagestage.execution.readers import Run, get_pace_s
+from lovagestage.execution.readers import Run, get_read_interval_s
 from lovagestage.messages.envelope import Message
 from lovagestage.messages.keys import Inquiry, InquiryAnswer, RunKnown
 from lovagestage.messages.runs import (
@@ -37,7 +37,7 @@
 from lovagestage.types import RunState
 
 DELIVERY_POLL_S = 0.05
-TOMBSTONES = 50_000
+MAX_TOMBSTONES = 50_000
 TOMBSTONE_KEEP_S = 3_600.0
 MAX_DISPATCH_AGE_MS = 5_000
 """Largest age in milliseconds of a dispatch, by the sidecar's own clock value
@@ -82,9 +82,9 @@
         self._hub = hub
         self._settings = settings
         self._runs: dict[RunKey, Run] = {}
-        self._ended: collections.deque[RunKey] = collections.deque()
+        self._ended_keys: collections.deque[RunKey] = collections.deque()
         self._ended_bytes = 0
-        self._tombstones = TombstoneTable(TOMBSTONES, TOMBSTONE_KEEP_S)
+        self._tombstones = TombstoneTable(MAX_TOMBSTONES, TOMBSTONE_KEEP_S)
         hub.register_answer(Inquiry, self.answer_inquiry)
 
     def get_clock_ms(self) -> int:
@@ -130,7 +130,7 @@
             # working, and its entry has been told that it will not run.
             self._refuse(peer, key, trace)
             return
-        if self._is_late(dispatch):
+        if self._is_stale(dispatch):
             self.forbid(dispatch)
             trace = self._tombstones.bar(key, time.monotonic())
             self._refuse(peer, key, trace)
@@ -146,7 +146,7 @@
         self._hub.send(peer, Accepted(*key))
         run.task = asyncio.create_task(self._execute(run))
 
-    def _is_late(self, dispatch: Dispatch) -> bool:
+    def _is_stale(self, dispatch: Dispatch) -> bool:
         # A process that was paused handles the messages in its sockets before
         # it has read the log: it would run a version that was withdrawn long
         # ago, for an entry that has abandoned the attempt. The age is measured
@@ -166,13 +166,13 @@
     def _make_gate_refusal(self, dispatch: Dispatch) -> Refused:
         self.forbid(dispatch)
         key = (dispatch.request_id, dispatch.attempt)
-        ended = self.gate.may_have_ended(key, dispatch.permit_ms)
+        may_have_ended = self.gate.may_have_ended(key, dispatch.permit_ms)
         return Refused(
             *key,
             "run_forbidden",
             "The run was given up or its claim is too old.",
-            RunState.UNKNOWN if ended else RunState.NOT_RUN,
-            None if ended else 1,
+            RunState.UNKNOWN if may_have_ended else RunState.NOT_RUN,
+            None if may_have_ended else 1,
         )
 
     def attach(self, peer: PeerId, message: Attach) -> None:
@@ -188,7 +188,7 @@
             self._refuse(peer, key, self._tombstones.bar(key, time.monotonic()))
             return
         self._hub.send(peer, Accepted(*key))
-        run.pump(run.attach(peer, message.from_seq), self._hub.send)
+        run.send_available(run.attach(peer, message.from_seq), self._hub.send)
 
     def acknowledge(self, peer: PeerId, message: Ack) -> None:
         """Sends more chunks to a reader that has acknowledged some.
@@ -202,7 +202,7 @@
             return
         reader = run.acknowledge(peer, message.next_seq)
         if reader is not None:
-            run.pump(reader, self._hub.send)
+            run.send_available(reader, self._hub.send)
 
     async def cancel(self, message: Cancel) -> None:
         """Cancels a run, also at the engine; bars a run that never arrived."""
@@ -234,7 +234,7 @@
             for run in self._runs.values()
         )
 
-    def drop_peer(self, peer: PeerId) -> None:
+    def remove_peer(self, peer: PeerId) -> None:
         """Removes a connection that no data was received from for too long."""
         for run in self._runs.values():
             run.remove_reader(peer)
@@ -253,7 +253,7 @@
         """Sends the chunks that could not be sent, and removes expired runs."""
         for run in self._runs.values():
             for reader in run.readers.values():
-                run.pump(reader, self._hub.send)
+                run.send_available(reader, self._hub.send)
         self.remove_expired()
 
     def remove_expired(self) -> None:
@@ -261,12 +261,12 @@
         now_s = time.monotonic()
         horizon_s = now_s - self._settings.replay_window_s
         limit_bytes = self._settings.replay_limit_bytes
-        while self._ended:
-            run = self._runs[self._ended[0]]
+        while self._ended_keys:
+            run = self._runs[self._ended_keys[0]]
             in_window = run.ended_at_s > horizon_s
             if in_window and self._ended_bytes <= limit_bytes:
                 return
-            key = self._ended.popleft()
+            key = self._ended_keys.popleft()
             del self._runs[key]
             self._ended_bytes -= run.size_bytes
             self._tombstones.add_forgotten(key, now_s)
@@ -283,7 +283,7 @@
             "tombstones": len(self._tombstones),
             **self.gate.get_sizes(),
             "paused": sum(
-                run.end is None and run.is_ahead()
+                run.end is None and run.is_too_far_ahead()
                 for run in self._runs.values()
             ),
         }
@@ -315,7 +315,7 @@
 
     async def _read_answer(self, run: Run) -> Finished:
         dispatch = run.dispatch
-        collected: list[bytes] = []
+        blocks: list[bytes] = []
         digest = xxhash.xxh3_64()
         usage = Usage()
         stream = open_stream(self._engine, dispatch, self._settings)
@@ -326,12 +326,12 @@
                 self._add_chunk(run, block.data)
                 await _wait_for_readers(run)
             else:
-                collected.append(block.data)
-            pace_s = get_pace_s(self.running)
-            if pace_s and not block.done:
-                await asyncio.sleep(pace_s)
+                blocks.append(block.data)
+            read_interval_s = get_read_interval_s(self.running)
+            if read_interval_s and not block.done:
+                await asyncio.sleep(read_interval_s)
         if not dispatch.stream:
-            answer = make_plain_answer(b"".join(collected), usage)
+            answer = make_plain_answer(b"".join(blocks), usage)
             digest.update(answer)
             self._add_chunk(run, answer)
         return Finished(
@@ -347,31 +347,31 @@
         if not data:
             return
         run.add_chunk(data)
-        self._pump(run)
+        self._send_to_readers(run)
 
     def _finish(self, run: Run, end: Finished | Refused) -> None:
         run.end = end
         run.ended_at_s = time.monotonic()
-        self._ended.append((run.dispatch.request_id, run.dispatch.attempt))
+        self._ended_keys.append((run.dispatch.request_id, run.dispatch.attempt))
         self._ended_bytes += run.size_bytes
         self.running -= 1
         if self.running == 0:
             self.idle.set()
-        self._pump(run)
+        self._send_to_readers(run)
         self.remove_expired()
 
-    def _pump(self, run: Run) -> None:
+    def _send_to_readers(self, run: Run) -> None:
         for reader in run.readers.values():
-            run.pump(reader, self._hub.send)
+            run.send_available(reader, self._hub.send)
 
 
 async def _wait_for_readers(run: Run) -> None:
     # A caller that reads slowly must not make the sidecar buffer what the
     # engine could buffer: the sidecar stops reading the engine's connection,
     # and its flow control stops the engine.
-    while run.is_ahead():
-        run.moved.clear()
-        await run.moved.wait()
+    while run.is_too_far_ahead():
+        run.readers_changed.clear()
+        await run.readers_changed.wait()
 
 
 def _make_engine_refusal(run: Run, error: EngineError) -> Refused:
--- a/src/lovagestage/execution/sidecar.py
+++ b/src/lovagestage/execution/sidecar.py
@@ -54,7 +54,7 @@
 sends nothing. A single read may fail on a connection that the engine has just
 closed, and entries would refuse requests until the next read although the
 engine serves them."""
-_PASSING = (
+_RETRYABLE_CODES = (
     "no_capacity",
     "version_withdrawn",
     "not_ready",
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Told:
+class _PublishedState:
     """State that is published to entries immediately when it changes."""
 
     leaving: bool
@@ -88,14 +88,14 @@
     return int(xxhash.xxh32_intdigest(text.encode())) or 1
 
 
-def shorten(heartbeat: Heartbeat, asked: Hello) -> Heartbeat:
+def shorten(heartbeat: Heartbeat, hello: Hello) -> Heartbeat:
     """Omits the state that the asking entry already knows.
 
     Args:
         heartbeat: The complete heartbeat.
-        asked: Message of the entry, with the hash of the state that it knows.
+        hello: Message of the entry, with the hash of the state that it knows.
     """
-    if asked.known_state != heartbeat.state_hash:
+    if hello.known_state != heartbeat.state_hash:
         return heartbeat
     return msgspec.structs.replace(
         heartbeat, vm=VmId(""), zone=ZoneId(""), versions=[], shortened=True
@@ -136,10 +136,10 @@
         self._load = _NO_LOAD
         self._versions: list[str] = []
         self._is_up = False
-        self._engine_read_s = time.monotonic()
-        self._told = _Told(False, False, False, ())
+        self._engine_last_read_s = time.monotonic()
+        self._published = _PublishedState(False, False, False, ())
         self._peers: dict[PeerId, float] = {}
-        self._work: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self._hub = hub
         self._runs = runs
         hub.register(Hello, self._on_hello)
@@ -225,7 +225,7 @@
                 code,
                 text,
                 RunState.NOT_RUN,
-                1 if code in _PASSING else None,
+                1 if code in _RETRYABLE_CODES else None,
             ),
         )
 
@@ -242,27 +242,27 @@
         if service is None:
             return "not_ready", "The sidecar has no document of the service."
         try:
-            _check_rights(service.document, dispatch, self._role.pool)
+            _check_permissions(service.document, dispatch, self._role.pool)
         except RequestRefusedError as error:
             return error.code, error.message
         return None
 
     def _on_heartbeat(self) -> None:
         self._start_task(self._refresh_load())
-        self._drop_silent_peers()
-        if self._get_told() != self._told:
+        self._remove_inactive_peers()
+        if self._get_current_state() != self._published:
             self._send_heartbeats()
 
     def _on_expiry(self) -> None:
         self._runs.on_timer()
 
     async def _refresh_load(self) -> None:
-        known = (self._versions, self._is_up)
+        previous = (self._versions, self._is_up)
         if isinstance(self._engine, PlainService):
             self._is_up = await self._engine.is_up()
         else:
             await self._refresh_engine(self._engine)
-        if (self._versions, self._is_up) != known:
+        if (self._versions, self._is_up) != previous:
             # Until the next heartbeat, entries would otherwise refuse a version
             # that is loaded, or send requests for one that is not.
             self._send_heartbeats()
@@ -271,9 +271,9 @@
         try:
             self._load = await engine.get_load()
             self._versions = await engine.get_versions()
-            self._engine_read_s = time.monotonic()
+            self._engine_last_read_s = time.monotonic()
         except EngineError as error:
-            age_s = time.monotonic() - self._engine_read_s
+            age_s = time.monotonic() - self._engine_last_read_s
             if age_s > ENGINE_LOST_S:
                 self._versions = []
             _log.warning(
@@ -282,29 +282,29 @@
             )
 
     def _send_heartbeats(self) -> None:
-        self._told = self._get_told()
+        self._published = self._get_current_state()
         heartbeat = self._make_heartbeat()
         for peer in list(self._peers):
             if not self._hub.send(peer, heartbeat):
                 del self._peers[peer]
-                self._runs.drop_peer(peer)
+                self._runs.remove_peer(peer)
 
-    def _drop_silent_peers(self) -> None:
+    def _remove_inactive_peers(self) -> None:
         # An entry with an open run sends heartbeats often: if it sends none, it
         # no longer reads. An idle entry has no run open and sends them rarely.
         bus = self._settings.bus
         now_s = time.monotonic()
-        for peer, seen_s in list(self._peers.items()):
-            silent_s = now_s - seen_s
-            if silent_s > bus.silent_after_s:
-                self._runs.drop_peer(peer)
-            if silent_s > bus.silent_after_s + bus.idle_heartbeat_interval_s:
+        for peer, last_received_s in list(self._peers.items()):
+            inactive_s = now_s - last_received_s
+            if inactive_s > bus.silent_after_s:
+                self._runs.remove_peer(peer)
+            if inactive_s > bus.silent_after_s + bus.idle_heartbeat_interval_s:
                 del self._peers[peer]
 
-    def _get_told(self) -> _Told:
+    def _get_current_state(self) -> _PublishedState:
         is_full = self._runs.running >= self._role.max_running
         versions = tuple(self._versions)
-        return _Told(self._leaving, is_full, self._is_up, versions)
+        return _PublishedState(self._leaving, is_full, self._is_up, versions)
 
     def _make_heartbeat(self, heard_sequence: int = 0) -> Heartbeat:
         self._sequence += 1
@@ -346,13 +346,13 @@
             }
         )
 
-    def _start_task(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.create_task(work)
-        self._work.add(task)
-        task.add_done_callback(self._work.discard)
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.create_task(coroutine)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
 
-def _check_rights(
+def _check_permissions(
     document: ServiceDocument, dispatch: Dispatch, pool: PoolId
 ) -> None:
     if pool:
--- a/tests/test_billing_fleet.py
+++ b/tests/test_billing_fleet.py
@@ -1,4 +1,4 @@
-"""Billing through real processes, with an entry killed and the log away."""
+"""Billing in real processes, with an entry killed and the log unavailable."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from lab.fleet import Fleet
 from lab.shapes import SHAPES
 from lovagestage.cli import main
-from tests.test_sessions_fleet import ask
+from tests.test_sessions_fleet import send_request
 
 REQUESTS = 40
 REQUESTS_SENT = 30
@@ -36,9 +36,9 @@
     end_s = time.monotonic() + timeout_s
     while True:
         sums = get_usage(fleet, capsys)
-        count = sum(each["requests"] for each in sums)
+        count = sum(usage["requests"] for usage in sums)
         if count >= requests or time.monotonic() > end_s:
-            return count, sum(each["completion_tokens"] for each in sums)
+            return count, sum(usage["completion_tokens"] for usage in sums)
         time.sleep(0.3)
 
 
@@ -51,17 +51,17 @@
 
 
 def test_killed_entry_loses_no_bill(small_fleet, capsys):
-    # Callers get whole answers through entry-0, plain and streamed; it is
-    # killed at the last one, with its bills not yet in the log. The other
-    # entry holds copies, is not renewed any more, and appends them: usage
-    # equals what the engines ran.
+    # Callers get complete answers through entry-0, plain and streamed. The
+    # entry is killed after the last answer, before its bills are in the log.
+    # The other entry holds copies that are no longer renewed, and appends
+    # them: the usage equals what the engines ran.
     fleet = small_fleet
     fleet.set_fault("log", outage=True)
     entry = fleet.entries[0]
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         answers = list(
             pool.map(
-                lambda i: ask(entry, tokens=TOKENS, stream=i % 2 == 0),
+                lambda i: send_request(entry, tokens=TOKENS, stream=i % 2 == 0),
                 range(REQUESTS),
             )
         )
@@ -75,13 +75,13 @@
 
 
 def test_planned_stop_and_lost_log_answers_bill_once(small_fleet, capsys):
-    # The log takes the first batches and loses its answers, so that they are
-    # appended twice; usage counts each request once. An entry that stops as
-    # planned appends its bills before it exits.
+    # The log accepts the first batches but its answers are lost, so that the
+    # batches are appended twice; usage counts each request once. An entry that
+    # stops as planned appends its bills before it exits.
     fleet = small_fleet
     fleet.set_fault("log", lose_answer=2)
     for index in range(6):
-        ask(fleet.entries[index % 2], tokens=TOKENS)
+        send_request(fleet.entries[index % 2], tokens=TOKENS)
     assert fleet.stop("entry-0") == 0
     assert fleet.stop("entry-1") == 0
     assert wait_for_usage(fleet, capsys, 6, 0) == (6, 6 * TOKENS)
@@ -89,9 +89,10 @@
 
 
 def test_full_buffer_refuses_and_loses_nothing(capsys):
-    # The log is away and the buffer holds a few bills only. Requests are
-    # refused as not run, with the time to come back, before a bill could be
-    # lost; when the log is back, bills go out and requests are served again.
+    # The log is unavailable and the buffer holds only a few bills. Requests
+    # are refused as not run, with a retry time, before a bill could be lost.
+    # When the log is available again, the bills are appended and requests are
+    # served.
     fleet = Fleet(SHAPES["thin"])
     fleet.entry_options |= {
         "billing_buffer_bytes": 1600,
@@ -100,22 +101,28 @@
     with fleet:
         fleet.set_fault("log", outage=True)
         entry = fleet.entries[0]
-        answers = [ask(entry, tokens=TOKENS) for _ in range(REQUESTS_SENT)]
-        refused = [h for text, h in answers if text == "billing_unavailable"]
+        answers = [
+            send_request(entry, tokens=TOKENS) for _ in range(REQUESTS_SENT)
+        ]
+        refused = [
+            headers
+            for text, headers in answers
+            if text == "billing_unavailable"
+        ]
         served = REQUESTS_SENT - len(refused)
         assert 0 < served < REQUESTS_SENT
-        assert {h["X-Run-State"] for h in refused} == {"not_run"}
-        assert {h["Retry-After"] for h in refused} == {"1"}
+        assert {headers["X-Run-State"] for headers in refused} == {"not_run"}
+        assert {headers["Retry-After"] for headers in refused} == {"1"}
         assert len(get_runs(fleet)) == served
         fleet.set_fault("log", outage=False)
         counts = wait_for_usage(fleet, capsys, served, 10)
         assert counts == (served, served * TOKENS)
-        assert ask(entry)[1]["X-Billed-Tokens"]
+        assert send_request(entry)[1]["X-Billed-Tokens"]
 
 
 def test_cancelled_stream_is_billed_for_what_came(small_fleet, capsys):
-    # The caller leaves in the middle of a stream: it is billed, and for
-    # fewer tokens than it asked for.
+    # The caller disconnects in the middle of a stream. The stream is billed,
+    # for fewer tokens than the caller asked for.
     fleet = small_fleet
     body = {"model": "large", "stream": True, "max_tokens": 400}
     body["messages"] = [{"role": "user", "content": "Why did it fail"}]
--- a/tests/test_deadlines_fleet.py
+++ b/tests/test_deadlines_fleet.py
@@ -28,7 +28,7 @@
         yield fleet
 
 
-def ask(fleet, deadline_s, request_class="reconcile"):
+def send_request(fleet, deadline_s, request_class="reconcile"):
     body = {"model": "large@1", "max_tokens": TOKENS}
     body["messages"] = [{"role": "user", "content": "Reconcile the order"}]
     headers = {
@@ -45,45 +45,45 @@
         with urllib.request.urlopen(request, timeout=30) as response:
             response.read()
             return "whole"
-    except urllib.error.HTTPError as refused:
-        error = json.loads(refused.read())["error"]
+    except urllib.error.HTTPError as http_error:
+        error = json.loads(http_error.read())["error"]
         return f"{error['code']} {error['run']}"
 
 
 def start_jobs(fleet, pool, count):
-    jobs = [pool.submit(ask, fleet, 60) for _ in range(count)]
+    jobs = [pool.submit(send_request, fleet, 60) for _ in range(count)]
     time.sleep(0.3)
     return jobs
 
 
 def test_jobs_wait_for_their_slot_and_infeasible_ones_are_refused(fleet):
-    # Four jobs come at once and one slot is theirs: they run one after
-    # another. One that could not be done in time is told so at once and is
-    # never run, and an ordinary request is answered in between.
+    # Four jobs arrive together and share one slot, so that they run one after
+    # another. A job that could not be finished in time is refused immediately
+    # and never run, and an ordinary request is answered in between.
     with concurrent.futures.ThreadPoolExecutor() as pool:
         start_s = time.monotonic()
         jobs = start_jobs(fleet, pool, JOBS)
-        asked_s = time.monotonic()
-        assert ask(fleet, 3) == "deadline_infeasible not_run"
-        assert time.monotonic() - asked_s < 0.5
-        assert ask(fleet, 30, "default") == "whole"
+        sent_s = time.monotonic()
+        assert send_request(fleet, 3) == "deadline_infeasible not_run"
+        assert time.monotonic() - sent_s < 0.5
+        assert send_request(fleet, 30, "default") == "whole"
         ordinary_s = time.monotonic() - start_s
         assert [job.result() for job in jobs] == ["whole"] * JOBS
-    took_s = time.monotonic() - start_s
-    assert took_s >= JOBS * TOKENS * TOKEN_S > ordinary_s
+    elapsed_s = time.monotonic() - start_s
+    assert elapsed_s >= JOBS * TOKENS * TOKEN_S > ordinary_s
     assert len(fleet.get_stats("engine-0")["runs"]) == JOBS + 1
 
 
 def test_planned_stop_runs_what_waits(fleet):
     # The entry stops as planned while jobs wait for their slot. One after
-    # another they would hold up the stop for hours and be cut off in the end;
-    # they are started beside each other, and all get whole answers.
+    # another, the jobs would delay the stop for hours and be cut off in the
+    # end. They are started in parallel, and all get complete answers.
     with concurrent.futures.ThreadPoolExecutor(STOP_JOBS) as pool:
         jobs = start_jobs(fleet, pool, STOP_JOBS)
         stop = threading.Thread(target=fleet.stop, args=("entry-0",))
         start_s = time.monotonic()
         stop.start()
         assert [job.result() for job in jobs] == ["whole"] * STOP_JOBS
-        took_s = time.monotonic() - start_s
+        elapsed_s = time.monotonic() - start_s
         stop.join()
-    assert took_s < STOP_JOBS * TOKENS * TOKEN_S / 2
+    assert elapsed_s < STOP_JOBS * TOKENS * TOKEN_S / 2
--- a/tests/test_escalation.py
+++ b/tests/test_escalation.py
@@ -1,4 +1,4 @@
-"""A second version is asked where the first answer is doubtful."""
+"""A second version is asked where the first answer shows low quality."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
     )
 
 
-class Versions:
-    """A dispatcher whose versions answer as they are told."""
+class FakeDispatcher:
+    """A dispatcher with a fixed answer for each version."""
 
     def __init__(self, small: str, reason: str, large: str | None) -> None:
         self._small = (small, reason)
@@ -58,10 +58,10 @@
         yield json.dumps({"choices": [message]}).encode()
 
 
-def run(versions, request) -> tuple[str, Result]:
+def run(dispatcher, request) -> tuple[str, Result]:
     async def read() -> bytes:
-        parts = Escalation(versions).run(request, result)
-        return b"".join([part async for part in parts])
+        chunks = Escalation(dispatcher).run(request, result)
+        return b"".join([chunk async for chunk in chunks])
 
     result = Result(request.version)
     body = json.loads(asyncio.run(read()))
@@ -69,21 +69,22 @@
 
 
 def test_doubtful_answer_is_replaced_and_billed_once():
-    # The cheap version answers with nothing. The better one is asked within
-    # the same request; its answer, its version and its tokens are what the
-    # caller gets and is billed, in one record; the cost knows of both.
-    text, result = run(Versions("", "stop", "Better."), make_request())
+    # The cheap version returns an empty answer. The better version is asked
+    # within the same request. The caller gets its answer and is billed for its
+    # version and its tokens, in one record; the result keeps the tokens of
+    # both answers, so that the cost includes both.
+    text, result = run(FakeDispatcher("", "stop", "Better."), make_request())
     assert (text, result.version, result.attempts) == ("Better.", LARGE, 2)
     bill = make_bill(make_request(), result, 0.0)
     assert (bill.version, bill.completion_tokens) == ("large@1", 7)
-    assert result.first.completion_tokens == 3
+    assert result.replaced_answer.completion_tokens == 3
 
 
 def test_first_answer_stands_where_the_better_version_is_full():
-    text, result = run(Versions("Half", "length", None), make_request())
+    text, result = run(FakeDispatcher("Half", "length", None), make_request())
     assert (text, result.version) == ("Half", SMALL)
     assert result.finished.completion_tokens == 3
-    assert result.first is None
+    assert result.replaced_answer is None
 
 
 @pytest.mark.parametrize(
@@ -96,10 +97,10 @@
     ],
 )
 def test_no_second_answer_without_doubt_time_or_plan(small, reason, changes):
-    versions = Versions(small, reason, "Better.")
-    text, _ = run(versions, make_request(**changes))
+    dispatcher = FakeDispatcher(small, reason, "Better.")
+    text, _ = run(dispatcher, make_request(**changes))
     assert text == small
-    assert versions.runs == ["small@1"]
+    assert dispatcher.runs == ["small@1"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_keyed_refusals.py
+++ b/tests/test_keyed_refusals.py
@@ -1,4 +1,4 @@
-"""What a refusal before the claim says of a key that has run, for real."""
+"""The run state of a refusal before the claim, with a key that has run."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     """`used` has run; then the workspace loses the model and its route."""
     with Fleet(
         SHAPES["thin"], entry_options={"max_body_bytes": LIMIT_BYTES}
-    ) as started:
-        assert ask(started, "used", entry=0)[0] == 200
+    ) as running_fleet:
+        assert send_request(running_fleet, "used", entry=0)[0] == 200
         document = parse_file(EXAMPLES / "vault.jsonc", ServiceDocument)
         audit = msgspec.structs.replace(
             document.workspaces["audit"], allowed=["small"]
@@ -35,14 +35,17 @@
         changed = msgspec.structs.replace(
             document, workspaces=workspaces, routes=[]
         )
-        started.publish_document(changed, 1)
+        running_fleet.publish_document(changed, 1)
         end_s = time.monotonic() + IN_FORCE_S
-        while ask(started, "probe", "other")[1] != "model_not_allowed":
+        while (
+            send_request(running_fleet, "probe", "other")[1]
+            != "model_not_allowed"
+        ):
             assert time.monotonic() < end_s
-        yield started
+        yield running_fleet
 
 
-def ask(fleet, key, prompt="draft", entry=1, path="chat", **headers):
+def send_request(fleet, key, prompt="draft", entry=1, path="chat", **headers):
     body = {
         "model": "large@1",
         "max_tokens": 4,
@@ -61,9 +64,9 @@
     try:
         with urllib.request.urlopen(request, timeout=20) as response:
             return response.status, "", ""
-    except urllib.error.HTTPError as refused:
-        error = json.loads(refused.read())["error"]
-        return refused.code, error["code"], error["run"]
+    except urllib.error.HTTPError as http_error:
+        error = json.loads(http_error.read())["error"]
+        return http_error.code, error["code"], error["run"]
 
 
 @pytest.mark.parametrize(
@@ -83,8 +86,8 @@
 def test_refusal_before_the_claim_tells_of_an_earlier_run(
     fleet, key, more, code, run
 ):
-    # The caller's first request ran, and it has lost the answer. Before it
-    # repeats the request through another entry, the workspace loses the model.
-    # Were the refusal to say `not_run`, the caller would take the first one as
-    # not run either and use another key elsewhere.
-    assert ask(fleet, key, **more)[1:] == (code, run)
+    # The caller's first request ran, but the caller lost its answer. Before
+    # the caller retries through another entry, the workspace loses the model.
+    # If the refusal said `not_run`, the caller would conclude that the first
+    # request was not run either, and send it elsewhere with another key.
+    assert send_request(fleet, key, **more)[1:] == (code, run)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""What leaves gets nothing new, and what is open goes on to its end."""
+"""A process that is leaving gets no new work, and its open work is finished."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     FakeEngine,
     make_dispatch,
     make_table,
-    wait_for_quiet,
+    wait_until_engine_is_idle,
 )
 from tests.test_thin_path import MESSAGES, get_expected_text
 
@@ -30,8 +30,8 @@
 
 @pytest.fixture
 def fleet():
-    with Fleet(SHAPES["thin"]) as started:
-        yield started
+    with Fleet(SHAPES["thin"]) as running_fleet:
+        yield running_fleet
 
 
 def count_runs(fleet: Fleet, engine: str) -> int:
@@ -39,96 +39,99 @@
 
 
 def test_kept_alive_connection_of_a_leaving_entry_is_served_then_closed(fleet):
-    # The caller's request on a connection that it keeps open is answered
-    # after the entry was told to stop; the answer says that the connection
-    # closes, so that the next request goes elsewhere. A caller that holds an
-    # idle connection does not hold up the stop.
+    # A request on a kept-alive connection is answered even after the entry
+    # was told to stop. The answer says that the connection closes, so that
+    # the next request goes to another entry. A caller with an idle connection
+    # does not delay the stop.
     port = fleet.entries[0].port
-    kept = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
+    kept_alive = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
     idle = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
     headers = {"Authorization": "Bearer key-audit"}
-    for connection in (kept, idle):
+    for connection in (kept_alive, idle):
         connection.request("GET", "/v1/models", headers=headers)
         assert connection.getresponse().read()
-    codes = []
-    stop = threading.Thread(target=lambda: codes.append(fleet.stop("entry-0")))
+    exit_codes = []
+    stop = threading.Thread(
+        target=lambda: exit_codes.append(fleet.stop("entry-0"))
+    )
     stop.start()
     time.sleep(0.3)
     body = {"model": "large@1", "messages": MESSAGES, "max_tokens": 300}
-    kept.request(
+    kept_alive.request(
         "POST", "/v1/chat/completions", json.dumps(body), headers=headers
     )
-    response = kept.getresponse()
+    response = kept_alive.getresponse()
     answer = json.loads(response.read())
     assert response.headers["Connection"] == "close"
     text = answer["choices"][0]["message"]["content"]
     assert text == get_expected_text("large@1", 300)
     stop.join(10)
-    assert codes == [0]
+    assert exit_codes == [0]
 
 
 def test_stopping_sidecar_gets_nothing_new_and_cuts_nothing(fleet):
-    # Callers see no refusal. SIGTERM reaches a sidecar with a stream open;
-    # from two seconds on no new request runs there, and the stream ends whole.
+    # Callers get no refusal. A sidecar with an open stream receives SIGTERM:
+    # two seconds later no new request runs there, and the stream is complete.
     readers = [StreamReader(fleet, 400) for _ in range(6)]
     wait_for_runs(fleet, 6)
-    codes = []
+    exit_codes = []
     stop = threading.Thread(
-        target=lambda: codes.append(fleet.stop("sidecar-0"))
+        target=lambda: exit_codes.append(fleet.stop("sidecar-0"))
     )
     stop.start()
     start_s = time.monotonic()
-    seen = None
+    runs_when_leaving = None
     while time.monotonic() < start_s + LEAVING_S + 1:
-        if seen is None and time.monotonic() > start_s + LEAVING_S:
-            seen = count_runs(fleet, "engine-0")
+        if runs_when_leaving is None and time.monotonic() > start_s + LEAVING_S:
+            runs_when_leaving = count_runs(fleet, "engine-0")
         response, answer = post_plain(fleet, "restore")
         assert response.status == 200, (
             f"{time.monotonic() - start_s:.3f} s after the signal: {answer}"
             f"\n{fleet.get_log_tail('entry-0')}"
             f"\n{fleet.get_log_tail('sidecar-1')}"
         )
-    assert count_runs(fleet, "engine-0") == seen
+    assert count_runs(fleet, "engine-0") == runs_when_leaving
     for reader in readers:
         reader.join(20)
         assert reader.text == get_expected_text("large@1", 400)
     stop.join(10)
-    assert codes == [0]
+    assert exit_codes == [0]
 
 
 def test_upstream_listed_as_leaving_gets_nothing_new(fleet):
-    # The sidecar does not know yet; the platform's list, which lags a second,
-    # says that its VM is leaving.
+    # The sidecar does not know yet that its VM is leaving. Only the platform's
+    # list, which is a second late, says so.
     bus = fleet.children["sidecar-0"].bus
     entry = {"vm": "sidecar-0", "role": "sidecar", "zone": "lhe-a"}
     fleet.tell_vm("sidecar-0", {**entry, "bus": bus, "state": "leaving"})
     time.sleep(LISTED_S)
-    before = count_runs(fleet, "engine-0")
+    runs_before = count_runs(fleet, "engine-0")
     client = make_client(fleet)
     for _ in range(12):
         client.chat.completions.create(
             model="large@1", messages=MESSAGES, max_tokens=1
         )
-    assert count_runs(fleet, "engine-0") == before
+    assert count_runs(fleet, "engine-0") == runs_before
     assert count_runs(fleet, "engine-1") >= 12
 
 
 async def test_stop_waits_for_a_slow_reader_to_get_the_end():
-    # The engine is done and the sidecar told to stop, but the caller reads
-    # slowly and its window is full: ending now would cut its stream.
+    # The engine has finished and the sidecar was told to stop, but the caller
+    # reads slowly and its window is full. A stop at this point would truncate
+    # the caller's stream.
     engine = FakeEngine(200)
     table, hub = make_table(engine)
     table.start(b"entry", make_dispatch())
-    await wait_for_quiet(engine)
-    assert engine.made == 200
+    await wait_until_engine_is_idle(engine)
+    assert engine.event_count == 200
     with pytest.raises(TimeoutError):
-        await wait_delivered(table, 0.2)
+        await wait_until_delivered_within(table, 0.2)
     while not hub.get(Finished):
         last = hub.get(Chunk)[-1]
         table.acknowledge(b"entry", Ack(*KEY, last.seq + last.count))
-    await wait_delivered(table, 0.2)
+    await wait_until_delivered_within(table, 0.2)
 
 
-async def wait_delivered(table, timeout_s: float) -> None:
+async def wait_until_delivered_within(table, timeout_s: float) -> None:
 
     await asyncio.wait_for(table.wait_until_delivered(), timeout_s)
--- a/tests/test_paused_sidecar.py
+++ b/tests/test_paused_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar that was paused with requests in its sockets."""
+"""A sidecar that was paused while requests waited in its sockets."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
 
 def test_resumed_sidecar_runs_nothing_on_a_withdrawn_version():
     # The sidecars are paused with requests in their sockets, and the version
-    # is withdrawn meanwhile. They go on and come to the requests before they
-    # have read of it; the engines may get none, however long the pause was.
+    # is withdrawn during the pause. When they resume, they handle the requests
+    # before they have read of the withdrawal. The engines must receive none
+    # of them, however long the pause was.
     withdrawn = make_withdrawal("large@2")(DOCUMENT)
     with Fleet(SHAPES["thin"]) as fleet:
         for index in (0, 1):
             fleet.suspend(f"sidecar-{index}")
         callers = [
-            threading.Thread(target=ask, args=(fleet, entry))
+            threading.Thread(target=expect_refusal, args=(fleet, entry))
             for entry in range(2)
         ]
         for caller in callers:
@@ -41,11 +42,13 @@
         for caller in callers:
             caller.join()
         time.sleep(1.0)
-        runs = [fleet.get_stats(each.name)["runs"] for each in fleet.engines]
+        runs = [
+            fleet.get_stats(engine.name)["runs"] for engine in fleet.engines
+        ]
     assert runs == [{}, {}]
 
 
-def ask(fleet, entry):
+def expect_refusal(fleet, entry):
     with pytest.raises(openai.APIStatusError):
         make_client(fleet, entry=entry).chat.completions.create(
             model="large@2", messages=MESSAGES
--- a/tests/test_plain_services.py
+++ b/tests/test_plain_services.py
@@ -1,4 +1,4 @@
-"""Plain services through real processes: routed, run once, refused, drained."""
+"""Plain services in real processes: routed, run once, refused, drained."""
 
 from __future__ import annotations
 
@@ -27,24 +27,27 @@
 HEARTBEATS_S = 1.0
 OPTIONS = {"max_body_bytes": MAX_BODY_BYTES, "default_deadline_s": DEADLINE_S}
 NEAREST = "plain-1"
-"""In the zone of the first entry, which prefers it."""
+"""The plain service in the availability zone of the first entry, which prefers
+it."""
 
 
 @pytest.fixture(scope="module")
-def started():
-    with Fleet(SHAPE, entry_options=OPTIONS) as one:
-        wait_until_keys_are_held(one)
-        yield one
+def running_fleet():
+    with Fleet(SHAPE, entry_options=OPTIONS) as new_fleet:
+        wait_until_keys_in_sync(new_fleet)
+        yield new_fleet
 
 
 @pytest.fixture
-def fleet(started):
-    yield started
-    for plain in started.plains:
-        started.set_fault(plain.name, drop_after_run=0, slow_ms=0, stall=False)
+def fleet(running_fleet):
+    yield running_fleet
+    for plain in running_fleet.plains:
+        running_fleet.set_fault(
+            plain.name, drop_after_run=0, slow_ms=0, stall=False
+        )
 
 
-def wait_until_keys_are_held(fleet):
+def wait_until_keys_in_sync(fleet):
     end_s = time.monotonic() + 15
     while time.monotonic() < end_s:
         keys = [fleet.get_dump(e.name)["request_keys"] for e in fleet.entries]
@@ -58,18 +61,20 @@
 
 
 def call(fleet, method, path, body=b"", entry=0, **headers):
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
+    header_values = {
+        name.replace("_", "-"): value for name, value in headers.items()
+    }
     connection = http.client.HTTPConnection(
         "127.0.0.1", fleet.entries[entry].port, timeout=20
     )
-    connection.request(method, path, body, KEY | named)
+    connection.request(method, path, body, KEY | header_values)
     response = connection.getresponse()
     data = response.read()
     connection.close()
     return response, json.loads(data) if data else None
 
 
-def count(fleet, kind, name):
+def sum_stats(fleet, kind, name):
     return sum(
         fleet.get_stats(plain.name)[kind].get(name, 0) for plain in fleet.plains
     )
@@ -81,11 +86,11 @@
 
 
 def restart_sidecar(fleet, name):
-    """Returns once the entries have heard that its service is up."""
+    """Starts a sidecar again and waits until the entries know its service."""
     start_s = time.monotonic()
     fleet.start_sidecar(int(name.rpartition("-")[2]))
-    # Idle links are heard every few seconds only; the restarted one is heard
-    # as soon as it is there.
+    # The entries receive a heartbeat every few seconds only on idle links, but
+    # from the restarted sidecar as soon as it is up.
     while not all(
         link["silent_s"] < 1 and not link["gone"]
         for entry in fleet.entries
@@ -103,7 +108,7 @@
     assert answer["path"] == "/charge"
     assert (answer["query"], answer["body"]) == ("till=4", "5 AUD")
     request_id = response.headers["X-Request-Id"]
-    assert count(fleet, "runs", request_id) == 1
+    assert sum_stats(fleet, "runs", request_id) == 1
 
 
 def test_status_and_headers_of_the_answer_are_passed_back(fleet):
@@ -114,9 +119,9 @@
         "a=1; Path=/",
         "b=2; Path=/",
     ]
-    seen = {name.lower() for name, _ in answer["headers"]}
-    assert "x-workspace" in seen
-    assert not seen & {"authorization", "x-hop"}
+    received = {name.lower() for name, _ in answer["headers"]}
+    assert "x-workspace" in received
+    assert not received & {"authorization", "x-hop"}
 
 
 def test_cookies_of_one_caller_are_not_sent_with_anothers_call(fleet):
@@ -137,35 +142,35 @@
 def test_wrong_call_is_refused_and_not_run(
     fleet, path, body, key, status, code
 ):
-    before = count(fleet, "runs_by_path", "/charge")
+    before = sum_stats(fleet, "runs_by_path", "/charge")
     response, answer = call(
         fleet, "POST", path, body, Authorization=f"Bearer {key}"
     )
     assert response.status == status
     assert answer["error"]["code"] == (code or "body_too_large")
     assert answer["error"]["run"] == "not_run"
-    assert count(fleet, "runs_by_path", "/charge") == before
+    assert sum_stats(fleet, "runs_by_path", "/charge") == before
 
 
 @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE"])
 def test_dropped_answer_is_unknown_and_not_run_again(fleet, method):
-    # The service carries a call out and its connection breaks before the
-    # answer. The call may not be repeated, so it is sent to nobody else, and
-    # the caller is told that it may have run. PUT and DELETE are those that
-    # an HTTP client library repeats by itself on a kept connection.
+    # The service executes a call, and its connection breaks before the answer.
+    # The call must not be retried, so that no other upstream receives it, and
+    # the caller is told that it may have run. An HTTP client library would
+    # retry PUT and DELETE by itself on a kept-alive connection.
     call(fleet, method, "/portal/echo")
-    before = count(fleet, "runs_by_path", "/echo")
+    before = sum_stats(fleet, "runs_by_path", "/echo")
     set_fault(fleet, drop_after_run=1)
     response, answer = call(fleet, method, "/portal/echo")
     assert response.status == 502
     assert answer["error"]["run"] == "unknown"
     assert response.headers["X-Run-State"] == "unknown"
-    assert count(fleet, "runs_by_path", "/echo") == before + 1
+    assert sum_stats(fleet, "runs_by_path", "/echo") == before + 1
 
 
 def test_lookup_is_sent_again(fleet):
-    # One service drops an answer. A GET has no effect, so the entry sends it
-    # to the other one, and the caller sees nothing but a second attempt.
+    # One plain service drops an answer. A GET has no effect, so that the entry
+    # retries it at the other service; the caller only sees a second attempt.
     fleet.set_fault(NEAREST, drop_after_run=1)
     answers = [call(fleet, "GET", "/portal/lookup?x=1") for _ in range(8)]
     assert {response.status for response, _ in answers} == {200}
@@ -174,9 +179,9 @@
 
 
 def test_charge_repeated_through_another_entry_runs_once(fleet):
-    # The caller's connection breaks while the charge runs. It repeats the
-    # charge with the same key, but through the other entry and with other
-    # headers: it gets the first one's answer.
+    # The caller's connection breaks while the charge runs. The caller sends
+    # the charge again with the same key, but through the other entry and with
+    # other headers, and gets the answer of the first run.
     set_fault(fleet, slow_ms=800)
     first = http.client.HTTPConnection("127.0.0.1", fleet.entries[0].port)
     first.request(
@@ -195,19 +200,19 @@
             Traceparent=trace,
         )
         assert (response.status, answer["body"]) == (200, "7")
-    assert count(fleet, "runs_by_key", "charge-7") == 1
+    assert sum_stats(fleet, "runs_by_key", "charge-7") == 1
 
 
 def test_keyed_charge_whose_answer_was_dropped_stays_unknown(fleet):
-    # The service carried the charge out and dropped the answer. Whoever
-    # repeats it, through either entry, learns that and causes no second run.
+    # The service executed the charge and dropped the answer. A retry through
+    # either entry reports that and causes no second run.
     set_fault(fleet, drop_after_run=1)
     for entry in (0, 1, 0):
         response, answer = call(
             fleet, "POST", "/portal/charge", b"8", entry, Idempotency_Key="c-8"
         )
         assert (response.status, answer["error"]["run"]) == (502, "unknown")
-    assert count(fleet, "runs_by_key", "c-8") == 1
+    assert sum_stats(fleet, "runs_by_key", "c-8") == 1
 
 
 def test_same_key_with_another_body_is_refused(fleet):
@@ -220,8 +225,8 @@
 
 
 def test_call_that_is_never_answered_ends_at_its_deadline(fleet):
-    # The service takes the call and says nothing. The caller is not held up
-    # past the deadline and is not told that nothing was run.
+    # The service accepts the call and never answers. The caller gets a refusal
+    # at the deadline, and it does not say that nothing was run.
     set_fault(fleet, stall=True)
     start_s = time.monotonic()
     response, answer = call(fleet, "POST", "/portal/charge")
@@ -231,9 +236,9 @@
 
 
 def wait_for_run(fleet, before):
-    """Waits until a charge has reached the service; names its sidecar."""
+    """Waits until a charge has reached the service; returns its sidecar."""
     end_s = time.monotonic() + 5
-    while count(fleet, "runs_by_path", "/charge") == before:
+    while sum_stats(fleet, "runs_by_path", "/charge") == before:
         assert time.monotonic() < end_s, "The charge did not run."
         time.sleep(0.02)
     return next(
@@ -244,32 +249,34 @@
 
 
 def test_charge_whose_sidecar_is_killed_is_not_run_again(fleet):
-    # The charge runs when its sidecar is killed. The entry sees the process
-    # gone, sends the charge to no other sidecar and says that it may have run.
+    # The sidecar is killed while the charge runs. The entry detects that the
+    # process is gone, sends the charge to no other sidecar, and reports that
+    # the charge may have run.
     set_fault(fleet, slow_ms=1500)
-    before = count(fleet, "runs_by_path", "/charge")
-    seen = []
+    before = sum_stats(fleet, "runs_by_path", "/charge")
+    received = []
     thread = threading.Thread(
-        target=lambda: seen.append(call(fleet, "POST", "/portal/charge"))
+        target=lambda: received.append(call(fleet, "POST", "/portal/charge"))
     )
     thread.start()
     name = wait_for_run(fleet, before)
     fleet.kill(name)
     thread.join()
     restart_sidecar(fleet, name)
-    ((response, answer),) = seen
+    ((response, answer),) = received
     assert (response.status, answer["error"]["run"]) == (502, "unknown")
-    assert count(fleet, "runs_by_path", "/charge") == before + 1
+    assert sum_stats(fleet, "runs_by_path", "/charge") == before + 1
 
 
 def test_planned_stop_of_a_sidecar_cuts_off_no_charge(fleet):
-    # A charge is slow; its sidecar is told to stop meanwhile. The charge is
-    # answered, later ones go to the other sidecar, and the process exits 0.
+    # A charge is slow, and its sidecar is told to stop meanwhile. The charge
+    # is answered, later charges go to the other sidecar, and the process exits
+    # with status 0.
     set_fault(fleet, slow_ms=1200)
-    seen = []
+    received = []
     threads = [
         threading.Thread(
-            target=lambda entry: seen.append(
+            target=lambda entry: received.append(
                 call(fleet, "POST", "/portal/charge", entry=entry)
             ),
             args=[number % 2],
@@ -283,14 +290,14 @@
     for thread in threads:
         thread.join()
     set_fault(fleet, slow_ms=0)
-    seen += [call(fleet, "POST", "/portal/charge") for _ in range(6)]
+    received += [call(fleet, "POST", "/portal/charge") for _ in range(6)]
     restart_sidecar(fleet, "sidecar-1")
     assert codes == [0]
-    assert [response.status for response, _ in seen] == [200] * 12
+    assert [response.status for response, _ in received] == [200] * 12
 
 
 def test_two_services_may_have_one_prefix(fleet):
-    # A second service publishes the same prefix with a pool that nothing
+    # A second service publishes the same prefix with a pool that no upstream
     # serves. Each caller gets the route of the service that has its key.
     document = parse_file(EXAMPLES / "vault.jsonc", ServiceDocument)
     spec = msgspec.structs.replace(
--- a/tests/test_quality_fleet.py
+++ b/tests/test_quality_fleet.py
@@ -1,4 +1,4 @@
-"""Bad versions through real processes: stopped by what callers get."""
+"""Bad versions in real processes are stopped by what callers receive."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 TIMEOUT_S = 15.0
 WORKERS = 6
 MAX_FAILURES = 60
-"""Attempts that fail until both entries have stopped: at a share of a half
-16 failed requests are enough, with two attempts each, and some are under way
-meanwhile."""
+"""Largest number of attempts that may fail until both entries have stopped: at
+a share of one half 16 failed requests are enough, each with two attempts, and
+some more requests are in progress meanwhile."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """What a caller got: a version or an error code, and its session."""
+    """What a caller received: a version or an error code, and a session."""
 
     version: str
     code: str
     session: str
 
 
-class Scene:
+class RolloutHarness:
     """A fleet of two entries whose roll-outs are published in turn."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -57,13 +57,15 @@
 
     def publish(self, **changes) -> None:
         revision = next(self._revisions)
-        # Another time makes it another roll-out than the one before.
+        # Another step time makes this a different roll-out from the last one.
         changes["step_min_s"] = SPEC.step_min_s + revision / 1000
         spec = msgspec.structs.replace(SPEC, **changes)
         document = msgspec.structs.replace(DOCUMENT, rollouts={"large": spec})
         self.fleet.publish_document(document, revision)
-        self.wait(lambda gate: gate["revision"] == revision + 1, "published")
-        self.wait(lambda gate: gate["share"] > 0, "stepping")
+        self.wait_for_gates(
+            lambda gate: gate["revision"] == revision + 1, "published"
+        )
+        self.wait_for_gates(lambda gate: gate["share"] > 0, "stepping")
 
     def set_engine_fault(self, **faults) -> None:
         for engine in self.fleet.engines:
@@ -73,38 +75,41 @@
         dumps = [self.fleet.get_dump(e.name) for e in self.fleet.entries]
         return [g for d in dumps for g in d["rollouts"]["gates"]]
 
-    def wait(self, is_reached, what: str, send: int = 0) -> None:
+    def wait_for_gates(self, is_reached, what: str, send: int = 0) -> None:
         end_s = time.monotonic() + TIMEOUT_S
         while True:
             gates = self.get_gates()
             if len(gates) == 2 and all(map(is_reached, gates)):
                 return
             assert time.monotonic() < end_s, (what, gates)
-            self.ask_many(send)
+            self.send_requests(send)
 
     def wait_for_stop(self, send: int = 4) -> None:
-        self.wait(lambda gate: gate["stop_reason"], "stopped", send)
+        self.wait_for_gates(lambda gate: gate["stop_reason"], "stopped", send)
 
     def get_progress(self) -> tuple[int, int]:
         gates = self.get_gates()
         return min(g["step"] for g in gates), max(g["step"] for g in gates)
 
-    def count_new(self) -> int:
-        """Requests that engines have begun on, or refused for, `NEW`."""
+    def count_new_version_requests(self) -> int:
+        """Returns the requests that engines have started or refused for `NEW`.
+
+        Started requests are counted by their tokens; each asks for one token.
+        """
         stats = [self.fleet.get_stats(e.name) for e in self.fleet.engines]
         return sum(
-            each[field].get(NEW, 0)
-            for each in stats
+            engine_stats[field].get(NEW, 0)
+            for engine_stats in stats
             for field in ("tokens_by_model", "refused_by_model")
         )
 
-    def ask_many(self, count: int, **options) -> list[Answer]:
+    def send_requests(self, count: int, **options) -> list[Answer]:
         entries = self.fleet.entries
         urls = [entries[i % len(entries)].url for i in range(count)]
-        return list(self._pool.map(lambda u: ask(u, **options), urls))
+        return list(self._pool.map(lambda u: send_request(u, **options), urls))
 
 
-def ask(url: str, model="large", session="", stream=False) -> Answer:
+def send_request(url: str, model="large", session="", stream=False) -> Answer:
     body = {"model": model, "max_tokens": 1, "stream": stream}
     body["messages"] = [{"role": "user", "content": f"Why {time.time_ns()}"}]
     headers = {"Authorization": "Bearer key-audit", "X-Session": session}
@@ -119,128 +124,137 @@
                 "",
                 response.headers["X-Session"],
             )
-    except urllib.error.HTTPError as refused:
-        return Answer("", json.loads(refused.read())["error"]["code"], "")
+    except urllib.error.HTTPError as http_error:
+        return Answer("", json.loads(http_error.read())["error"]["code"], "")
 
 
 @pytest.fixture(scope="module")
-def scene():
+def harness():
     fleet = Fleet(SHAPES["thin"], ("--base-ttft-ms", "5"))
     fleet.entry_options["lease_ttl_s"] = 2.0
     with fleet:
-        yield Scene(fleet)
+        yield RolloutHarness(fleet)
 
 
 @pytest.mark.parametrize("stream", [False, True])
-def test_garbage_is_stopped_by_ratings(scene, stream):
-    # The new version answers, fast and without error, with garbage. Only the
-    # rater sees it, a moment later. The first entry with enough ratings stops
-    # and tells the other; from then on callers of either get the old version.
-    scene.publish()
-    scene.set_engine_fault(bad_version=NEW)
-    before = scene.count_new()
+def test_garbage_is_stopped_by_ratings(harness, stream):
+    # The new version answers fast and without errors, but with garbage. Only
+    # the rater detects that, a moment later. The first entry with enough
+    # ratings stops the version and informs the other entry; from then on the
+    # callers of both entries get the old version.
+    harness.publish()
+    harness.set_engine_fault(bad_version=NEW)
+    count_before = harness.count_new_version_requests()
     end_s = time.monotonic() + TIMEOUT_S
-    while not all(g["stop_reason"] for g in scene.get_gates()):
-        assert time.monotonic() < end_s, scene.get_gates()
-        scene.ask_many(4, stream=stream)
-    stopped = scene.count_new()
-    answers = scene.ask_many(40, stream=stream)
-    scene.set_engine_fault(bad_version=None)
-    # Ratings come late; until then the step's budget is the bound.
-    assert 0 < stopped - before <= SPEC.exposure_budget
-    assert scene.count_new() == stopped
+    while not all(g["stop_reason"] for g in harness.get_gates()):
+        assert time.monotonic() < end_s, harness.get_gates()
+        harness.send_requests(4, stream=stream)
+    count_at_stop = harness.count_new_version_requests()
+    answers = harness.send_requests(40, stream=stream)
+    harness.set_engine_fault(bad_version=None)
+    # Ratings arrive late; until then the budget of the step is the limit.
+    assert 0 < count_at_stop - count_before <= SPEC.exposure_budget
+    assert harness.count_new_version_requests() == count_at_stop
     assert {a.version for a in answers} == {SPEC.old}
 
 
 @pytest.mark.parametrize("log_down", [False, True])
-def test_errors_stop_a_version_with_or_without_the_log(scene, log_down):
-    # Each engine answers 500 for the new version. The entry that saw the
-    # failures stops at once by itself and tells the other, whether the log
-    # takes the record or not. Once it does, the log has the stop as well.
-    scene.publish()
-    scene.fleet.set_fault("log", outage=log_down)
-    scene.set_engine_fault(refuse_model=NEW)
-    before = scene.count_new()
-    scene.wait_for_stop()
-    stopped = scene.count_new()
-    answers = scene.ask_many(40)
-    after = scene.count_new()
-    scene.set_engine_fault(refuse_model=None)
-    scene.fleet.set_fault("log", outage=False)
-    assert 0 < stopped - before <= MAX_FAILURES
-    assert after == stopped
+def test_errors_stop_a_version_with_or_without_the_log(harness, log_down):
+    # Each engine answers 500 for the new version. The entry that received the
+    # failures stops the version immediately on its own and informs the other
+    # entry, whether or not the log accepts the record. Once the log accepts
+    # appends again, it contains the stop as well.
+    harness.publish()
+    harness.fleet.set_fault("log", outage=log_down)
+    harness.set_engine_fault(refuse_model=NEW)
+    count_before = harness.count_new_version_requests()
+    harness.wait_for_stop()
+    count_at_stop = harness.count_new_version_requests()
+    answers = harness.send_requests(40)
+    count_after = harness.count_new_version_requests()
+    harness.set_engine_fault(refuse_model=None)
+    harness.fleet.set_fault("log", outage=False)
+    assert 0 < count_at_stop - count_before <= MAX_FAILURES
+    assert count_after == count_at_stop
     assert {a.version for a in answers} == {SPEC.old}
-    # The share that the log allows has gone to nothing: the stop is in it.
-    scene.wait(lambda gate: gate["is_recorded"], "recorded")
+    # The share that the log allows has become 0, because the log contains the
+    # stop.
+    harness.wait_for_gates(lambda gate: gate["is_recorded"], "recorded")
 
 
-def test_restarted_entry_keeps_to_a_stop_that_the_log_has_not(scene):
+def test_restarted_entry_keeps_to_a_stop_that_the_log_has_not(harness):
     # The log is down, an entry has stopped a version, and the other entry is
-    # replaced: the new process begins with a gate that knows of no stop. It
-    # hears of it with the first report of its peer.
-    scene.publish()
-    scene.fleet.set_fault("log", outage=True)
-    scene.set_engine_fault(refuse_model=NEW)
-    scene.wait_for_stop()
-    scene.fleet.kill("entry-1")
-    scene.fleet.start_entry(1)
-    scene.fleet.wait_until_ready(scene.fleet.children["entry-1"])
-    scene.wait_for_stop(send=0)
-    answers = scene.ask_many(40)
-    scene.set_engine_fault(refuse_model=None)
-    scene.fleet.set_fault("log", outage=False)
+    # replaced. The new process starts with a gate that knows of no stop, and
+    # receives the stop with the first report of its peer.
+    harness.publish()
+    harness.fleet.set_fault("log", outage=True)
+    harness.set_engine_fault(refuse_model=NEW)
+    harness.wait_for_stop()
+    harness.fleet.kill("entry-1")
+    harness.fleet.start_entry(1)
+    harness.fleet.wait_until_ready(harness.fleet.children["entry-1"])
+    harness.wait_for_stop(send=0)
+    answers = harness.send_requests(40)
+    harness.set_engine_fault(refuse_model=None)
+    harness.fleet.set_fault("log", outage=False)
     assert {a.version for a in answers} == {SPEC.old}
 
 
-def test_open_session_ends_with_a_stopped_version(scene):
-    # A conversation runs on the new version when it is stopped. Its next
-    # request is refused as for a withdrawn version, and was not run; so is a
-    # request that names the version. A conversation on the old one goes on.
-    scene.publish()
-    url = scene.fleet.entries[0].url
-    opened = {a.version: a.session for a in scene.ask_many(30)}
-    scene.set_engine_fault(refuse_model=NEW)
-    scene.wait_for_stop()
-    scene.set_engine_fault(refuse_model=None)
-    ended = ask(url, session=opened[NEW])
-    named = ask(url, model=NEW)
-    kept = ask(url, session=opened[SPEC.old])
+def test_open_session_ends_with_a_stopped_version(harness):
+    # A session runs on the new version when that is stopped. Its next request
+    # is refused as for a withdrawn version, and was not run; so is a request
+    # that names the version. A session on the old version continues.
+    harness.publish()
+    url = harness.fleet.entries[0].url
+    sessions = {a.version: a.session for a in harness.send_requests(30)}
+    harness.set_engine_fault(refuse_model=NEW)
+    harness.wait_for_stop()
+    harness.set_engine_fault(refuse_model=None)
+    ended = send_request(url, session=sessions[NEW])
+    by_name = send_request(url, model=NEW)
+    continued = send_request(url, session=sessions[SPEC.old])
     assert ended.code == "session_version_withdrawn"
-    assert named.code == "model_not_allowed"
-    assert kept.version == SPEC.old
+    assert by_name.code == "model_not_allowed"
+    assert continued.version == SPEC.old
 
 
-def test_good_version_goes_through_all_steps(scene):
-    # Nothing is wrong with the new version. Ratings of both entries add up to
-    # the proof that each step needs; the driver waits for it and moves on.
-    scene.publish(max_quality_drop=0.6, exposure_budget=2000)
-    scene.wait(lambda gate: gate["step"] >= 1, "second step", send=24)
-    scene.wait(lambda gate: gate["step"] >= 2, "done", send=24)
-    assert not any(g["stop_reason"] for g in scene.get_gates())
+def test_good_version_goes_through_all_steps(harness):
+    # The new version is good. The ratings of both entries add up to the proof
+    # that each step needs; the roll-out driver waits for the proof and then
+    # proceeds to the next step.
+    harness.publish(max_quality_drop=0.6, exposure_budget=2000)
+    harness.wait_for_gates(
+        lambda gate: gate["step"] >= 1, "second step", send=24
+    )
+    harness.wait_for_gates(lambda gate: gate["step"] >= 2, "done", send=24)
+    assert not any(g["stop_reason"] for g in harness.get_gates())
 
 
 def test_cascade_follows_the_ratings_of_the_cheap_version():
-    # A class begins with its best version. Ratings of a few explored answers
-    # prove the cheap one good enough, at either entry; most requests then go
-    # there. It turns bad: within a few windows the class is back on the best.
+    # A class starts with its best version. The ratings of a few explored
+    # answers prove at both entries that the cheap version is good enough, and
+    # most requests then go to it. When the cheap version becomes bad, the
+    # class is back on the best version within a few windows.
     fleet = Fleet(SHAPES["thin"], ("--base-ttft-ms", "5"))
     fleet.entry_options["learning_window_s"] = 1.0
     with fleet:
-        scene = Scene(fleet)
+        harness = RolloutHarness(fleet)
         fleet.set_fault("rater", quality={"small@1": 0.95, "large@1": 0.95})
-        first = scene.ask_many(8, model="vault")
-        # One of them may already be explored.
-        assert [a.version for a in first].count("large@1") >= 7
-        wait_for_share(scene, lambda cheap: cheap > 0.7)
+        first_answers = harness.send_requests(8, model="vault")
+        # One of the answers may already be explored.
+        assert [a.version for a in first_answers].count("large@1") >= 7
+        wait_for_share(harness, lambda cheap_share: cheap_share > 0.7)
         fleet.set_fault("rater", quality={"small@1": 0.1, "large@1": 0.95})
-        wait_for_share(scene, lambda cheap: cheap < 0.3)
+        wait_for_share(harness, lambda cheap_share: cheap_share < 0.3)
 
 
-def wait_for_share(scene, is_reached) -> None:
+def wait_for_share(harness, is_reached) -> None:
     end_s = time.monotonic() + 3 * TIMEOUT_S
     while True:
-        answers = scene.ask_many(60, model="vault")
-        cheap = sum(a.version == "small@1" for a in answers) / len(answers)
-        if is_reached(cheap):
+        answers = harness.send_requests(60, model="vault")
+        cheap_share = sum(a.version == "small@1" for a in answers) / len(
+            answers
+        )
+        if is_reached(cheap_share):
             return
-        assert time.monotonic() < end_s, cheap
+        assert time.monotonic() < end_s, cheap_share
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""What a refusal says of earlier attempts."""
+"""The run state in a refusal covers all attempts of the request."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeUpstreams:
-    """One upstream, which answers each dispatch with the next state."""
+    """Two upstreams that refuse each dispatch with the next run state."""
 
     def __init__(self, states):
         self.links = {}
@@ -57,27 +57,27 @@
         pass
 
 
-class FakeRights:
+class FakePermissions:
     def check(self, request):
         pass
 
 
 class FakeCrashes:
-    """Lets so many attempts run, and holds up the next."""
+    """Admits a number of attempts, and lets the next attempt wait."""
 
     def __init__(self, count):
         self.count = count
 
-    async def admit(self, name, run, deadline_at_s):
+    async def admit(self, fingerprint, label, deadline_at_s):
         self.count -= 1
         if self.count < 0:
             raise SuspectWaitingError("waiting")
         return False
 
-    def get_strikes(self, name):
+    def get_strikes(self, fingerprint):
         return 0
 
-    def watch(self, name, run, probe):
+    def track_attempt(self, fingerprint, label, is_probe):
         return contextlib.nullcontext()
 
 
@@ -94,16 +94,16 @@
     ],
 )
 async def test_refusal_speaks_for_all_attempts(states, admitted, told):
-    # A first attempt may have run. A later one is proved not run, finds no
-    # upstream or is not admitted. Were the caller told of that one alone, it
-    # would send a request again that has run.
+    # A first attempt may have run. A later attempt is proved not to have run,
+    # finds no upstream or is not admitted. If the refusal described the later
+    # attempt alone, the caller would send a request again that has run.
     upstreams = FakeUpstreams([RunState(state) for state in states])
     dispatcher = Dispatcher(
         upstreams,
         random.Random(1),
         FakeTimers(),
         FakeCrashes(admitted),
-        FakeRights(),
+        FakePermissions(),
     )
     request = Request(
         "r", "w", "s", VERSION, 1, True, time.monotonic() + 5, False, b"{}"
@@ -114,8 +114,8 @@
     assert caught.value.run is RunState(told)
 
 
-class RightsUntil:
-    """Passes so many requests; the version is withdrawn after them."""
+class WithdrawingPermissions:
+    """Allows a number of requests; the version is withdrawn after them."""
 
     def __init__(self, count):
         self.count = count
@@ -132,16 +132,17 @@
 async def test_request_is_not_sent_again_once_its_version_is_withdrawn(
     state, told
 ):
-    # The first attempt fails in a way that another upstream may help against.
-    # The version is withdrawn before the second one. The caller gets a
-    # refusal that speaks for the first one too; no upstream gets anything.
+    # The first attempt fails in a way that a retry at another upstream could
+    # overcome. The version is withdrawn before the second attempt. The caller
+    # gets a refusal whose run state covers the first attempt, and no upstream
+    # receives a second dispatch.
     upstreams = FakeUpstreams([RunState(state), RunState.NOT_RUN])
     dispatcher = Dispatcher(
         upstreams,
         random.Random(1),
         FakeTimers(),
         FakeCrashes(9),
-        RightsUntil(1),
+        WithdrawingPermissions(1),
     )
     request = Request(
         "r", "w", "s", VERSION, 1, True, time.monotonic() + 5, False, b"{}"
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""Runs at a sidecar: late dispatches, slow readers, true run states."""
+"""Runs at a sidecar: late dispatches, slow readers, correct run states."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lovagestage.decisions.tombstones import RunTrace, TombstoneTable
 from lovagestage.exceptions import EngineError, EngineRefusedError
 from lovagestage.execution.attempts import Attempt
-from lovagestage.execution.readers import PAUSE_BYTES, WINDOW_BYTES
+from lovagestage.execution.readers import MAX_READ_AHEAD_BYTES, WINDOW_BYTES
 from lovagestage.execution.runs import RunTable
 from lovagestage.messages.runs import (
     Ack,
@@ -30,22 +30,22 @@
 
 
 class FakeEngine:
-    """Yields numbered events; may fail once its events are out."""
+    """Yields numbered events; may fail after the last event."""
 
     def __init__(self, events: int, resume_error: EngineError | None = None):
         self.events = events
-        self.made = 0
+        self.event_count = 0
         self.resume_error = resume_error
 
     async def run(self, request_id, priority, body):
-        while self.made < self.events:
-            self.made += 1
+        while self.event_count < self.events:
+            self.event_count += 1
             text = b"x" * EVENT_BYTES
-            yield b"id: %d\ndata: %s\n\n" % (self.made - 1, text)
+            yield b"id: %d\ndata: %s\n\n" % (self.event_count - 1, text)
             await asyncio.sleep(0)
         if self.resume_error is not None:
             raise EngineError("lost", RunState.UNKNOWN)
-        yield b"id: %d\ndata: [DONE]\n\n" % self.made
+        yield b"id: %d\ndata: [DONE]\n\n" % self.event_count
 
     async def resume(self, request_id, from_seq):
         raise self.resume_error
@@ -81,53 +81,57 @@
     )
 
 
-async def wait_for_quiet(engine):
-    made = -1
-    while made != engine.made:
-        made = engine.made
+async def wait_until_engine_is_idle(engine):
+    event_count = -1
+    while event_count != engine.event_count:
+        event_count = engine.event_count
         await asyncio.sleep(0.05)
 
 
 async def test_slow_reader_bounds_what_is_read_and_sent():
-    # The caller reads nothing for a while. Nothing is acknowledged, so the
-    # sidecar sends one window and reads the engine one pause further; once
-    # the caller reads on, it gets every byte in order.
+    # The caller reads nothing for a while, so that nothing is acknowledged.
+    # The sidecar sends one window and reads ahead at the engine up to its
+    # limit. Once the caller reads again, it gets every byte in order.
     engine = FakeEngine(3000)
     table, hub = make_table(engine)
     table.start(b"entry", make_dispatch())
-    await wait_for_quiet(engine)
+    await wait_until_engine_is_idle(engine)
     sent_bytes = sum(len(chunk.data) for chunk in hub.get(Chunk))
     assert sent_bytes <= WINDOW_BYTES + 2 * EVENT_BYTES
-    assert engine.made * EVENT_BYTES <= PAUSE_BYTES + 2 * EVENT_BYTES
+    assert (
+        engine.event_count * EVENT_BYTES
+        <= MAX_READ_AHEAD_BYTES + 2 * EVENT_BYTES
+    )
     attempt = Attempt(KEY, "sidecar", 0)
-    taken = []
-    done = 0
+    received = []
+    handled = 0
     while not hub.get(Finished):
-        for chunk in hub.get(Chunk)[done:]:
-            done += 1
+        for chunk in hub.get(Chunk)[handled:]:
+            handled += 1
             attempt.add(chunk)
             outcome = await attempt.get()
-            taken.append(outcome.data)
+            received.append(outcome.data)
             ack = attempt.make_ack(outcome)
             if ack is not None:
                 table.acknowledge(b"entry", ack)
         await asyncio.sleep(0)
-    ids = b"".join(taken + [c.data for c in hub.get(Chunk)[done:]])
-    assert ids.count(b"\n\n") == 3001
-    assert ids.index(b"id: 2999\n") > ids.index(b"id: 2998\n")
+    answer = b"".join(received + [c.data for c in hub.get(Chunk)[handled:]])
+    assert answer.count(b"\n\n") == 3001
+    assert answer.index(b"id: 2999\n") > answer.index(b"id: 2998\n")
 
 
 async def test_reader_that_is_gone_does_not_hold_up_the_run():
-    # A second entry reads the answer whole. The first one's connection went
-    # silent while its window was full, and is dropped with its heartbeats.
+    # A second entry reads the complete answer. The first entry's connection
+    # stopped working while its window was full, and the sidecar removes it
+    # when its heartbeats stay away.
     engine = FakeEngine(1000)
     table, hub = make_table(engine)
     table.start(b"silent", make_dispatch())
-    await wait_for_quiet(engine)
-    assert engine.made < 1000
-    table.drop_peer(b"silent")
-    await wait_for_quiet(engine)
-    assert engine.made == 1000
+    await wait_until_engine_is_idle(engine)
+    assert engine.event_count < 1000
+    table.remove_peer(b"silent")
+    await wait_until_engine_is_idle(engine)
+    assert engine.event_count == 1000
     table.attach(b"entry", Attach(*KEY, 0))
     while not hub.get(Finished):
         last = hub.get(Chunk)[-1]
@@ -137,8 +141,9 @@
 
 @pytest.mark.parametrize("barring", [Attach(*KEY, 0), Cancel(*KEY)])
 async def test_dispatch_that_comes_after_it_was_barred_never_runs(barring):
-    # The entry was told `not_run`, or gave up, and sent the request elsewhere.
-    # Then the dispatch arrives, which a connection gone silent had held.
+    # The entry was told `not_run`, or it abandoned the attempt, and it sent
+    # the request elsewhere. Then the dispatch arrives, which was delayed on a
+    # connection that had stopped working.
     engine = FakeEngine(3)
     table, hub = make_table(engine)
     if isinstance(barring, Attach):
@@ -147,16 +152,17 @@
     else:
         await table.cancel(barring)
     table.start(b"entry", make_dispatch())
-    await wait_for_quiet(engine)
-    assert engine.made == 0
+    await wait_until_engine_is_idle(engine)
+    assert engine.event_count == 0
     assert hub.get(Refused)[-1].run is RunState.NOT_RUN
 
 
 @pytest.mark.parametrize("stream", [False, True])
 async def test_engine_gone_in_the_middle_is_never_called_not_run(stream):
-    # The caller may repeat a request only where it was not run. The engine
-    # dies after some tokens; the resumption is refused by its port. That
-    # proves nothing of the tokens before, also where none was passed on.
+    # The caller may retry a request that may run once only where it was not
+    # run. The engine dies after some tokens, and its port refuses the
+    # resumption. That proves nothing about the earlier tokens, even if none
+    # of them was forwarded.
     engine = FakeEngine(5, EngineRefusedError("The engine can't be reached."))
     table, hub = make_table(engine)
     table.start(b"entry", make_dispatch(stream))
@@ -174,23 +180,24 @@
     )
 )
 def test_barred_is_only_said_of_runs_that_never_were_nor_will_be(steps):
-    # Sidecar as the model: a run may start unless it is barred, and is later
-    # forgotten. Whatever was dropped at the bound, `BARRED` stays true.
+    # The test models a sidecar: a run may start unless it is barred, and is
+    # forgotten later. `BARRED` must stay true whatever was dropped at the
+    # table's limit.
     table = TombstoneTable(limit=3, keep_s=10.0)
-    ran, held, barred, now_s = {}, set(), {}, 0.0
+    ran, in_table, barred, now_s = {}, set(), {}, 0.0
     for step, number in steps:
         key = (str(number), 1)
         if step == "wait":
             now_s += number
-        elif step == "run" and key not in held and table.get(key) is None:
+        elif step == "run" and key not in in_table and table.get(key) is None:
             assert now_s - barred.get(key, -100.0) >= 10.0
-            held.add(key)
+            in_table.add(key)
             ran[key] = now_s
-        elif step == "forget" and key in held:
-            held.discard(key)
+        elif step == "forget" and key in in_table:
+            in_table.discard(key)
             ran[key] = now_s
             table.add_forgotten(key, now_s)
-        elif step == "bar" and key not in held:
+        elif step == "bar" and key not in in_table:
             if table.bar(key, now_s) is RunTrace.BARRED:
                 assert now_s - ran.get(key, -100.0) >= 10.0 or key in barred
                 barred[key] = now_s
--- a/tests/test_sessions_fleet.py
+++ b/tests/test_sessions_fleet.py
@@ -1,4 +1,4 @@
-"""Sessions through real processes, while versions come and go."""
+"""Sessions in real processes while versions are retired and withdrawn."""
 
 from __future__ import annotations
 
@@ -20,13 +20,14 @@
 from lovagestage.state.document import OnWithdraw, ServiceDocument, VersionState
 
 IN_FORCE_S = 2.0
-"""An accepted document is in force everywhere within a few seconds."""
+"""Longest time in seconds until an accepted document is in force everywhere."""
 LOADED_S = 4.0
-"""Loading takes the engine 0.5 s; entries know of it a heartbeat later."""
+"""Longest time in seconds until entries know that an engine has loaded a
+version: loading takes 0.5 s, and the entries learn of it a heartbeat later."""
 
 
 class Publisher:
-    """Publishes revisions of the vault's document, one after another."""
+    """Publishes successive revisions of the vault's document."""
 
     def __init__(self, fleet: Fleet) -> None:
         path = pathlib.Path(EXAMPLES / "vault.jsonc")
@@ -54,7 +55,9 @@
         yield Publisher(fleet)
 
 
-def ask(entry, model="large", session=None, key="key-audit", tokens=8, **body):
+def send_request(
+    entry, model="large", session=None, key="key-audit", tokens=8, **body
+):
     body |= {"model": model, "max_tokens": tokens}
     body |= {"messages": [{"role": "user", "content": "Why did it fail"}]}
     headers = {"Authorization": f"Bearer {key}"}
@@ -66,15 +69,15 @@
     try:
         with urllib.request.urlopen(request, timeout=30) as response:
             return response.read().decode(), response.headers
-    except urllib.error.HTTPError as refused:
-        error = json.loads(refused.read())["error"]
-        return error["code"], refused.headers
+    except urllib.error.HTTPError as http_error:
+        error = json.loads(http_error.read())["error"]
+        return error["code"], http_error.headers
 
 
 def wait_for_refusal(entry, model):
     end_s = time.monotonic() + IN_FORCE_S
     while time.monotonic() < end_s:
-        if "model_not_allowed" == ask(entry, model)[0]:
+        if "model_not_allowed" == send_request(entry, model)[0]:
             return
     raise AssertionError("the document is not in force")
 
@@ -87,12 +90,12 @@
 
 
 def test_session_stays_on_a_retired_version_over_entries(publisher):
-    # A conversation starts on large@1. Then large@1 is retired, its entry is
-    # killed and a fresh one takes its place. The caller goes on where it was,
-    # through whichever entry; a new conversation starts on large@2. Both hold
-    # because the token, and no process, knows the session.
+    # A session starts on large@1. Then large@1 is retired, and the session's
+    # entry is killed and replaced by a new process. The session continues on
+    # large@1 through either entry, and a new session starts on large@2. Both
+    # hold because the session's state is in its token and in no process.
     fleet = publisher.fleet
-    _, first = ask(fleet.entries[0])
+    _, first = send_request(fleet.entries[0])
     assert first["X-Model-Version"] == "large@1"
     publisher.publish({"large@1": VersionState.RETIRED})
     for entry in fleet.entries:
@@ -101,45 +104,45 @@
     fleet.wait_until_ready(fleet.start_entry(0))
     session = first["X-Session"]
     for entry in (*fleet.entries, *fleet.entries):
-        _, headers = ask(entry, "vault", session)
+        _, headers = send_request(entry, "vault", session)
         assert headers["X-Model-Version"] == "large@1"
         session = headers["X-Session"]
-        assert ask(entry)[1]["X-Model-Version"] == "large@2"
-    _, headers = ask(fleet.entries[0], metadata={"session": session})
+        assert send_request(entry)[1]["X-Model-Version"] == "large@2"
+    _, headers = send_request(fleet.entries[0], metadata={"session": session})
     assert headers["X-Model-Version"] == "large@1"
     publisher.publish({})
 
 
 def test_session_of_another_workspace_is_refused(publisher):
     entry = publisher.fleet.entries[0]
-    token = ask(entry, "small")[1]["X-Session"]
-    code, headers = ask(entry, "small", token, key="key-trial")
+    token = send_request(entry, "small")[1]["X-Session"]
+    code, headers = send_request(entry, "small", token, key="key-trial")
     assert (code, headers["X-Run-State"]) == ("session_invalid", "not_run")
 
 
-def order(fleet, kind):
+def send_order(fleet, kind):
     for engine in fleet.engines:
         body = {"kind": kind, "model": "large", "version": "1", "fencing": 1}
         call("POST", f"{engine.url}/orders", json.dumps(body).encode())
 
 
 def test_session_waits_while_its_version_has_no_capacity(publisher):
-    # No engine has large@1 for a while; all have room for large@2. The
-    # session's request is refused as not run, with the time to come back,
-    # rather than moved; no session is opened on large@1 either. Once it is
-    # loaded again the session goes on.
+    # For a while no engine has loaded large@1, and all have capacity for
+    # large@2. The session's request is refused as not run, with a retry time,
+    # instead of moved; no new session is opened on large@1 either. Once the
+    # version is loaded again, the session continues.
     fleet = publisher.fleet
-    token = ask(fleet.entries[0])[1]["X-Session"]
-    order(fleet, "unload")
+    token = send_request(fleet.entries[0])[1]["X-Session"]
+    send_order(fleet, "unload")
     time.sleep(IN_FORCE_S)
     for entry, session in ((fleet.entries[0], token), (fleet.entries[1], None)):
-        code, headers = ask(entry, session=session)
+        code, headers = send_request(entry, session=session)
         assert (code, headers["X-Run-State"]) == ("no_capacity", "not_run")
         assert headers["Retry-After"] == "1"
         assert headers["X-Session"] is None
-    order(fleet, "load")
+    send_order(fleet, "load")
     end_s = time.monotonic() + LOADED_S
-    while (headers := ask(fleet.entries[1], session=token)[1]).get(
+    while (headers := send_request(fleet.entries[1], session=token)[1]).get(
         "Retry-After"
     ):
         assert time.monotonic() < end_s
@@ -148,26 +151,30 @@
 
 
 def test_withdrawn_version_gets_no_new_work(publisher):
-    # Traffic runs through both entries when a document withdraws large@1: a
-    # stream that runs on it is whole, its session gets a typed end, requests
-    # without a session go on with large@2, and from a few seconds after the
-    # engines generate no token of large@1 any more.
+    # Requests run through both entries when a document withdraws large@1. A
+    # stream that runs on it is completed, its session ends with a typed error,
+    # requests without a session continue with large@2, and a few seconds later
+    # the engines no longer generate any token of large@1.
     fleet = publisher.fleet
-    token = ask(fleet.entries[0])[1]["X-Session"]
+    token = send_request(fleet.entries[0])[1]["X-Session"]
     streamed: list[str] = []
     codes: collections.Counter[str] = collections.Counter()
     stop = threading.Event()
 
     def stream() -> None:
-        streamed.append(ask(fleet.entries[0], tokens=150, stream=True)[0])
+        streamed.append(
+            send_request(fleet.entries[0], tokens=150, stream=True)[0]
+        )
 
-    def work(entry) -> None:
+    def send_requests(entry) -> None:
         while not stop.is_set():
-            codes[ask(entry)[1].get("X-Model-Version", "refused")] += 1
-            answer, headers = ask(entry, session=token)
+            codes[send_request(entry)[1].get("X-Model-Version", "refused")] += 1
+            answer, headers = send_request(entry, session=token)
             codes["in " + headers.get("X-Model-Version", answer)] += 1
 
-    threads = [threading.Thread(target=work, args=[e]) for e in fleet.entries]
+    threads = [
+        threading.Thread(target=send_requests, args=[e]) for e in fleet.entries
+    ]
     threads.append(threading.Thread(target=stream))
     for thread in threads:
         thread.start()
@@ -193,15 +200,15 @@
     publisher.publish({})
     for entry in fleet.entries:
         end_s = time.monotonic() + IN_FORCE_S
-        while ask(entry, "large@1")[0] == "model_not_allowed":
+        while send_request(entry, "large@1")[0] == "model_not_allowed":
             assert time.monotonic() < end_s
-    token = ask(fleet.entries[0])[1]["X-Session"]
+    token = send_request(fleet.entries[0])[1]["X-Session"]
     publisher.publish({"large@1": VersionState.WITHDRAWN}, OnWithdraw.MOVE)
     for entry in fleet.entries:
         wait_for_refusal(entry, "large@1")
-    _, moved = ask(fleet.entries[1], session=token)
+    _, moved = send_request(fleet.entries[1], session=token)
     assert moved["X-Model-Version"] == "large@2"
     assert moved["X-Session-Moved-From"] == "large@1"
-    _, headers = ask(fleet.entries[0], session=moved["X-Session"])
+    _, headers = send_request(fleet.entries[0], session=moved["X-Session"])
     assert headers["X-Model-Version"] == "large@2"
     assert headers["X-Session-Moved-From"] is None
--- a/tests/test_version_search.py
+++ b/tests/test_version_search.py
@@ -1,4 +1,4 @@
-"""Versions that an entry's subset lacks are found at other entries."""
+"""An entry finds versions that its subset lacks by asking other entries."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     MAX_PAUSE_S,
     MIN_UPSTREAMS,
     VersionSearch,
-    choose_extra,
-    choose_places,
-    get_scarce,
+    choose_extra_upstreams,
+    find_locations,
+    find_scarce_versions,
 )
 from lovagestage.messages.peers import (
     VersionAnswer,
@@ -39,11 +39,11 @@
 
 
 class FakePeers:
-    """Other entries with their own upstreams."""
+    """Other entries, each with its own upstreams."""
 
     def __init__(self, loaded) -> None:
         self.loaded = loaded
-        self.asked = 0
+        self.question_count = 0
 
     def get_listed(self):
         return list(self.loaded)
@@ -51,8 +51,8 @@
     async def ask(self, vm, question, timeout_s):
         del timeout_s
         assert isinstance(question, VersionQuestion)
-        self.asked += 1
-        return VersionAnswer(choose_places(question.versions, self.loaded[vm]))
+        self.question_count += 1
+        return VersionAnswer(find_locations(question.versions, self.loaded[vm]))
 
 
 def make_search(upstreams, peers) -> VersionSearch:
@@ -65,8 +65,9 @@
 
 
 async def test_version_outside_the_subset_is_connected_to():
-    # The caller would be refused for want of capacity. The one upstream with
-    # its version is in no subset of this entry, but in another entry's.
+    # The caller would be refused for lack of capacity: the only upstream that
+    # has loaded the version is outside this entry's subset, but it is in the
+    # subset of another entry.
     upstreams = FakeUpstreams({"near": ["common@1"]})
     peers = FakePeers({"e-1": {"near": ["common@1"]}, "e-2": {"far": [RARE]}})
     await make_search(upstreams, peers).search(0.0)
@@ -79,15 +80,18 @@
     search = make_search(upstreams, peers)
     for now_s in range(300):
         await search.search(float(now_s))
-    assert 300 / MAX_PAUSE_S < peers.asked < 300 / MAX_PAUSE_S + 6
+    assert 300 / MAX_PAUSE_S < peers.question_count < 300 / MAX_PAUSE_S + 6
 
 
 def test_enough_upstreams_are_wanted_of_each_version():
     loaded = {f"vm-{n}": [RARE] for n in range(MIN_UPSTREAMS + 2)}
-    assert get_scarce([RARE], loaded) == []
-    assert get_scarce([RARE, "b@1"], {"vm-0": [RARE]}) == ["b@1", RARE]
-    places = choose_places([RARE], loaded)
-    assert len(places) == MIN_UPSTREAMS
-    assert choose_extra(places, [RARE], loaded) == frozenset()
-    extra = choose_extra([VersionPlace("far", RARE)], [RARE], {})
+    assert find_scarce_versions([RARE], loaded) == []
+    assert find_scarce_versions([RARE, "b@1"], {"vm-0": [RARE]}) == [
+        "b@1",
+        RARE,
+    ]
+    locations = find_locations([RARE], loaded)
+    assert len(locations) == MIN_UPSTREAMS
+    assert choose_extra_upstreams(locations, [RARE], loaded) == frozenset()
+    extra = choose_extra_upstreams([VersionPlace("far", RARE)], [RARE], {})
     assert extra == {"far"}
