--- a/src/lovagestage/entry/billing_service.py
+++ b/src/lovagestage/entry/billing_service.py
@@ -102,8 +102,8 @@
     async def add(self, bill: Bill) -> None:
         """Adds a bill and copies it to a peer.
 
-        The call returns once the peer has confirmed its copy, or after
-        `COPY_TIMEOUT_S` at the latest.
+        The call returns once the peer has confirmed its copy, and after
+        `COPY_TIMEOUT_S` at the latest. It does not wait if no peer is live.
 
         Args:
             bill: The bill.
--- a/src/lovagestage/entry/cascade_service.py
+++ b/src/lovagestage/entry/cascade_service.py
@@ -71,9 +71,9 @@
     """Chooses plans for requests that name a service instead of a model.
 
     A table is solved outside the request path and outside the event loop:
-    with many versions that takes tens of milliseconds, during which no caller
-    would receive a chunk. Until a class has a table, its requests get the
-    best version.
+    with many versions that takes tens of milliseconds, and in the event loop no
+    caller would receive a chunk during that time. Until a class has a table,
+    its requests get the best version.
 
     Args:
         control: Configuration in force.
--- a/src/lovagestage/entry/dispatcher.py
+++ b/src/lovagestage/entry/dispatcher.py
@@ -65,7 +65,7 @@
     """Checks whether a request is still allowed to run."""
 
     def check(self, request: Request) -> None:
-        """Returns for an allowed request; raises `RequestRefusedError` else."""
+        """Raises `RequestRefusedError` for a request that may not run."""
 
 
 class Dispatcher:
--- a/src/lovagestage/execution/readers.py
+++ b/src/lovagestage/execution/readers.py
@@ -17,8 +17,8 @@
 """Size in bytes up to which waiting chunks are joined into one message, because
 a message costs the same for one token as for a hundred."""
 MAX_READ_AHEAD_BYTES = 256 * 1024
-"""Number of bytes ahead of the fastest reader beyond which the engine is read no
-further."""
+"""Number of bytes ahead of the fastest reader beyond which the sidecar stops
+reading the engine."""
 
 READ_INTERVAL_PER_RUN_S = 0.0015
 MAX_UNPACED_RUNS = 8
--- a/src/lovagestage/execution/rights.py
+++ b/src/lovagestage/execution/rights.py
@@ -46,7 +46,7 @@
         self._control = control
 
     def check(self, request: Request) -> None:
-        """Returns for a request that may still run.
+        """Checks that a request may still run.
 
         Args:
             request: The request.
@@ -80,7 +80,7 @@
     *,
     in_session: bool,
 ) -> None:
-    """Returns for a workspace that may send a request to a version.
+    """Checks that a workspace may send a request to a version.
 
     Args:
         document: The document in force at this process.
@@ -107,7 +107,7 @@
 def check_pool(
     document: ServiceDocument, workspace: WorkspaceId, pool: PoolId
 ) -> None:
-    """Returns for a workspace that may call a pool of a plain service.
+    """Checks that a workspace may call a pool of a plain service.
 
     Args:
         document: The document in force at this process.
