--- a/src/lovagestage/entry/deferral_service.py
+++ b/src/lovagestage/entry/deferral_service.py
@@ -165,8 +165,8 @@
         spec: Specification of the request class, which has the default.
 
     Returns:
-        Seconds until the deadline; the class's default where the caller sets
-        none, which is 0 for no deadline.
+        Seconds until the deadline; the deadline of the class where the caller
+        sets none, and 0 where the class has none either.
 
     Raises:
         MalformedRequestError: The caller's value is not a positive number.
