--- a/src/lovagestage/entry/escalation.py
+++ b/src/lovagestage/entry/escalation.py
@@ -1,6 +1,7 @@
 """Asks a better version where the first answer shows signs of low quality.
 
-This applies to answers that are not streamed. The caller of a stream has
+The signs are an empty, filtered, refused or cut-off answer. This applies to
+answers that are not streamed. The caller of a stream has
 already received the first words by the time the end can be judged.
 """
 
--- a/src/lovagestage/entry/trials.py
+++ b/src/lovagestage/entry/trials.py
@@ -23,7 +23,7 @@
 )
 
 MAX_ANSWER_BYTES = 256 * 1024
-"""Largest answer in bytes that is rated; chunks beyond this size are not copied."""
+"""Largest answer in bytes that is rated; further chunks are not copied."""
 
 
 class _PromptForm(msgspec.Struct):
