--- a/src/lovagestage/entry/escalation.py
+++ b/src/lovagestage/entry/escalation.py
@@ -1,8 +1,8 @@
 """Asks a better version where the first answer shows signs of low quality.
 
 The signs are an empty, filtered, refused or cut-off answer. This applies to
-answers that are not streamed. The caller of a stream has
-already received the first words by the time the end can be judged.
+answers that are not streamed. The caller of a stream has already received the
+first words by the time the end can be judged.
 """
 
 from __future__ import annotations
