--- a/src/lovagestage/entry/dispatcher.py
+++ b/src/lovagestage/entry/dispatcher.py
@@ -224,7 +224,7 @@
             async for data in self._read_shared_run(request, attempt, result):
                 yield data
 
-    async def join(
+    async def join_run(
         self, request: Request, run: RunId, result: Result
     ) -> AsyncIterator[bytes]:
         """Reads a run that another request with the same key has started.
