--- a/src/lovagestage/entry/version_search.py
+++ b/src/lovagestage/entry/version_search.py
@@ -65,31 +65,31 @@
         versions: The versions.
         loaded: Loaded versions by upstream.
     """
-    places = []
+    locations = []
     for version in versions:
         holders = (vm for vm in sorted(loaded) if version in loaded[vm])
-        places += [
+        locations += [
             VersionPlace(vm, version)
             for vm, _ in zip(holders, range(MIN_UPSTREAMS), strict=False)
         ]
-    return places
+    return locations
 
 
 def choose_extra_upstreams(
-    places: Iterable[VersionPlace],
+    locations: Iterable[VersionPlace],
     wanted: Iterable[str],
     known: Mapping[VmId, Sequence[str]],
 ) -> frozenset[VmId]:
     """Chooses upstreams to connect to in addition to the subset.
 
     Args:
-        places: Locations of versions that other entries have reported so far.
+        locations: Locations of versions that other entries have reported so far.
         wanted: Versions in the documents.
         known: Loaded versions by upstream of the subset.
     """
     scarce = set(find_scarce_versions(wanted, known))
     extra: dict[str, list[VmId]] = {version: [] for version in scarce}
-    for location in places:
+    for location in locations:
         vms = extra.get(location.version)
         if vms is not None and len(vms) < MIN_UPSTREAMS:
             vms.append(location.vm)
@@ -160,7 +160,7 @@
     def _apply_locations(self, found: list[VersionPlace]) -> None:
         # The extra upstreams' own heartbeats take precedence over the reports
         # of other entries: an upstream that has unloaded the version since is
-        # dropped.
+        # dropped, unless an entry has just reported it again.
         loaded = self._upstreams.get_versions()
         still_loaded = [
             location
@@ -199,13 +199,13 @@
                 for vm in chosen_entries
             )
         )
-        places = [
+        locations = [
             location
             for answer in answers
             if isinstance(answer, VersionAnswer)
             for location in answer.places
         ]
-        return list(dict.fromkeys(places))
+        return list(dict.fromkeys(locations))
 
     async def _answer_question(self, message: Message) -> Message:
         assert isinstance(message, VersionQuestion)
