--- a/src/lovagestage/entry/version_search.py
+++ b/src/lovagestage/entry/version_search.py
@@ -83,7 +83,7 @@
     """Chooses upstreams to connect to in addition to the subset.
 
     Args:
-        locations: Locations of versions that other entries have reported so far.
+        locations: Where versions are loaded, as other entries have reported.
         wanted: Versions in the documents.
         known: Loaded versions by upstream of the subset.
     """
