--- a/src/lovagestage/entry/billing_service.py
+++ b/src/lovagestage/entry/billing_service.py
@@ -1,4 +1,4 @@
-"""Brings an entry's bills into the log and copies them to a peer before."""
+"""Copies an entry's bills to a peer and appends them to the log."""
 
 from __future__ import annotations
 
@@ -32,24 +32,25 @@
 _log = logging.getLogger(__name__)
 
 COPY_TIMEOUT_S = 0.25
-"""Longest time that an answer's end waits for a peer; then it goes out, and
-the bill has one copy until a peer answers or the log has it."""
+"""Longest time in seconds that the end of an answer waits for a peer to confirm
+its copy of the bill. After that the end is sent, and the bill has one copy only
+until a peer confirms a later copy or the log has accepted the bill."""
 RENEW_INTERVAL_S = 1.0
 JITTER_RATIO = 0.25
 FLUSH_TIMEOUT_S = 5.0
 
 
 class BillingService(mode.Service):
-    """Owns the ledger of an entry.
+    """Runs the billing ledger of an entry.
 
     Args:
-        ledger: The state.
+        ledger: The bills of this entry, and copies of other entries' bills.
         log: The platform's log.
         peers: Connections to the other entries.
         timers: Timer service.
-        hub: Hands over what arrives at the listener.
-        interval_s: Mean time between two appends.
-        rng: Source of randomness for the spread of appends.
+        hub: Delivers the messages that arrive at this entry's listener.
+        interval_s: Mean time between two appends, in seconds.
+        rng: Source of randomness that spreads the appends over time.
     """
 
     def __init__(
@@ -69,9 +70,9 @@
         self._timers = timers
         self._interval_s = interval_s
         self._rng = rng
-        self._appending = asyncio.Lock()
-        self._holder: VmId | None = None
-        self._tasks_open: set[asyncio.Task[None]] = set()
+        self._append_lock = asyncio.Lock()
+        self._copy_holder: VmId | None = None
+        self._background_tasks: set[asyncio.Task[None]] = set()
         hub.register(BillRelease, self._on_release)
         hub.register_answer(BillCopy, self._on_copy)
 
@@ -81,11 +82,11 @@
 
     @contextlib.contextmanager
     def reserve(self) -> Iterator[None]:
-        """Keeps room for the bill of a request while it is open.
+        """Reserves space for the bill of a request while the request is open.
 
         Raises:
-            BillingUnavailableError: There is no room: the log has taken no
-                bills for a long time.
+            BillingUnavailableError: No space is left, because the log has not
+                accepted bills for a long time.
         """
         if not self._ledger.reserve():
             _log.error("billing_buffer_full", extra=self._ledger.get_sizes())
@@ -99,24 +100,38 @@
             self._ledger.release()
 
     async def add(self, bill: Bill) -> None:
-        """Takes a bill; returns once a peer has a copy, or soon after."""
+        """Adds a bill and copies it to a peer.
+
+        The call returns once the peer has confirmed its copy, and after
+        `COPY_TIMEOUT_S` at the latest. It does not wait if no peer is live.
+
+        Args:
+            bill: The bill.
+        """
         number = self._ledger.add(bill)
-        holder = self._get_holder()
+        holder = self._get_copy_holder()
         if holder is None:
             return
         copy = self._ledger.make_copy(number, holder)
         if copy is not None:
-            await self._copy(copy, holder)
+            await self._send_copy(copy, holder)
+
+    def add_in_background(self, bill: Bill) -> None:
+        """Adds a bill whose caller has disconnected.
 
-    def add_unattended(self, bill: Bill) -> None:
-        """Takes a bill whose caller has left: nothing waits for the copy."""
-        self._start(self.add(bill))
+        The copy is sent in the background, because no caller waits for it.
+
+        Args:
+            bill: The bill.
+        """
+        self._start_task(self.add(bill))
 
     async def flush(self) -> None:
-        """Appends all bills at once: a planned stop.
+        """Appends all bills immediately, before a planned stop.
 
-        With the log out of reach, the copies remain: their holder appends
-        them once this process stops renewing them.
+        If the log is unreachable for `FLUSH_TIMEOUT_S`, the copies remain:
+        the peer that holds them appends them once this process no longer
+        renews them.
         """
         end_s = time.monotonic() + FLUSH_TIMEOUT_S
         while self._ledger.make_batch() and time.monotonic() < end_s:
@@ -125,13 +140,14 @@
         _log.info("billing_flushed", extra=self._ledger.get_sizes())
 
     def get_sizes(self) -> dict[str, int]:
-        """Sizes of the tables, for the state dump."""
+        """Returns the sizes of the ledger's tables, for the state dump."""
         return self._ledger.get_sizes()
 
     @mode.Service.task
-    async def _append_for_ever(self) -> None:
+    async def _append_periodically(self) -> None:
         # The first wait is spread over the whole interval: entries that start
-        # together would else append together and meet the log's rate limit.
+        # together would otherwise append together and exceed the log's rate
+        # limit.
         await self.sleep(self._interval_s * self._rng.random())
         while not self.should_stop:
             await self._append()
@@ -139,7 +155,7 @@
             await self.sleep(self._interval_s * (1 + spread))
 
     async def _append(self) -> bool:
-        async with self._appending:
+        async with self._append_lock:
             batch = self._ledger.make_batch()
             if batch is None:
                 return True
@@ -148,50 +164,55 @@
                     BILLING_STREAM, encode_batch(batch)
                 )
             except LogError as error:
-                # Also where the answer was lost: the next try may write the
-                # batch a second time, and readers drop bills that they know.
+                # This also covers a lost answer: the next attempt may write
+                # the batch a second time, and readers drop bills that they
+                # have already read.
                 _log.warning("billing_append_failed", extra={"e": error.code})
                 return False
             self._ledger.on_appended(batch)
             return True
 
     def _on_renew_due(self) -> None:
-        taken = self._ledger.take_over(time.monotonic())
-        if taken:
-            _log.warning("billing_taken_over", extra={"bills": taken})
-        # Only the present holder is renewed. A former one takes its copies
-        # over, which at worst makes duplicates.
-        self._holder = self._choose_holder()
-        if self._holder is None:
+        taken_over = self._ledger.take_over(time.monotonic())
+        if taken_over:
+            _log.warning("billing_taken_over", extra={"bills": taken_over})
+        # Only the current holder is renewed. A former holder takes over the
+        # copies that it has, which produces duplicate bills at worst.
+        self._copy_holder = self._choose_copy_holder()
+        if self._copy_holder is None:
             return
-        self._peers.send(self._holder, self._ledger.make_release())
-        copy = self._ledger.make_missing_copy(self._holder)
+        self._peers.send(self._copy_holder, self._ledger.make_release())
+        copy = self._ledger.make_missing_copy(self._copy_holder)
         if copy is not None:
-            self._start(self._copy(copy, self._holder))
+            self._start_task(self._send_copy(copy, self._copy_holder))
 
-    async def _copy(self, copy: BillCopy, holder: VmId) -> None:
+    async def _send_copy(self, copy: BillCopy, holder: VmId) -> None:
         answer = await self._peers.ask(holder, copy, COPY_TIMEOUT_S)
         if isinstance(answer, BillCopied) and answer.held:
             self._ledger.on_copied(copy, holder)
         else:
             _log.warning("billing_copy_failed", extra={"peer": holder})
 
-    def _choose_holder(self) -> VmId | None:
+    def _choose_copy_holder(self) -> VmId | None:
         links = self._peers.links
         return self._ledger.choose_holder(
             Peer(vm, links[vm].vm.zone) for vm in self._peers.get_live()
         )
 
-    def _get_holder(self) -> VmId | None:
-        link = self._peers.links.get(self._holder) if self._holder else None
+    def _get_copy_holder(self) -> VmId | None:
+        link = (
+            self._peers.links.get(self._copy_holder)
+            if self._copy_holder
+            else None
+        )
         if link is None or not link.kept or not self._peers.is_heard(link):
-            self._holder = self._choose_holder()
-        return self._holder
+            self._copy_holder = self._choose_copy_holder()
+        return self._copy_holder
 
-    def _start(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.create_task(work)
-        self._tasks_open.add(task)
-        task.add_done_callback(self._tasks_open.discard)
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.create_task(coroutine)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     async def _on_copy(self, message: Message) -> Message:
         assert isinstance(message, BillCopy)
--- a/src/lovagestage/entry/escalation.py
+++ b/src/lovagestage/entry/escalation.py
@@ -1,7 +1,8 @@
-"""Asks a better version where the first answer is doubtful by its own signs.
+"""Asks a better version where the first answer shows signs of low quality.
 
-Only for plain answers: of a stream the caller has had the first words by the
-time that its end can be judged.
+The signs are an empty, filtered, refused or cut-off answer. This applies to
+answers that are not streamed. The caller of a stream has already received the
+first words by the time the end can be judged.
 """
 
 from __future__ import annotations
@@ -29,10 +30,10 @@
 
 
 class Escalation:
-    """Runs requests that have a plan with a second version.
+    """Runs requests whose plan may include a second version.
 
     Args:
-        dispatcher: Runs requests.
+        dispatcher: Runs a request at one version.
     """
 
     def __init__(self, dispatcher: Dispatcher) -> None:
@@ -43,51 +44,67 @@
     ) -> AsyncIterator[bytes]:
         """Yields the answer that the caller gets; see `Dispatcher.run`.
 
-        Where a second version is asked, `result` is of its run, and so are
-        the tokens that are billed. If that fails, the first answer stands.
+        If a second version answers, `result` describes its run, and its tokens
+        are the ones that are billed. If the second version fails, the caller
+        gets the first answer.
+
+        Args:
+            request: The request.
+            result: Filled in while the request runs.
         """
         started_s = time.monotonic()
-        first = [part async for part in self._dispatcher.run(request, result)]
-        better = get_escalated(request, b"".join(first), started_s)
-        if better is None:
-            for part in first:
-                yield part
+        first_chunks = [
+            chunk async for chunk in self._dispatcher.run(request, result)
+        ]
+        escalated = make_escalated_request(
+            request, b"".join(first_chunks), started_s
+        )
+        if escalated is None:
+            for chunk in first_chunks:
+                yield chunk
             return
         _log.info(
             "request_escalated",
             extra={
                 "request": request.request_id,
-                "version": str(better.version),
+                "version": str(escalated.version),
             },
         )
-        second = Result(better.version, attempts=result.attempts)
+        second_result = Result(escalated.version, attempts=result.attempts)
         try:
-            parts = [p async for p in self._dispatcher.run(better, second)]
+            chunks = [
+                data
+                async for data in self._dispatcher.run(escalated, second_result)
+            ]
         except RequestRefusedError as error:
             _log.info("escalation_failed", extra={"code": error.code})
-            parts = first
+            chunks = first_chunks
         else:
-            result.take(second)
-        for part in parts:
-            yield part
+            result.replace_answer(second_result)
+        for chunk in chunks:
+            yield chunk
 
 
-def get_escalated(
+def make_escalated_request(
     request: Request, body: bytes, started_s: float
 ) -> Request | None:
-    """The request for the second version; None where none is asked.
+    """Makes the request to the second version of a plan.
 
     Args:
-        request: As it was run first.
-        body: Its answer.
-        started_s: Monotonic time at which it began.
+        request: The request as it was first run.
+        body: The answer of the first version.
+        started_s: Monotonic time at which the first run started, in seconds.
+
+    Returns:
+        The request with the second version; None where no second version is
+        to be asked.
     """
     if request.arm is None:
         return None
     now_s = time.monotonic()
     plan = request.arm.plan
     spent_s, left_s = now_s - started_s, request.deadline_at_s - now_s
-    if not may_escalate(plan, _is_doubtful(request, body), spent_s, left_s):
+    if not may_escalate(plan, _is_low_quality(request, body), spent_s, left_s):
         return None
     version = parse_model_version(plan.then)
     if version is None:
@@ -96,11 +113,11 @@
 
 
 def may_run_twice(request: Request) -> bool:
-    """Whether a second answer may be asked for at all."""
+    """Returns whether a second version may be asked to answer the request."""
     return request.arm is not None and request.repeatable and not request.stream
 
 
-def _is_doubtful(request: Request, body: bytes) -> bool:
+def _is_low_quality(request: Request, body: bytes) -> bool:
     answer = parse_answer(body, stream=False)
     if answer is None:
         return False
@@ -108,6 +125,7 @@
         return True
     if answer.finish_reason != CUT_OFF:
         return False
-    # Where the caller has set the limit, a better version ends there too.
+    # Where the caller has set the limit, a better version would be cut off at
+    # the same length.
     limit = msgspec.json.decode(request.body, type=_LimitForm)
     return limit.max_tokens is None and limit.max_completion_tokens is None
--- a/src/lovagestage/entry/key_service.py
+++ b/src/lovagestage/entry/key_service.py
@@ -1,4 +1,4 @@
-"""Tasks around the ledger of request keys: claims, copies, slots' pasts."""
+"""Serves the ledger of request keys: claims, copies and synchronized slots."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 CLAIM_TIMEOUT_S = 1.0
 PULL_TIMEOUT_S = 1.0
 PULL_INTERVAL_S = 0.2
-PULLS_AT_ONCE = 16
+MAX_CONCURRENT_PULLS = 16
 EXPIRY_INTERVAL_S = 10.0
 
 
 class KeyService(mode.Service):
-    """Holds this entry's part of the request keys.
+    """Holds this entry's share of the request keys.
 
     Args:
         settings: Limits of the ledger.
         control: Configuration in force.
-        membership: This process as a member.
+        membership: The entries that are members, with this process.
         peers: Connections to the other entries.
-        hub: Hands over questions of the other entries.
+        hub: Delivers the other entries' questions.
     """
 
     def __init__(
@@ -69,11 +69,19 @@
 
     @property
     def view(self) -> MemberView:
-        """The members now."""
+        """Current view of the member entries."""
         return self._membership.view
 
     async def claim(self, claim: Claim) -> ClaimAnswer:
-        """Asks the key's owner, which may be this process."""
+        """Asks the owner of a key to decide a claim; it may be this process.
+
+        Args:
+            claim: The claim.
+
+        Returns:
+            The owner's answer; `STALE_VIEW` where the view has changed or has
+            no holders, and `BUSY` where the owner does not answer in time.
+        """
         holders = self._get_holders(claim)
         if not holders or claim.epoch != self.view.epoch:
             return ClaimAnswer(ClaimOutcome.STALE_VIEW)
@@ -85,21 +93,23 @@
         return ClaimAnswer(ClaimOutcome.BUSY)
 
     def get_dump(self) -> dict[str, object]:
-        """State for the dump: the view and the ledger's size."""
+        """Returns the view and the ledger's sizes, for the state dump."""
         own = self._ledger.own
-        held = [s for s in range(SLOTS) if own in self.view.get_holders(s)]
+        held_slots = [
+            s for s in range(SLOTS) if own in self.view.get_holders(s)
+        ]
         return {
             "epoch": self.view.epoch,
             "members": sorted(self.view.members),
             "may_be_paused": sorted(self.view.may_be_paused),
             "keys": self._ledger.size,
             "key_limit": self._settings.key_limit,
-            "slots_held": len(held),
+            "slots_held": len(held_slots),
             "slots_whole": sum(
-                self._ledger.is_whole(self.view, s) for s in held
+                self._ledger.is_whole(self.view, s) for s in held_slots
             ),
             "slots_with_loss": sum(
-                self._ledger.slots[s].lost_at_ms > 0 for s in held
+                self._ledger.slots[s].lost_at_ms > 0 for s in held_slots
             ),
         }
 
@@ -115,8 +125,8 @@
         )
 
     def _on_control(self) -> None:
-        # Runs in the same step as the fold, before any question is answered:
-        # no answer mixes an old ledger with a new view.
+        # This runs in the same step as the fold and before any question is
+        # answered, so that no answer combines an old ledger with a new view.
         if self._ledger.own != self._membership.get_own_id():
             self._ledger = self._make_ledger()
         self._ledger.apply_view(self.view)
@@ -136,16 +146,16 @@
 
     async def _decide(self, claim: Claim) -> ClaimAnswer:
         ledger = self._ledger
-        decided = ledger.claim(
+        decision = ledger.claim(
             self.view, claim, time.monotonic(), _get_wall_ms()
         )
-        if isinstance(decided, ClaimAnswer):
-            return decided
+        if isinstance(decision, ClaimAnswer):
+            return decision
         answer: Message | None = None
-        for holder in self.view.get_holders(decided.slot)[1:]:
-            answer = await self._ask(holder.vm, decided, COPY_TIMEOUT_S)
-        taken = answer if isinstance(answer, CopyAnswer) else None
-        return ledger.confirm(self.view, decided, taken)
+        for holder in self.view.get_holders(decision.slot)[1:]:
+            answer = await self._ask(holder.vm, decision, COPY_TIMEOUT_S)
+        copy_answer = answer if isinstance(answer, CopyAnswer) else None
+        return ledger.confirm(self.view, decision, copy_answer)
 
     async def _ask(
         self, vm: VmId, question: Message, timeout_s: float
@@ -153,41 +163,49 @@
         return await self._peers.ask(vm, question, timeout_s)
 
     @mode.Service.task
-    async def _keep_whole(self) -> None:
-        limit = asyncio.Semaphore(PULLS_AT_ONCE)
+    async def _sync_slots(self) -> None:
+        limit = asyncio.Semaphore(MAX_CONCURRENT_PULLS)
         while not self.should_stop:
             self._view_changed.clear()
-            done = await asyncio.gather(
-                *(self._pull(slot, limit) for slot in range(SLOTS))
+            synced = await asyncio.gather(
+                *(self._sync_slot(slot, limit) for slot in range(SLOTS))
             )
-            if not all(done):
+            if not all(synced):
                 await self.sleep(PULL_INTERVAL_S)
             else:
                 await self._view_changed.wait()
 
     @mode.Service.task
-    async def _expire(self) -> None:
+    async def _expire_periodically(self) -> None:
         while not self.should_stop:
             await self.sleep(EXPIRY_INTERVAL_S)
             self._ledger.remove_expired(time.monotonic(), _get_wall_ms())
 
-    async def _pull(self, slot: int, limit: asyncio.Semaphore) -> bool:
-        """Makes a held slot whole; False where a source did not answer."""
-        if self._is_done(slot):
+    async def _sync_slot(self, slot: int, limit: asyncio.Semaphore) -> bool:
+        """Synchronizes a slot that this process holds.
+
+        Args:
+            slot: Number of the slot.
+            limit: Limits the number of concurrent pulls.
+
+        Returns:
+            False where a source did not answer or the view has changed.
+        """
+        if self._is_in_sync(slot):
             return True
         async with limit:
-            return await self._pull_now(slot)
+            return await self._pull_slot(slot)
 
-    def _is_done(self, slot: int) -> bool:
+    def _is_in_sync(self, slot: int) -> bool:
         ledger = self._ledger
         return ledger.own not in self.view.get_holders(slot) or ledger.is_whole(
             self.view, slot
         )
 
-    async def _pull_now(self, slot: int) -> bool:
+    async def _pull_slot(self, slot: int) -> bool:
         ledger, epoch = self._ledger, self.view.epoch
         answers: dict[MemberId, Offset] = {}
-        while not self._is_done(slot):
+        while not self._is_in_sync(slot):
             step = ledger.plan_pull(self.view, slot, answers)
             if step.state is not PullState.ASK:
                 if step.state is PullState.LOST:
@@ -195,16 +213,16 @@
                     ledger.mark_lost(slot, step.lost, _get_wall_ms())
                 ledger.finish_pull(self.view, slot)
                 return True
-            asked = step.sources[0]
+            source = step.sources[0]
             answer = await self._ask(
-                asked.vm, Pull(epoch, slot), PULL_TIMEOUT_S
+                source.vm, Pull(epoch, slot), PULL_TIMEOUT_S
             )
             if epoch != self.view.epoch or ledger is not self._ledger:
                 return False
             if not isinstance(answer, PullAnswer) or answer.epoch != epoch:
                 return False
             ledger.merge(slot, answer, time.monotonic())
-            answers[asked] = answer.whole_start
+            answers[source] = answer.whole_start
         return True
 
 
--- a/src/lovagestage/entry/keyed_runs.py
+++ b/src/lovagestage/entry/keyed_runs.py
@@ -1,4 +1,4 @@
-"""Drives a request that has an `Idempotency-Key` to its one answer."""
+"""Runs a request that has an `Idempotency-Key`, or joins its existing run."""
 
 from __future__ import annotations
 
@@ -42,43 +42,55 @@
 HEADER_KEY = "Idempotency-Key"
 MAX_KEY_LENGTH = 255
 CLAIM_LIMIT_S = 2.0
-"""Longest search for a key's holders before the request is refused."""
+"""Longest time in seconds that a claim is retried while the holders of its key
+do not agree; after that the request is refused."""
 CLAIM_RETRY_S = 0.1
 INQUIRY_TIMEOUT_S = 1.0
 JOIN_GRACE_S = 0.1
-"""Time for a dispatch that follows its claim to reach the sidecar."""
+"""Time in seconds for a dispatch, which is sent after its claim, to reach the
+sidecar. Without it a run that is only just under way would seem never sent."""
 RETRY_AFTER_S = 2
-_DECIDED = (ClaimOutcome.GRANTED, ClaimOutcome.HELD, ClaimOutcome.FREE)
+_DECIDED_OUTCOMES = (ClaimOutcome.GRANTED, ClaimOutcome.HELD, ClaimOutcome.FREE)
 
 
 @dataclasses.dataclass
 class _Search:
-    """How far the search for the key's one run has come.
+    """State of the search for the one run of a key.
 
     Attributes:
-        after: Run that the next one replaces.
-        may_have_run: A replaced run of a repeatable request may have run.
-        started: Part of the answer has been handed on.
-        is_finding: No run has been found in this round yet.
+        replaced_run: The run that the next claim replaces.
+        may_have_run: Whether a replaced run of a repeatable request may have
+            run.
+        started: Whether a part of the answer has been yielded.
+        is_searching: Whether this round has not found a run yet.
         excluded: Upstreams that are not tried again.
     """
 
-    after: RunId | None = None
+    replaced_run: RunId | None = None
     may_have_run: bool = False
     started: bool = False
-    is_finding: bool = True
+    is_searching: bool = True
     excluded: set[VmId] = dataclasses.field(default_factory=set)
 
-    def replace(self, run: RunId) -> None:
-        """Replaces a run that may have run."""
-        self.after = run
+    def replace_run(self, run: RunId) -> None:
+        """Marks a run that may have run as the one to replace.
+
+        Args:
+            run: The run to replace.
+        """
+        self.replaced_run = run
         self.may_have_run = True
 
-    def is_over(self, error: RequestRefusedError, number: int) -> bool:
-        """Whether the error is the request's answer."""
+    def is_final(self, error: RequestRefusedError, round_number: int) -> bool:
+        """Returns whether the error is final for the request.
+
+        Args:
+            error: The error of this round.
+            round_number: Number of the round, from 1.
+        """
         return (
-            self.is_finding
-            or number == MAX_ATTEMPTS
+            self.is_searching
+            or round_number == MAX_ATTEMPTS
             or isinstance(error, DeadlineExceededError | KeyRunLostError)
         )
 
@@ -87,8 +99,8 @@
     """Runs keyed requests at most once, or joins the run that exists.
 
     Args:
-        keys: Claims of request keys.
-        dispatcher: Reads runs.
+        keys: Claims request keys.
+        dispatcher: Starts and reads runs.
         upstreams: Connections to sidecars.
     """
 
@@ -105,29 +117,41 @@
     async def run(
         self, request: Request, key: str, result: Result
     ) -> AsyncIterator[bytes]:
-        """Yields the answer of the key's one run.
+        """Yields the answer of the one run of a key.
+
+        Args:
+            request: The request.
+            key: The request key.
+            result: Filled in while the run is read.
 
         Raises:
-            RequestRefusedError: There is no whole answer; says what was run.
+            RequestRefusedError: There is no complete answer; the error says
+                whether the request was run.
         """
         check_key(key)
         search = _Search()
-        for number in range(1, MAX_ATTEMPTS + 1):
+        for round_number in range(1, MAX_ATTEMPTS + 1):
             try:
-                entry, is_own = await self._find(request, key, number, search)
-                if not is_own and not await self._is_here(entry.run):
-                    await self._give_up(request, entry.run, search)
+                entry, is_own = await self._find_run(
+                    request, key, round_number, search
+                )
+                if not is_own and not await self._is_at_sidecar(entry.run):
+                    await self._abandon_run(request, entry.run, search)
                     continue
-                async for data in self._read(request, entry, is_own, result):
+                async for data in self._read_run(
+                    request, entry, is_own, result
+                ):
                     search.started = True
                     yield data
                 return
             except RequestRefusedError as error:
                 if search.may_have_run and error.run is RunState.NOT_RUN:
                     error.run = RunState.UNKNOWN
-                if search.started or search.is_over(error, number):
+                if search.started or search.is_final(error, round_number):
                     raise
-                await self._resolve(request, entry.run, error, search)
+                await self._prepare_replacement(
+                    request, entry.run, error, search
+                )
             search.excluded.add(entry.run.sidecar)
         raise NoCapacityError(
             f"No upstream took the request in {MAX_ATTEMPTS} attempts.",
@@ -135,44 +159,47 @@
             retry_after_s=RETRY_AFTER_S,
         )
 
-    async def _find(
-        self, request: Request, key: str, number: int, search: _Search
+    async def _find_run(
+        self, request: Request, key: str, round_number: int, search: _Search
     ) -> tuple[LedgerEntry, bool]:
-        """The run to read, and whether it is this request's own.
+        """Finds the run to read.
+
+        Returns:
+            The claimed run, and whether this request started it.
 
         Raises:
-            RequestRefusedError: There is none, and none can be started.
+            RequestRefusedError: No run exists, and none can be started.
         """
-        search.is_finding = True
+        search.is_searching = True
         try:
-            run = await self._choose_run(request, number, search.excluded)
+            run = await self._choose_run(request, round_number, search.excluded)
         except RequestRefusedError:
-            # An earlier request may have run all the same: without this
-            # question, "not run" would be said of a key that has.
-            entry = await self._claim(request, key, None, search.after)
-            if entry is None or entry.run == search.after:
+            # An earlier request may have run nevertheless. Without this
+            # question the refusal would say `not_run` of a key that has run.
+            entry = await self._claim(request, key, None, search.replaced_run)
+            if entry is None or entry.run == search.replaced_run:
                 raise
         else:
-            entry = await self._claim(request, key, run, search.after)
+            entry = await self._claim(request, key, run, search.replaced_run)
             assert entry is not None
-        search.is_finding = False
+        search.is_searching = False
         return entry, entry.run.request_id == request.request_id
 
     async def _choose_run(
-        self, request: Request, number: int, excluded: set[VmId]
+        self, request: Request, round_number: int, excluded: set[VmId]
     ) -> RunId:
-        vm = await self._dispatcher.choose(request, excluded)
+        vm = await self._dispatcher.select_upstream(request, excluded)
         heartbeat = self._upstreams.get_heartbeat(vm)
         assert heartbeat is not None
         return RunId(
             request.request_id,
-            number,
+            round_number,
             vm,
             heartbeat.incarnation,
             heartbeat.clock_ms,
         )
 
-    def _read(
+    def _read_run(
         self,
         request: Request,
         entry: LedgerEntry,
@@ -188,16 +215,16 @@
             "run_joined",
             extra={"request": request.request_id, "run": entry.run.request_id},
         )
-        return self._dispatcher.join(request, entry.run, result)
+        return self._dispatcher.join_run(request, entry.run, result)
 
     async def _claim(
         self,
         request: Request,
         key: str,
         run: RunId | None,
-        after: RunId | None,
+        replaced_run: RunId | None,
     ) -> LedgerEntry | None:
-        """The run that has the key; None where none has."""
+        """Returns the run that holds the key; None where no run does."""
         end_s = time.monotonic() + CLAIM_LIMIT_S
         while True:
             claim = Claim(
@@ -208,10 +235,10 @@
                 run,
                 str(request.version),
                 request.repeatable,
-                after,
+                replaced_run,
             )
             answer = await self._keys.claim(claim)
-            if answer.outcome in _DECIDED:
+            if answer.outcome in _DECIDED_OUTCOMES:
                 return answer.entry
             refusal = _make_refusal(answer, key)
             if refusal is not None:
@@ -220,62 +247,69 @@
                 raise KeyHoldersUnavailableError(
                     "The entries that hold the request key did not agree"
                     f" within {CLAIM_LIMIT_S} s.",
-                    # This run was never sent, but an earlier request with
-                    # the key may have run.
+                    # The run of this request was never sent, but an earlier
+                    # request with the key may have run.
                     RunState.UNKNOWN,
                     retry_after_s=RETRY_AFTER_S,
                 )
             await asyncio.sleep(CLAIM_RETRY_S)
 
-    async def _resolve(
+    async def _prepare_replacement(
         self,
         request: Request,
         run: RunId,
         error: RequestRefusedError,
         search: _Search,
     ) -> None:
-        """Gives up a run that ended; raises where it is the key's last."""
+        """Prepares the replacement of a failed run.
+
+        Raises:
+            RequestRefusedError: The run must not be replaced, so that its
+                error is the answer of the request.
+        """
         if error.run is RunState.NOT_RUN:
-            search.after = run
+            search.replaced_run = run
         elif request.repeatable:
-            search.replace(run)
+            search.replace_run(run)
         elif error.run is RunState.RAN:
             raise error
-        elif await self._inquire(run, forbid=True) is RunKnown.FORBIDDEN:
-            search.after = run
+        elif await self._query_run(run, forbid=True) is RunKnown.FORBIDDEN:
+            search.replaced_run = run
         else:
             raise error
 
-    async def _is_here(self, run: RunId) -> bool:
-        known = await self._inquire(run, forbid=False)
-        if known is RunKnown.NEVER:
+    async def _is_at_sidecar(self, run: RunId) -> bool:
+        run_known = await self._query_run(run, forbid=False)
+        if run_known is RunKnown.NEVER:
             await asyncio.sleep(JOIN_GRACE_S)
-            known = await self._inquire(run, forbid=False)
-        return known is RunKnown.HERE
+            run_known = await self._query_run(run, forbid=False)
+        return run_known is RunKnown.HERE
 
-    async def _give_up(
+    async def _abandon_run(
         self, request: Request, run: RunId, search: _Search
     ) -> None:
-        """Gives up another's run that is not at its sidecar.
+        """Abandons a run of another request that its sidecar does not hold.
 
         Raises:
-            KeyRunLostError: It may have run and may not run again.
+            KeyRunLostError: The run may have run, and the request must not
+                run again.
         """
-        known = await self._inquire(run, forbid=True)
-        if known is RunKnown.FORBIDDEN:
-            search.after = run
+        run_known = await self._query_run(run, forbid=True)
+        if run_known is RunKnown.FORBIDDEN:
+            search.replaced_run = run
         elif request.repeatable:
-            search.replace(run)
+            search.replace_run(run)
         else:
             raise KeyRunLostError(
                 f"Upstream {run.sidecar!r}, which was to run the request, no"
                 " longer tells what became of it.",
                 RunState.UNKNOWN,
-                # One that does not answer may only be paused.
-                RETRY_AFTER_S if known is None else None,
+                # A sidecar that does not answer may only be paused, so that a
+                # retry can still succeed.
+                RETRY_AFTER_S if run_known is None else None,
             )
 
-    async def _inquire(self, run: RunId, forbid: bool) -> RunKnown | None:
+    async def _query_run(self, run: RunId, forbid: bool) -> RunKnown | None:
         answer = await self._upstreams.ask(
             run.sidecar, Inquiry(run, forbid), INQUIRY_TIMEOUT_S
         )
@@ -283,15 +317,18 @@
 
 
 def get_body_digest(body: bytes) -> bytes:
-    """What a key's holders compare bodies by."""
+    """Returns the digest by which the holders of a key compare bodies."""
     return hashlib.blake2b(body, digest_size=16).digest()
 
 
 def check_key(key: str) -> None:
     """Checks the form of a request key.
 
+    Args:
+        key: The request key.
+
     Raises:
-        MalformedRequestError: It is empty, too long or not printable ASCII.
+        MalformedRequestError: The key is empty, too long or not ASCII.
     """
     if not (0 < len(key) <= MAX_KEY_LENGTH and key.isascii()):
         raise MalformedRequestError(
--- a/src/lovagestage/execution/events.py
+++ b/src/lovagestage/execution/events.py
@@ -1,4 +1,4 @@
-"""Reads the server-sent events of a chat completion."""
+"""Parses the server-sent events of a chat completion."""
 
 from __future__ import annotations
 
@@ -45,12 +45,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Block:
-    """Whole events that arrived together.
+    """Complete events that arrived together.
 
     Attributes:
-        data: Bytes for the caller, the usage event left out if unwanted.
+        data: Bytes for the caller, without the usage event if the caller did
+            not ask for it.
         next_seq: Number of the event that follows, for resumption.
-        usage: Present where the block holds the usage event.
+        usage: Token counts, where the block contains the usage event.
         done: Whether the block ends the stream.
     """
 
@@ -61,32 +62,32 @@
 
 
 def parse_block(data: bytes, next_seq: int, keep_usage: bool) -> Block:
-    """Looks at a block without decoding what need not be decoded.
+    """Parses a block and decodes only the events that need decoding.
 
     Args:
-        data: Whole events.
+        data: Complete events.
         next_seq: Expected number of the first event.
         keep_usage: Whether the caller asked for the usage event.
     """
     ids = _EVENT_ID.findall(data)
-    following = int(ids[-1]) + 1 if ids else next_seq
+    following_seq = int(ids[-1]) + 1 if ids else next_seq
     usage = None
     if _USAGE.search(data):
-        data, usage = _take_usage(data, keep_usage)
-    return Block(data, following, usage, DONE in data)
+        data, usage = _extract_usage(data, keep_usage)
+    return Block(data, following_seq, usage, DONE in data)
 
 
-def _take_usage(data: bytes, keep_usage: bool) -> tuple[bytes, Usage | None]:
+def _extract_usage(data: bytes, keep_usage: bool) -> tuple[bytes, Usage | None]:
     usage = None
-    kept = []
+    forwarded = []
     for event in data.split(b"\n\n"):
         chunk = _parse_event(event)
         if chunk is not None and chunk.usage is not None:
             usage = chunk.usage
             if not chunk.choices and not keep_usage:
                 continue
-        kept.append(event)
-    return b"\n\n".join(kept), usage
+        forwarded.append(event)
+    return b"\n\n".join(forwarded), usage
 
 
 def _parse_event(event: bytes) -> _ChunkForm | None:
@@ -100,28 +101,36 @@
 
 
 def make_plain_answer(events: bytes, usage: Usage) -> bytes:
-    """Joins the events of a stream into one `chat.completion` object."""
-    text: list[str] = []
-    last = _ChunkForm()
+    """Joins the events of a stream into one `chat.completion` object.
+
+    Args:
+        events: All events of the stream.
+        usage: Token counts of the answer.
+
+    Returns:
+        The JSON body of the answer.
+    """
+    texts: list[str] = []
+    last_chunk = _ChunkForm()
     finish_reason = "stop"
     for event in events.split(b"\n\n"):
         chunk = _parse_event(event)
         if chunk is None or not chunk.choices:
             continue
-        last = chunk
+        last_chunk = chunk
         choice = chunk.choices[0]
-        text.append(choice.delta.content or "")
+        texts.append(choice.delta.content or "")
         finish_reason = choice.finish_reason or finish_reason
     return msgspec.json.encode(
         {
-            "id": last.id,
+            "id": last_chunk.id,
             "object": "chat.completion",
-            "created": last.created,
-            "model": last.model,
+            "created": last_chunk.created,
+            "model": last_chunk.model,
             "choices": [
                 {
                     "index": 0,
-                    "message": {"role": "assistant", "content": "".join(text)},
+                    "message": {"role": "assistant", "content": "".join(texts)},
                     "finish_reason": finish_reason,
                 }
             ],
--- a/src/lovagestage/execution/runs.py
+++ b/src/lovagestage/execution/runs.py
@@ -1,8 +1,8 @@
-"""Runs at a sidecar: each executes at the engine and can be read again.
+"""Runs at a sidecar: each executes at the engine and can be read repeatedly.
 
-A run keeps its chunks for a while after its end, so that an entry whose
-connection went silent, or another entry that joins, gets the whole answer
-without a second execution.
+A run retains its chunks for a while after its end, so that an entry whose
+connection stopped working, or another entry that joins, gets the complete
+answer without a second execution.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from lovagestage.exceptions import EngineCrashedError, EngineError
 from lovagestage.execution.events import Usage, make_plain_answer
 from lovagestage.execution.plain_stream import open_stream
-from lovagestage.execution.readers import Run, get_pace_s
+from lovagestage.execution.readers import Run, get_read_interval_s
 from lovagestage.messages.envelope import Message
 from lovagestage.messages.keys import Inquiry, InquiryAnswer, RunKnown
 from lovagestage.messages.runs import (
@@ -37,11 +37,12 @@
 from lovagestage.types import RunState
 
 DELIVERY_POLL_S = 0.05
-TOMBSTONES = 50_000
+MAX_TOMBSTONES = 50_000
 TOMBSTONE_KEEP_S = 3_600.0
 MAX_DISPATCH_AGE_MS = 5_000
-"""By the own clock that a dispatch brings back; heartbeats tell it twice a
-second, and an entry sends nothing once they have stayed away for 2 s."""
+"""Largest age in milliseconds of a dispatch, by the sidecar's own clock value
+that the dispatch returns. Heartbeats report the clock twice a second, and an
+entry sends nothing after 2 s without them."""
 
 _TRACE_STATES = {
     RunTrace.BARRED: (RunState.NOT_RUN, "dispatch_lost"),
@@ -54,13 +55,15 @@
     """All runs of a sidecar.
 
     Args:
-        engine: The upstream.
-        hub: Where answers go.
-        settings: Time-outs and what is kept.
-        incarnation: Of this process.
+        engine: The engine or plain service of the upstream.
+        hub: Sends answers to the entries.
+        settings: Timeouts and the limits for retained answers.
+        incarnation: Incarnation of this process.
 
     Attributes:
-        gate: Last check of keyed runs.
+        gate: Final check of keyed runs.
+        running: Number of runs in progress.
+        idle: Set while no run is in progress.
     """
 
     def __init__(
@@ -79,17 +82,17 @@
         self._hub = hub
         self._settings = settings
         self._runs: dict[RunKey, Run] = {}
-        self._ended: collections.deque[RunKey] = collections.deque()
+        self._ended_keys: collections.deque[RunKey] = collections.deque()
         self._ended_bytes = 0
-        self._tombstones = TombstoneTable(TOMBSTONES, TOMBSTONE_KEEP_S)
+        self._tombstones = TombstoneTable(MAX_TOMBSTONES, TOMBSTONE_KEEP_S)
         hub.register_answer(Inquiry, self.answer_inquiry)
 
     def get_clock_ms(self) -> int:
-        """Time since the start of the process."""
+        """Returns the milliseconds since the start of the process."""
         return int((time.monotonic() - self._started_s) * 1000)
 
     async def answer_inquiry(self, message: Message) -> Message:
-        """Says what is known of a keyed run; may forbid it."""
+        """Reports what is known of a keyed run, and forbids it if asked to."""
         assert isinstance(message, Inquiry)
         run = message.run
         key = (run.request_id, run.attempt)
@@ -105,24 +108,29 @@
         return InquiryAnswer(known)
 
     def forbid(self, dispatch: Dispatch) -> None:
-        """Keeps a refused keyed run from starting later."""
+        """Prevents a refused keyed run from starting later."""
         if dispatch.keyed:
             key = (dispatch.request_id, dispatch.attempt)
             self.gate.forbid(key, self.get_clock_ms())
 
     def start(self, peer: PeerId, dispatch: Dispatch) -> None:
-        """Starts a run; a repeated dispatch reads the run that exists."""
+        """Starts a run; a repeated dispatch reads the run that exists.
+
+        Args:
+            peer: The connection that reads the answer.
+            dispatch: The request to run.
+        """
         key = (dispatch.request_id, dispatch.attempt)
         if key in self._runs:
             self.attach(peer, Attach(*key, from_seq=0))
             return
         trace = self._tombstones.get(key)
         if trace is not None:
-            # The dispatch was held up on a connection that went silent, and
-            # its entry has been told that it will not run.
+            # The dispatch was delayed on a connection that had stopped
+            # working, and its entry has been told that it will not run.
             self._refuse(peer, key, trace)
             return
-        if self._is_late(dispatch):
+        if self._is_stale(dispatch):
             self.forbid(dispatch)
             trace = self._tombstones.bar(key, time.monotonic())
             self._refuse(peer, key, trace)
@@ -138,11 +146,11 @@
         self._hub.send(peer, Accepted(*key))
         run.task = asyncio.create_task(self._execute(run))
 
-    def _is_late(self, dispatch: Dispatch) -> bool:
-        # A process that was paused comes to what its sockets have kept before
+    def _is_stale(self, dispatch: Dispatch) -> bool:
+        # A process that was paused handles the messages in its sockets before
         # it has read the log: it would run a version that was withdrawn long
-        # ago, for an entry that has given the attempt up. The age shows by
-        # this process's clock alone, which goes on while it is paused.
+        # ago, for an entry that has abandoned the attempt. The age is measured
+        # by this process's clock alone, which advances during the pause.
         if dispatch.clock_ms < 0:
             return False
         return self.get_clock_ms() - dispatch.clock_ms > MAX_DISPATCH_AGE_MS
@@ -158,36 +166,46 @@
     def _make_gate_refusal(self, dispatch: Dispatch) -> Refused:
         self.forbid(dispatch)
         key = (dispatch.request_id, dispatch.attempt)
-        ended = self.gate.may_have_ended(key, dispatch.permit_ms)
+        may_have_ended = self.gate.may_have_ended(key, dispatch.permit_ms)
         return Refused(
             *key,
             "run_forbidden",
             "The run was given up or its claim is too old.",
-            RunState.UNKNOWN if ended else RunState.NOT_RUN,
-            None if ended else 1,
+            RunState.UNKNOWN if may_have_ended else RunState.NOT_RUN,
+            None if may_have_ended else 1,
         )
 
     def attach(self, peer: PeerId, message: Attach) -> None:
-        """Sends a run's chunks again to `peer`, which reads it from now on."""
+        """Sends a run's chunks again to `peer`, which reads it from now on.
+
+        Args:
+            peer: The connection that reads the run.
+            message: The run, and the first chunk to send.
+        """
         key = (message.request_id, message.attempt)
         run = self._runs.get(key)
         if run is None:
             self._refuse(peer, key, self._tombstones.bar(key, time.monotonic()))
             return
         self._hub.send(peer, Accepted(*key))
-        run.pump(run.attach(peer, message.from_seq), self._hub.send)
+        run.send_available(run.attach(peer, message.from_seq), self._hub.send)
 
     def acknowledge(self, peer: PeerId, message: Ack) -> None:
-        """Sends more to a reader that has passed on what it had."""
+        """Sends more chunks to a reader that has acknowledged some.
+
+        Args:
+            peer: The connection of the reader.
+            message: The acknowledgement.
+        """
         run = self._runs.get((message.request_id, message.attempt))
         if run is None:
             return
         reader = run.acknowledge(peer, message.next_seq)
         if reader is not None:
-            run.pump(reader, self._hub.send)
+            run.send_available(reader, self._hub.send)
 
     async def cancel(self, message: Cancel) -> None:
-        """Cancels a run, down to the engine; bars one that never came."""
+        """Cancels a run, also at the engine; bars a run that never arrived."""
         key = (message.request_id, message.attempt)
         run = self._runs.get(key)
         if run is None:
@@ -199,10 +217,13 @@
         await self._engine.cancel(message.request_id)
 
     def is_barred_beside(self, dispatch: Dispatch) -> bool:
-        """Whether a request with strikes may not run beside what runs.
+        """Returns whether a suspect must not run beside the runs in progress.
+
+        A crash during a probe convicts the probed request. If another request
+        with strikes ran beside it, the wrong request could be convicted.
 
-        A crash during a probe convicts the probe; were another request with
-        strikes beside it, the wrong one could be convicted.
+        Args:
+            dispatch: The request to run.
         """
         if not dispatch.strikes:
             return False
@@ -213,38 +234,39 @@
             for run in self._runs.values()
         )
 
-    def drop_peer(self, peer: PeerId) -> None:
-        """Forgets a connection that has gone silent."""
+    def remove_peer(self, peer: PeerId) -> None:
+        """Removes a connection that no data was received from for too long."""
         for run in self._runs.values():
             run.remove_reader(peer)
 
     async def wait_until_delivered(self) -> None:
         """Waits until all runs have ended and their readers have the end.
 
-        A run may end at the engine while its reader's window is full; a
-        process that stopped then would cut the stream of a slow caller.
+        A run may end at the engine while its reader's window is full. A
+        process that stopped at that point would truncate the stream of a slow
+        caller.
         """
         while not all(run.is_delivered() for run in self._runs.values()):
             await asyncio.sleep(DELIVERY_POLL_S)
 
     def on_timer(self) -> None:
-        """Sends what could not be sent, and forgets what has expired."""
+        """Sends the chunks that could not be sent, and removes expired runs."""
         for run in self._runs.values():
             for reader in run.readers.values():
-                run.pump(reader, self._hub.send)
+                run.send_available(reader, self._hub.send)
         self.remove_expired()
 
     def remove_expired(self) -> None:
-        """Forgets ended runs past the window or over the byte limit."""
+        """Removes ended runs that are too old or exceed the byte limit."""
         now_s = time.monotonic()
         horizon_s = now_s - self._settings.replay_window_s
         limit_bytes = self._settings.replay_limit_bytes
-        while self._ended:
-            run = self._runs[self._ended[0]]
+        while self._ended_keys:
+            run = self._runs[self._ended_keys[0]]
             in_window = run.ended_at_s > horizon_s
             if in_window and self._ended_bytes <= limit_bytes:
                 return
-            key = self._ended.popleft()
+            key = self._ended_keys.popleft()
             del self._runs[key]
             self._ended_bytes -= run.size_bytes
             self._tombstones.add_forgotten(key, now_s)
@@ -253,7 +275,7 @@
         self.gate.remove_expired(self.get_clock_ms())
 
     def get_sizes(self) -> dict[str, int]:
-        """Sizes of the tables, for the state dump."""
+        """Returns the sizes of the tables, for the state dump."""
         return {
             "running": self.running,
             "runs": len(self._runs),
@@ -261,7 +283,7 @@
             "tombstones": len(self._tombstones),
             **self.gate.get_sizes(),
             "paused": sum(
-                run.end is None and run.is_ahead()
+                run.end is None and run.is_too_far_ahead()
                 for run in self._runs.values()
             ),
         }
@@ -279,7 +301,7 @@
         except EngineError as error:
             end = _make_engine_refusal(run, error)
         except TimeoutError:
-            # The request may still have waited at the upstream.
+            # The request may still have been queued at the upstream.
             state = RunState.RAN if run.chunks else RunState.UNKNOWN
             end = _make_refusal(
                 run, "deadline_exceeded", "The deadline has passed.", state
@@ -293,7 +315,7 @@
 
     async def _read_answer(self, run: Run) -> Finished:
         dispatch = run.dispatch
-        collected: list[bytes] = []
+        blocks: list[bytes] = []
         digest = xxhash.xxh3_64()
         usage = Usage()
         stream = open_stream(self._engine, dispatch, self._settings)
@@ -304,12 +326,12 @@
                 self._add_chunk(run, block.data)
                 await _wait_for_readers(run)
             else:
-                collected.append(block.data)
-            pace_s = get_pace_s(self.running)
-            if pace_s and not block.done:
-                await asyncio.sleep(pace_s)
+                blocks.append(block.data)
+            read_interval_s = get_read_interval_s(self.running)
+            if read_interval_s and not block.done:
+                await asyncio.sleep(read_interval_s)
         if not dispatch.stream:
-            answer = make_plain_answer(b"".join(collected), usage)
+            answer = make_plain_answer(b"".join(blocks), usage)
             digest.update(answer)
             self._add_chunk(run, answer)
         return Finished(
@@ -325,31 +347,31 @@
         if not data:
             return
         run.add_chunk(data)
-        self._pump(run)
+        self._send_to_readers(run)
 
     def _finish(self, run: Run, end: Finished | Refused) -> None:
         run.end = end
         run.ended_at_s = time.monotonic()
-        self._ended.append((run.dispatch.request_id, run.dispatch.attempt))
+        self._ended_keys.append((run.dispatch.request_id, run.dispatch.attempt))
         self._ended_bytes += run.size_bytes
         self.running -= 1
         if self.running == 0:
             self.idle.set()
-        self._pump(run)
+        self._send_to_readers(run)
         self.remove_expired()
 
-    def _pump(self, run: Run) -> None:
+    def _send_to_readers(self, run: Run) -> None:
         for reader in run.readers.values():
-            run.pump(reader, self._hub.send)
+            run.send_available(reader, self._hub.send)
 
 
 async def _wait_for_readers(run: Run) -> None:
-    # A caller that reads slowly must not make the sidecar hold what the
-    # engine could hold: the connection to the engine is read no further and
-    # its own flow control does the rest.
-    while run.is_ahead():
-        run.moved.clear()
-        await run.moved.wait()
+    # A caller that reads slowly must not make the sidecar buffer what the
+    # engine could buffer: the sidecar stops reading the engine's connection,
+    # and its flow control stops the engine.
+    while run.is_too_far_ahead():
+        run.readers_changed.clear()
+        await run.readers_changed.wait()
 
 
 def _make_engine_refusal(run: Run, error: EngineError) -> Refused:
--- a/src/lovagestage/execution/sidecar.py
+++ b/src/lovagestage/execution/sidecar.py
@@ -1,4 +1,4 @@
-"""The process beside an upstream: the last check before a request runs."""
+"""The process beside an upstream, which makes the last check before a run."""
 
 from __future__ import annotations
 
@@ -49,25 +49,26 @@
 
 EXPIRY_INTERVAL_S = 1.0
 ENGINE_LOST_S = 2.0
-"""An engine whose state can't be read for so long is told to have no versions;
-as long as a silent sidecar is waited for. A single reading may fail on a
-connection that the engine has just closed, and entries would refuse requests
-until the next one although the engine serves them."""
-_PASSING = (
+"""Time in seconds after which an engine whose state can't be read is reported
+to have no versions; it equals the time that an entry waits for a sidecar that
+sends nothing. A single read may fail on a connection that the engine has just
+closed, and entries would refuse requests until the next read although the
+engine serves them."""
+_RETRYABLE_CODES = (
     "no_capacity",
     "version_withdrawn",
     "not_ready",
     "dispatch_lost",
     "suspect_waiting",
 )
-"""Refusals that a retry helps against: another upstream may have room, and
-the entry will have read the document that this process has."""
+"""Codes of refusals that a retry may overcome: another upstream may have
+capacity, and the entry will have read the document that this process has."""
 _NO_LOAD = EngineLoad(0, 0, 0, 0.0, 0.0)
 
 
 @dataclasses.dataclass(frozen=True)
-class _Told:
-    """What entries are told at once when it changes."""
+class _PublishedState:
+    """State that is published to entries immediately when it changes."""
 
     leaving: bool
     full: bool
@@ -76,14 +77,25 @@
 
 
 def get_state_hash(vm: VmId, zone: ZoneId, versions: list[str]) -> int:
-    """Hash of what a heartbeat may leave out; never 0."""
+    """Returns the hash of the state that a heartbeat may omit; never 0.
+
+    Args:
+        vm: VM of the sidecar.
+        zone: Availability zone of the sidecar.
+        versions: Versions that the engine has loaded.
+    """
     text = "\0".join((vm, zone, *versions))
     return int(xxhash.xxh32_intdigest(text.encode())) or 1
 
 
-def shorten(heartbeat: Heartbeat, asked: Hello) -> Heartbeat:
-    """Leaves out what the asker knows."""
-    if asked.known_state != heartbeat.state_hash:
+def shorten(heartbeat: Heartbeat, hello: Hello) -> Heartbeat:
+    """Omits the state that the asking entry already knows.
+
+    Args:
+        heartbeat: The complete heartbeat.
+        hello: Message of the entry, with the hash of the state that it knows.
+    """
+    if hello.known_state != heartbeat.state_hash:
         return heartbeat
     return msgspec.structs.replace(
         heartbeat, vm=VmId(""), zone=ZoneId(""), versions=[], shortened=True
@@ -95,12 +107,12 @@
 
     Args:
         settings: Settings of the process.
-        role: The part for this role.
+        role: The section of the settings for sidecars.
         control: Configuration in force.
-        engine: The upstream.
+        engine: The engine or plain service of the upstream.
         runs: Runs at the upstream.
         timers: Timer service.
-        hub: Hands over what arrives at the listener.
+        hub: Delivers the messages that arrive at the sidecar's listener.
     """
 
     def __init__(
@@ -124,10 +136,10 @@
         self._load = _NO_LOAD
         self._versions: list[str] = []
         self._is_up = False
-        self._engine_read_s = time.monotonic()
-        self._told = _Told(False, False, False, ())
+        self._engine_last_read_s = time.monotonic()
+        self._published = _PublishedState(False, False, False, ())
         self._peers: dict[PeerId, float] = {}
-        self._work: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self._hub = hub
         self._runs = runs
         hub.register(Hello, self._on_hello)
@@ -144,7 +156,10 @@
         self._timers.subscribe(EXPIRY_INTERVAL_S, self._on_expiry)
 
     async def drain(self) -> None:
-        """Takes no new work and waits for what runs: a planned stop."""
+        """Refuses new work and waits for runs in progress, for a planned stop.
+
+        The wait ends after the setting `drain_timeout_s`.
+        """
         self._leaving = True
         self._send_heartbeats()
         _log.info("drain_started", extra={"running": self._runs.running})
@@ -167,8 +182,8 @@
         if message.incarnation in (0, self._runs.gate.incarnation):
             self._runs.attach(peer, message)
             return
-        # The run was meant for the process before this one, and what that
-        # did with it is not known here.
+        # The run was sent to an earlier process of this sidecar. This process
+        # does not know what the earlier one did with it.
         self._hub.send(
             peer,
             Refused(
@@ -210,7 +225,7 @@
                 code,
                 text,
                 RunState.NOT_RUN,
-                1 if code in _PASSING else None,
+                1 if code in _RETRYABLE_CODES else None,
             ),
         )
 
@@ -227,38 +242,38 @@
         if service is None:
             return "not_ready", "The sidecar has no document of the service."
         try:
-            _check_rights(service.document, dispatch, self._role.pool)
+            _check_permissions(service.document, dispatch, self._role.pool)
         except RequestRefusedError as error:
             return error.code, error.message
         return None
 
     def _on_heartbeat(self) -> None:
         self._start_task(self._refresh_load())
-        self._drop_silent_peers()
-        if self._get_told() != self._told:
+        self._remove_inactive_peers()
+        if self._get_current_state() != self._published:
             self._send_heartbeats()
 
     def _on_expiry(self) -> None:
         self._runs.on_timer()
 
     async def _refresh_load(self) -> None:
-        known = (self._versions, self._is_up)
+        previous = (self._versions, self._is_up)
         if isinstance(self._engine, PlainService):
             self._is_up = await self._engine.is_up()
         else:
             await self._refresh_engine(self._engine)
-        if (self._versions, self._is_up) != known:
-            # Entries would otherwise refuse a version that is there, or send
-            # requests for one that is gone, until the next heartbeat.
+        if (self._versions, self._is_up) != previous:
+            # Until the next heartbeat, entries would otherwise refuse a version
+            # that is loaded, or send requests for one that is not.
             self._send_heartbeats()
 
     async def _refresh_engine(self, engine: Engine) -> None:
         try:
             self._load = await engine.get_load()
             self._versions = await engine.get_versions()
-            self._engine_read_s = time.monotonic()
+            self._engine_last_read_s = time.monotonic()
         except EngineError as error:
-            age_s = time.monotonic() - self._engine_read_s
+            age_s = time.monotonic() - self._engine_last_read_s
             if age_s > ENGINE_LOST_S:
                 self._versions = []
             _log.warning(
@@ -267,29 +282,29 @@
             )
 
     def _send_heartbeats(self) -> None:
-        self._told = self._get_told()
+        self._published = self._get_current_state()
         heartbeat = self._make_heartbeat()
         for peer in list(self._peers):
             if not self._hub.send(peer, heartbeat):
                 del self._peers[peer]
-                self._runs.drop_peer(peer)
+                self._runs.remove_peer(peer)
 
-    def _drop_silent_peers(self) -> None:
-        # An entry with a run open sends heartbeats often: one that does not
-        # reads no more. An idle one has nothing open and sends them rarely.
+    def _remove_inactive_peers(self) -> None:
+        # An entry with an open run sends heartbeats often: if it sends none, it
+        # no longer reads. An idle entry has no run open and sends them rarely.
         bus = self._settings.bus
         now_s = time.monotonic()
-        for peer, seen_s in list(self._peers.items()):
-            silent_s = now_s - seen_s
-            if silent_s > bus.silent_after_s:
-                self._runs.drop_peer(peer)
-            if silent_s > bus.silent_after_s + bus.idle_heartbeat_interval_s:
+        for peer, last_received_s in list(self._peers.items()):
+            inactive_s = now_s - last_received_s
+            if inactive_s > bus.silent_after_s:
+                self._runs.remove_peer(peer)
+            if inactive_s > bus.silent_after_s + bus.idle_heartbeat_interval_s:
                 del self._peers[peer]
 
-    def _get_told(self) -> _Told:
+    def _get_current_state(self) -> _PublishedState:
         is_full = self._runs.running >= self._role.max_running
         versions = tuple(self._versions)
-        return _Told(self._leaving, is_full, self._is_up, versions)
+        return _PublishedState(self._leaving, is_full, self._is_up, versions)
 
     def _make_heartbeat(self, heard_sequence: int = 0) -> Heartbeat:
         self._sequence += 1
@@ -331,13 +346,13 @@
             }
         )
 
-    def _start_task(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.create_task(work)
-        self._work.add(task)
-        task.add_done_callback(self._work.discard)
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.create_task(coroutine)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
 
-def _check_rights(
+def _check_permissions(
     document: ServiceDocument, dispatch: Dispatch, pool: PoolId
 ) -> None:
     if pool:
