--- a/src/lovagestage/gateway/exposition.py
+++ b/src/lovagestage/gateway/exposition.py
@@ -56,35 +56,35 @@
     LINES_DROPPED = SeriesSpec(
         "log_lines_left_out_total",
         SeriesKind.COUNTER,
-        "Log lines dropped: over the rate limit, buffer full or output closed.",
+        "Log lines over budget.",
     )
     ANSWER_S = SeriesSpec(
         "answer_seconds",
         SeriesKind.HISTOGRAM,
-        "Time from receiving a request's head to the end of the request.",
+        "From a request's head to its end.",
         ("kind",),
     )
     FIRST_EVENT_S = SeriesSpec(
         "first_event_seconds",
         SeriesKind.HISTOGRAM,
-        "Time from receiving a request's head to its stream's first event.",
+        "From a request's head to its stream's first event.",
     )
     STORE_CALLS = SeriesSpec(
         "store_calls_total",
         SeriesKind.COUNTER,
-        "Calls to the metadata store; lost means that no whole answer came.",
+        "Calls to the metadata store; lost is one without a whole answer.",
         ("call", "outcome"),
     )
     STORE_BYTES = SeriesSpec(
         "store_bytes_total",
         SeriesKind.COUNTER,
-        "Body bytes of the store's answers, including incomplete ones.",
+        "Bodies of the store's answers, also of those that broke off.",
         ("call", "outcome"),
     )
     STORE_CALL_S = SeriesSpec(
         "store_call_seconds",
         SeriesKind.HISTOGRAM,
-        "Answered calls to the metadata store, except reads that wait.",
+        "Answered calls to the metadata store, but reads that wait.",
         ("call",),
     )
     DATAGRAMS = SeriesSpec(
@@ -102,7 +102,7 @@
     RELAY_QUESTIONS = SeriesSpec(
         "relay_questions_total",
         SeriesKind.COUNTER,
-        "Questions sent to gateways that watch the store.",
+        "Questions to gateways that watch the store.",
         ("outcome",),
     )
     OPEN_REQUESTS = SeriesSpec(
@@ -111,23 +111,23 @@
     EVACUATED_ZONES = SeriesSpec(
         "evacuated_zones",
         SeriesKind.GAUGE,
-        "Availability zones whose upstreams get no requests.",
+        "Availability zones whose upstreams get nothing.",
     )
     UPSTREAMS = SeriesSpec(
         "upstreams",
         SeriesKind.GAUGE,
-        "Upstreams known, including leaving ones and those recently gone.",
+        "Upstreams known, leaving ones included.",
     )
     PEERS = SeriesSpec("peers", SeriesKind.GAUGE, "Other gateways known.")
     CONFIGURATION_LAG_S = SeriesSpec(
         "configuration_lag_seconds",
         SeriesKind.GAUGE,
-        "Time for which a newer configuration has been known but not read.",
+        "How long a newer configuration has been known and not read.",
     )
     FRESHNESS_CHECK_AGE_S = SeriesSpec(
         "proof_age_seconds",
         SeriesKind.GAUGE,
-        "Age of the latest confirmation that no newer configuration existed.",
+        "Age of the latest proof that the configuration is in force.",
     )
 
 
