--- a/src/lovagestage/operations/checks.py
+++ b/src/lovagestage/operations/checks.py
@@ -1,7 +1,8 @@
-"""Deep checks of a service document, before it is appended.
+"""Checks the contents of a service document before it is appended to the log.
 
-The types already hold the document's shape; these checks hold what a type
-cannot: references, sums, and what the team has paid for.
+The types of the document already enforce its structure. The checks of this
+module cover what a type cannot express: references between entries, sums, and
+limits within the capacity that the team has paid for.
 """
 
 from __future__ import annotations
@@ -27,19 +28,27 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One thing that is wrong with a document.
+    """A fault in a service document.
 
     Attributes:
-        path: Where, such as `classes.till.cascade[1]`.
-        reason: What was found and what was expected.
+        path: Path of the faulty field, such as `classes.till.cascade[1]`.
+        reason: Sentence that says which value was expected and, in most
+            cases, which one was found.
     """
 
     path: str
     reason: str
 
 
-def get_faults(document: ServiceDocument) -> list[Fault]:
-    """Finds everything that is wrong with a document."""
+def find_faults(document: ServiceDocument) -> list[Fault]:
+    """Finds all faults of a service document.
+
+    Args:
+        document: Document that already has the right structure.
+
+    Returns:
+        The faults in the order of the checks; empty for a valid document.
+    """
     return [
         *_check_names(document),
         *_check_versions(document),
@@ -79,21 +88,23 @@
                 f"Found {version.name!r}; expected MODEL@VERSION.",
             )
         if version.name in seen:
-            yield Fault(f"{path}.name", f"{version.name!r} stands twice.")
+            yield Fault(f"{path}.name", f"{version.name!r} is listed twice.")
         if version.name == document.service:
-            yield Fault(f"{path}.name", "A version is named as the service is.")
+            yield Fault(
+                f"{path}.name", "The version has the same name as the service."
+            )
         seen.add(version.name)
         if version.price < 0:
-            yield Fault(f"{path}.price", _not_negative(version.price))
+            yield Fault(f"{path}.price", _describe_negative(version.price))
         if version.capacity_tokens_per_s < 0:
             yield Fault(
                 f"{path}.capacity_tokens_per_s",
-                _not_negative(version.capacity_tokens_per_s),
+                _describe_negative(version.capacity_tokens_per_s),
             )
 
 
 def _check_workspaces(document: ServiceDocument) -> Iterator[Fault]:
-    owners: dict[str, str] = {}
+    workspaces_by_digest: dict[str, str] = {}
     for name, spec in document.workspaces.items():
         path = f"workspaces.{name}"
         yield from _check_workspace(document, spec, path)
@@ -103,39 +114,43 @@
                     f"{path}.key_digests[{index}]",
                     "Expected a SHA-256 digest of 64 hex digits.",
                 )
-            elif digest in owners:
+            elif digest in workspaces_by_digest:
                 yield Fault(
                     f"{path}.key_digests[{index}]",
-                    f"Workspace {owners[digest]!r} has the same key.",
+                    f"Workspace {workspaces_by_digest[digest]!r} has the same"
+                    " key.",
                 )
-            owners.setdefault(digest, str(name))
+            workspaces_by_digest.setdefault(digest, str(name))
     yield from _check_paid_capacity(document)
 
 
 def _check_workspace(
     document: ServiceDocument, spec: WorkspaceSpec, path: str
 ) -> Iterator[Fault]:
-    known = _get_known_names(document)
+    known_names = _get_known_names(document)
     if not spec.key_digests:
         yield Fault(f"{path}.key_digests", "Expected at least one key.")
     for index, name in enumerate(spec.allowed):
-        if name not in known:
+        if name not in known_names:
             yield Fault(
                 f"{path}.allowed[{index}]",
                 f"There is no model or version {name!r}.",
             )
     if spec.limit_tokens_per_s <= 0:
         yield Fault(
-            f"{path}.limit_tokens_per_s", _positive(spec.limit_tokens_per_s)
+            f"{path}.limit_tokens_per_s",
+            _describe_not_positive(spec.limit_tokens_per_s),
         )
     if spec.weight <= 0:
-        yield Fault(f"{path}.weight", _positive(spec.weight))
+        yield Fault(f"{path}.weight", _describe_not_positive(spec.weight))
     if spec.burst_tokens < 0:
-        yield Fault(f"{path}.burst_tokens", _not_negative(spec.burst_tokens))
+        yield Fault(
+            f"{path}.burst_tokens", _describe_negative(spec.burst_tokens)
+        )
 
 
 def _check_paid_capacity(document: ServiceDocument) -> Iterator[Fault]:
-    paid = sum(
+    capacity = sum(
         version.capacity_tokens_per_s
         for version in document.versions
         if version.state is VersionState.ACTIVE
@@ -143,11 +158,11 @@
     limits = sum(
         spec.limit_tokens_per_s for spec in document.workspaces.values()
     )
-    if limits > paid:
+    if limits > capacity:
         yield Fault(
             "workspaces",
             f"The limits add up to {limits:g} tokens/s; expected at most the"
-            f" {paid:g} tokens/s of the active versions.",
+            f" {capacity:g} tokens/s of the active versions.",
         )
 
 
@@ -165,7 +180,7 @@
     if not spec.cascade:
         yield Fault(f"{path}.cascade", "Expected at least one version.")
     price = 0.0
-    usable = False
+    has_active_version = False
     for index, name in enumerate(spec.cascade):
         version = versions.get(name)
         if version is None:
@@ -173,15 +188,17 @@
                 f"{path}.cascade[{index}]", f"There is no version {name!r}."
             )
             continue
-        usable = usable or version.state is VersionState.ACTIVE
+        has_active_version = (
+            has_active_version or version.state is VersionState.ACTIVE
+        )
         if version.price < price:
             yield Fault(
                 f"{path}.cascade[{index}]",
-                f"{name!r} is cheaper than the one before; expected the"
-                " cheapest first.",
+                f"{name!r} is cheaper than the version before it; expected the"
+                " cheapest version first.",
             )
         price = version.price
-    if spec.cascade and not usable:
+    if spec.cascade and not has_active_version:
         yield Fault(f"{path}.cascade", "Expected at least one active version.")
     if not 0 <= spec.quality_target <= 1:
         yield Fault(
@@ -189,9 +206,9 @@
             f"Found {spec.quality_target:g}; expected 0 to 1.",
         )
     if spec.priority < 0:
-        yield Fault(f"{path}.priority", _not_negative(spec.priority))
+        yield Fault(f"{path}.priority", _describe_negative(spec.priority))
     if spec.deadline_s < 0:
-        yield Fault(f"{path}.deadline_s", _not_negative(spec.deadline_s))
+        yield Fault(f"{path}.deadline_s", _describe_negative(spec.deadline_s))
     if spec.deferrable and spec.deadline_s == 0:
         yield Fault(
             f"{path}.deadline_s", "A deferrable class needs a deadline."
@@ -213,10 +230,12 @@
                 yield Fault(
                     f"{path}.{field}",
                     f"{name!r} is {version.state.value}; expected an active"
-                    " version, since a roll-out goes on and back.",
+                    " version, since a roll-out may advance or roll back.",
                 )
         if spec.old == spec.new:
-            yield Fault(f"{path}.new", "The new version is the old one.")
+            yield Fault(
+                f"{path}.new", "The new version is the same as the old version."
+            )
         yield from _check_steps(spec, path)
 
 
@@ -225,17 +244,26 @@
     if not steps or steps[-1] != 1:
         yield Fault(f"{path}.steps", "Expected the last step to be 1.")
     if any(not 0 < step <= 1 for step in steps):
-        yield Fault(f"{path}.steps", "Expected shares over 0, up to 1.")
+        yield Fault(
+            f"{path}.steps", "Expected shares greater than 0 and at most 1."
+        )
     if any(a >= b for a, b in itertools.pairwise(steps)):
-        yield Fault(f"{path}.steps", "Expected each step to be larger.")
+        yield Fault(
+            f"{path}.steps",
+            "Expected each step to be larger than the step before it.",
+        )
     if spec.exposure_budget <= 0:
-        yield Fault(f"{path}.exposure_budget", _positive(spec.exposure_budget))
+        yield Fault(
+            f"{path}.exposure_budget",
+            _describe_not_positive(spec.exposure_budget),
+        )
     if spec.step_min_s < 0:
-        yield Fault(f"{path}.step_min_s", _not_negative(spec.step_min_s))
+        yield Fault(f"{path}.step_min_s", _describe_negative(spec.step_min_s))
     if not 0 < spec.max_quality_drop < 1:
         yield Fault(
             f"{path}.max_quality_drop",
-            f"Found {spec.max_quality_drop:g}; expected over 0 and under 1.",
+            f"Found {spec.max_quality_drop:g}; expected a number greater than"
+            " 0 and less than 1.",
         )
 
 
@@ -252,10 +280,11 @@
             )
         if prefix.startswith("/v1/") or prefix == "/":
             yield Fault(
-                f"{path}.prefix", f"{prefix!r} covers the model API's paths."
+                f"{path}.prefix",
+                f"{prefix!r} overlaps the paths of the model API.",
             )
         if prefix in seen:
-            yield Fault(f"{path}.prefix", f"{prefix!r} stands twice.")
+            yield Fault(f"{path}.prefix", f"{prefix!r} is listed twice.")
         if not _NAME.match(route.pool):
             yield Fault(
                 f"{path}.pool",
@@ -268,7 +297,9 @@
 def _check_sessions(document: ServiceDocument) -> Iterator[Fault]:
     timeout_s = document.sessions.idle_timeout_s
     if timeout_s <= 0:
-        yield Fault("sessions.idle_timeout_s", _positive(timeout_s))
+        yield Fault(
+            "sessions.idle_timeout_s", _describe_not_positive(timeout_s)
+        )
 
 
 def _get_known_names(document: ServiceDocument) -> set[str]:
@@ -276,9 +307,9 @@
     return names | {name.partition("@")[0] for name in names}
 
 
-def _positive(value: float) -> str:
-    return f"Found {value:g}; expected a number over 0."
+def _describe_not_positive(value: float) -> str:
+    return f"Found {value:g}; expected a number greater than 0."
 
 
-def _not_negative(value: float) -> str:
+def _describe_negative(value: float) -> str:
     return f"Found {value:g}; expected 0 or more."
--- a/src/lovagestage/operations/command_parsers.py
+++ b/src/lovagestage/operations/command_parsers.py
@@ -1,4 +1,4 @@
-"""The operators' commands on the command line."""
+"""Argument parsers of the operators' commands."""
 
 from __future__ import annotations
 
@@ -28,55 +28,93 @@
 
 
 def add_service_parsers(commands: Any) -> None:
-    """Adds the operators' commands to the command line."""
+    """Adds the parsers of the operators' commands to the command line.
+
+    Args:
+        commands: Subparsers of the `lovagestage` command.
+    """
     service = commands.add_parser(
-        "service", help="read and change a service's document"
+        "service", help="read and change the document of a service"
     ).add_subparsers(metavar="VERB", required=True)
-    get = _add(service, "get", run_service_get, "print the document in force")
+    get = _add_command(
+        service, "get", run_service_get, "print the document in force"
+    )
     get.add_argument("service")
-    put = _add(service, "put", run_service_put, "put a document in force")
+    put = _add_command(
+        service, "put", run_service_put, "put a document in force"
+    )
     put.add_argument("file", type=pathlib.Path)
     put.add_argument(
         "--base",
         type=int,
         required=True,
         metavar="REVISION",
-        help="revision that was edited; 0 for a new service",
+        help="revision that the file was edited from; 0 for a new service",
+    )
+    put.add_argument(
+        "--change-id",
+        help="id of an earlier change, to repeat it after its result was lost",
+    )
+    diff = _add_command(
+        service,
+        "diff",
+        run_service_diff,
+        "compare a file with the document in force",
     )
-    put.add_argument("--change-id", help="repeat a change whose result is lost")
-    diff = _add(service, "diff", run_service_diff, "compare a file with it")
     diff.add_argument("file", type=pathlib.Path)
-    history = _add(
-        service, "history", run_service_history, "who changed it, and when"
+    history = _add_command(
+        service,
+        "history",
+        run_service_history,
+        "list the changes of a document and their authors",
     )
     history.add_argument("service")
-    result = _add(
-        service, "result", run_service_result, "what became of a change"
+    result = _add_command(
+        service, "result", run_service_result, "print the outcome of a change"
     )
     result.add_argument("change_id")
-    validate = _add(
-        service, "validate", run_service_validate, "check a file", False
+    validate = _add_command(
+        service,
+        "validate",
+        run_service_validate,
+        "check a document file for faults",
+        False,
     )
     validate.add_argument("file", type=pathlib.Path)
-    _add(service, "schema", run_service_schema, "print the schema", False)
+    _add_command(
+        service,
+        "schema",
+        run_service_schema,
+        "print the JSON schema of documents",
+        False,
+    )
     _add_rollout_parsers(commands)
     _add_operators_parsers(commands)
-    withdraw = _add(
-        commands, "withdraw", run_withdraw, "give a version no more work"
+    withdraw = _add_command(
+        commands, "withdraw", run_withdraw, "stop sending requests to a version"
     )
     withdraw.add_argument("version", metavar="MODEL@VERSION")
     withdraw.add_argument("--service")
-    _add(commands, "status", run_status, "what is in force everywhere")
-    dump = _add(commands, "dump", run_dump, "one process's state as JSON")
+    _add_command(
+        commands,
+        "status",
+        run_status,
+        "print the revision in force at each process",
+    )
+    dump = _add_command(
+        commands, "dump", run_dump, "print the state of a process as JSON"
+    )
     dump.add_argument("address", metavar="HOST:PORT")
 
 
 def _add_rollout_parsers(commands: Any) -> None:
     rollout = commands.add_parser(
-        "rollout", help="start and steer roll-outs"
+        "rollout", help="start, pause and abort roll-outs"
     ).add_subparsers(metavar="VERB", required=True)
-    _add(rollout, "status", run_rollout_status, "print all roll-outs")
-    start = _add(rollout, "start", run_rollout_start, "start or resume one")
+    _add_command(rollout, "status", run_rollout_status, "print all roll-outs")
+    start = _add_command(
+        rollout, "start", run_rollout_start, "start or resume a roll-out"
+    )
     start.add_argument("old", metavar="MODEL@OLD")
     start.add_argument("new", metavar="MODEL@NEW")
     start.add_argument("--service")
@@ -84,33 +122,35 @@
         "--steps",
         type=_parse_steps,
         default=[0.01, 0.1, 0.5, 1.0],
-        help="shares of traffic, such as 0.01,0.1,1",
+        help="share of the traffic at each step, such as 0.01,0.1,1",
     )
     start.add_argument(
         "--step-min-s",
         type=float,
         default=60.0,
-        help="shortest time at a step, in seconds",
+        help="shortest time at each step, in seconds",
     )
     start.add_argument(
         "--exposure-budget",
         type=int,
         default=200,
         metavar="REQUESTS",
-        help="most requests at a step before there is evidence",
+        help="maximum number of requests at a step without enough evidence",
     )
     start.add_argument(
         "--max-quality-drop",
         type=float,
         default=0.05,
         metavar="SCORE",
-        help="drop of the mean rating that stops it",
+        help="drop of the mean rating that stops the roll-out",
     )
     for verb, state in (
         ("pause", RolloutState.PAUSED),
         ("abort", RolloutState.ABORTED),
     ):
-        change = _add(rollout, verb, run_rollout_change, f"{verb} one")
+        change = _add_command(
+            rollout, verb, run_rollout_change, f"{verb} a roll-out"
+        )
         change.add_argument("model")
         change.add_argument("--service")
         change.set_defaults(state=state)
@@ -118,37 +158,42 @@
 
 def _add_operators_parsers(commands: Any) -> None:
     operators = commands.add_parser(
-        "operators", help="who may edit which team's documents"
+        "operators",
+        help="manage which operators may edit the documents of a team",
     ).add_subparsers(metavar="VERB", required=True)
-    put = _add(operators, "put", run_operators_put, "replace the list")
+    put = _add_command(
+        operators, "put", run_operators_put, "replace the list of operators"
+    )
     put.add_argument("file", type=pathlib.Path)
     put.add_argument("--base", type=int, required=True, metavar="REVISION")
     put.add_argument("--next-root-key", default="", metavar="HEX")
-    _add(operators, "keygen", run_operators_keygen, "make a key pair", False)
+    _add_command(
+        operators, "keygen", run_operators_keygen, "generate a key pair", False
+    )
 
 
 def _parse_steps(text: str) -> list[float]:
     return [float(step) for step in text.split(",")]
 
 
-def _add(
+def _add_command(
     commands: Any,
     name: str,
     run: Callable[[argparse.Namespace], int],
-    text: str,
-    needs_log: bool = True,
+    description: str,
+    requires_log: bool = True,
 ) -> argparse.ArgumentParser:
     parser: argparse.ArgumentParser = commands.add_parser(
-        name, help=text, description=text
+        name, help=description, description=description
     )
     parser.add_argument("--json", action="store_true", help="print JSON")
-    if needs_log:
+    if requires_log:
         parser.add_argument(
             "--settings",
             type=pathlib.Path,
             required=True,
             metavar="FILE",
-            help="the operator's settings",
+            help="settings file of the operator",
         )
     parser.set_defaults(run=run)
     return parser
--- a/src/lovagestage/operations/edits.py
+++ b/src/lovagestage/operations/edits.py
@@ -1,4 +1,4 @@
-"""Edits of a service document, as the short commands make them."""
+"""Edits of a service document, made by `withdraw` and `rollout` commands."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from lovagestage.operations.operator_client import (
     Edit,
     OperatorClient,
-    get_services_of,
+    find_services_with_version,
 )
 from lovagestage.state.document import (
     RolloutSpec,
@@ -19,7 +19,11 @@
 
 
 def make_withdrawal(version: str) -> Edit:
-    """An edit that withdraws a version and aborts roll-outs to it."""
+    """Makes an edit that withdraws a version.
+
+    The edit also removes each roll-out that has the version as its old or new
+    version.
+    """
 
     def edit(document: ServiceDocument) -> ServiceDocument:
         versions = [
@@ -40,19 +44,28 @@
     return edit
 
 
-def make_rollout_edit(model: str, wanted: RolloutSpec | RolloutState) -> Edit:
-    """An edit that sets a model's roll-out, or only its state."""
+def make_rollout_edit(model: str, target: RolloutSpec | RolloutState) -> Edit:
+    """Makes an edit that sets the roll-out of a model, or only its state.
+
+    Args:
+        model: Model whose roll-out is edited.
+        target: Whole roll-out, or the state that an existing one gets.
+
+    Returns:
+        The edit. It raises `DocumentInvalidError` where only the state is
+        given and the document has no roll-out of the model.
+    """
 
     def edit(document: ServiceDocument) -> ServiceDocument:
-        if isinstance(wanted, RolloutSpec):
-            spec = wanted
+        if isinstance(target, RolloutSpec):
+            spec = target
         elif model in document.rollouts:
             spec = msgspec.structs.replace(
-                document.rollouts[model], state=wanted
+                document.rollouts[model], state=target
             )
         else:
             raise DocumentInvalidError(
-                f"rollouts.{model}: There is no roll-out of this model."
+                f"rollouts.{model}: This model has no roll-out."
             )
         rollouts = {**document.rollouts, model: spec}
         return msgspec.structs.replace(document, rollouts=rollouts)
@@ -63,18 +76,27 @@
 def resolve_service(
     client: OperatorClient, service: str | None, version: str
 ) -> str:
-    """The service meant: the named one, or the only one with the version.
+    """Returns the service that a command applies to.
+
+    Args:
+        client: Client that has read the log.
+        service: Service named by the operator, or None.
+        version: Version by which the service is found if none is named.
 
     Raises:
-        ServiceUnknownError: None or several have it.
+        ServiceUnknownError: No service was named, and no service or several
+            services have the version.
     """
     if service is not None:
         return service
-    documents = {n: h.document for n, h in client.control.services.items()}
-    names = get_services_of(documents, version)
+    documents = {
+        name: in_force.document
+        for name, in_force in client.control.services.items()
+    }
+    names = find_services_with_version(documents, version)
     if len(names) != 1:
         raise ServiceUnknownError(
-            f"Services with {version!r}: {sorted(names)}; expected one, or"
-            " name it with --service."
+            f"Services with {version!r}: {sorted(names)}; expected exactly"
+            " one; otherwise name the service with --service."
         )
     return names[0]
--- a/src/lovagestage/operations/explain.py
+++ b/src/lovagestage/operations/explain.py
@@ -1,9 +1,9 @@
-"""The `explain` command: one request's story out of the logs of all processes.
+"""The `explain` command: explains a request from the logs of all processes.
 
-The lines of a request say what happened to it. Why it happened often stands
-in lines without its id: a store that was lost, an upstream that crashed under
-other requests, a roll-out that was stopped. Those are chosen here by process,
-upstream and service.
+The log lines with the id of a request say what happened to it. The cause is
+often logged in lines without the id: the connection to the store was lost, an
+upstream crashed while it ran other requests, a roll-out was stopped. This
+module selects such lines by process, upstream and service.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from lovagestage.operations.printing import print_json
 from lovagestage.telemetry.loglines import LogLine, parse_lines
 
-_OWN_KEYS = ("request", "run")
+_REQUEST_ID_KEYS = ("request", "run")
 _PROCESS_EVENTS = frozenset(
     (
         "process_started",
@@ -32,7 +32,8 @@
         "zone_given_back",
     )
 )
-"""What a process believed, or how it was, when it handled the request."""
+"""Events that show the state of a process, such as its configuration and its
+connection to the store, at the time when it handled the request."""
 _UPSTREAM_EVENTS = frozenset(
     (
         "upstream_added",
@@ -46,58 +47,64 @@
 _SERVICE_EVENTS = frozenset(
     ("rollout_ordered", "rollout_stopped", "rollout_settled")
 )
-_REASONS = {
-    "configuration_too_old": "The gateway had no recent proof from the store"
-    " that the key still holds; nothing was run.",
-    "configuration_superseded": "A newer configuration had to be in force by"
-    " then, and the gateway was still reading it; nothing was run.",
-    "no_configuration": "The gateway had just started and knew no"
+_REASON_TEXTS = {
+    "configuration_too_old": "The gateway had no recent confirmation from the"
+    " store that the key is still valid; nothing was run.",
+    "configuration_superseded": "A newer configuration had to be in force at"
+    " that time, and the gateway was still reading it; nothing was run.",
+    "no_configuration": "The gateway had just started and had received no"
     " configuration yet; nothing was run.",
-    "unknown_key": "The configuration in force has no such key.",
-    "no_route": "The configuration in force has no route for host and path.",
+    "unknown_key": "The configuration in force does not contain the key.",
+    "no_route": "The configuration in force has no route for this host and"
+    " path.",
     "no_backend": "All backends of the route have weight 0.",
     "unreachable": "No connection to the upstream could be opened; nothing"
     " was sent.",
-    "refused": "The upstream says that it has not run the request.",
-    "other_instance": "The upstream's address belongs to another one now.",
-    "connection_lost": "The upstream's connection ended before an answer;"
+    "refused": "The upstream reports that it has not run the request.",
+    "other_instance": "The upstream's address now belongs to another upstream.",
+    "connection_lost": "The connection to the upstream ended before an answer;"
     " the request may have run.",
-    "answer_broken": "The upstream's answer broke off.",
-    "event_broken": "The upstream's stream ended within an event.",
-    "wrong_bytes": "What the upstream sent is no answer to this request.",
-    "unsigned": "The answer does not come from the upstream itself.",
-    "unsigned_failure": "A failure that does not come from the upstream.",
-    "silent": "The upstream gave no sign of an answer in time.",
-    "no_upstream": "No upstream of the service and version could take it.",
-    "no_upstream_at_home": "Upstreams were there, but none in the regions that"
-    " route and workspace name; nothing was run.",
-    "upstreams_cold": "All upstreams had just started and had what they bear;"
-    " nothing was run.",
-    "crashes_upstreams": "The request has crashed upstreams; it is not run"
-    " again for a while.",
-    "suspect_waiting": "A copy of the request was being tried alone.",
-    "deadline": "Its time was over before it could be sent.",
-    "stream_broken": "The stream broke off and no upstream could go on.",
-    "caller_gone": "The caller closed its connection first.",
-    "stopped": "The gateway's time to stop was over before the answer was"
-    " whole; its connection was cut.",
-    "answered": "The upstream's answer was passed on whole.",
+    "answer_broken": "The upstream's answer ended before it was complete.",
+    "event_broken": "The upstream's stream ended in the middle of an event.",
+    "wrong_bytes": "The bytes that the upstream sent are not an answer to this"
+    " request.",
+    "unsigned": "The answer was not sent by the upstream itself.",
+    "unsigned_failure": "The failure was not reported by the upstream itself.",
+    "silent": "No data from the upstream arrived before the time-out.",
+    "no_upstream": "No upstream of the service and version could accept the"
+    " request.",
+    "no_upstream_at_home": "Upstreams were ready, but none in the regions that"
+    " the route and the workspace allow; nothing was run.",
+    "upstreams_cold": "All upstreams had just started and were at the limit of"
+    " their warm-up; nothing was run.",
+    "crashes_upstreams": "The request has crashed upstreams; it will not be"
+    " run again for some time.",
+    "suspect_waiting": "A copy of the request was being run alone.",
+    "deadline": "The deadline of the request passed before it could be sent.",
+    "stream_broken": "The stream ended early, and no upstream could continue"
+    " it.",
+    "caller_gone": "The caller closed its connection before the answer was"
+    " complete.",
+    "stopped": "The gateway's time to stop ended before the whole answer"
+    " was sent; the gateway closed the connection.",
+    "answered": "The upstream's whole answer was forwarded to the caller.",
 }
 
 
-_NONE = ("", "0")
-"""Status of a request that had no answer."""
+_NO_STATUS = ("", "0")
+"""Values of the field `status` of a request that received no answer."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Story:
-    """What the logs say of a request.
+class Explanation:
+    """Log lines that explain what happened to a request.
 
     Attributes:
-        request_id: The request.
-        own: Its own lines, in order of time.
-        context: Lines that say why, up to its last one, in order of time.
-        left_out: Lines that the processes left out, over all logs.
+        request_id: Id of the request.
+        own: Lines with the id of the request, in order of time.
+        context: Lines without the id that may show the cause, up to the time
+            of the request's last line, in order of time.
+        left_out: Number of lines that the processes omitted, over all logs.
     """
 
     request_id: str
@@ -107,23 +114,30 @@
 
     @property
     def conclusion(self) -> str:
-        """How it ended and why, in one or two sentences."""
+        """How the request ended and why, in one to three sentences."""
         if not self.own:
-            return _conclude_without_lines(self.left_out)
+            return _explain_missing_lines(self.left_out)
         last = self.own[-1]
         cause = last.get("reason") or last.get("outcome") or last.get("code")
         status = last.get("status")
-        text = _REASONS.get(cause, f"Its last event is {last.event!r}.")
-        failed = _get_failures(self.own)
-        if failed and cause == "answered":
-            text = f"{text} Before that, attempts failed: {', '.join(failed)}."
+        text = _REASON_TEXTS.get(cause, f"Its last event is {last.event!r}.")
+        failures = _get_attempt_failures(self.own)
+        if failures and cause == "answered":
+            text = (
+                f"{text} Before that, attempts failed: {', '.join(failures)}."
+            )
         if any(line.event == "repeat_denied" for line in self.own):
-            text = f"{text} The budget of repeats was used up."
-        return f"Status {status}. {text}" if status not in _NONE else text
+            text = f"{text} The retry budget was used up."
+        return f"Status {status}. {text}" if status not in _NO_STATUS else text
 
 
-def _get_failures(own: Sequence[LogLine]) -> list[str]:
-    """Why each attempt failed after which the request was sent again."""
+def _get_attempt_failures(own: Sequence[LogLine]) -> list[str]:
+    """Returns why attempts failed before the last answer.
+
+    Returns:
+        The reason of each attempt without an answer, and the status of each
+        failed answer after which the request was retried.
+    """
     failures = []
     for line in own:
         if line.event == "attempt_failed":
@@ -133,22 +147,27 @@
     return failures
 
 
-def make_story(request_id: str, lines: Iterable[LogLine]) -> Story:
-    """Chooses the lines that tell of a request."""
+def explain_request(request_id: str, lines: Iterable[LogLine]) -> Explanation:
+    """Selects the log lines that explain a request.
+
+    Args:
+        request_id: Id of the request.
+        lines: Lines of any number of processes, in any order.
+    """
     ordered = sorted(lines, key=lambda line: line.time)
-    own = [line for line in ordered if _is_own(line, request_id)]
+    own = [line for line in ordered if _belongs_to_request(line, request_id)]
     left_out = sum(int(line.get("left_out") or 0) for line in ordered)
     if not own:
-        return Story(request_id, (), (), left_out)
+        return Explanation(request_id, (), (), left_out)
     end = own[-1].time
-    before = [line for line in ordered if line.time <= end]
+    earlier = [line for line in ordered if line.time <= end]
     context = [
-        *_get_process_lines(own, before),
-        *_get_upstream_lines(own, before),
-        *_get_service_lines(own, before),
+        *_select_process_lines(own, earlier),
+        *_select_upstream_lines(own, earlier),
+        *_select_service_lines(own, earlier),
     ]
     unique = {id(line): line for line in context if line not in own}
-    return Story(
+    return Explanation(
         request_id,
         tuple(own),
         tuple(sorted(unique.values(), key=lambda line: line.time)),
@@ -156,40 +175,52 @@
     )
 
 
-def _is_own(line: LogLine, request_id: str) -> bool:
+def _belongs_to_request(line: LogLine, request_id: str) -> bool:
     return any(
-        line.get(key).partition("/")[0] == request_id for key in _OWN_KEYS
+        line.get(key).partition("/")[0] == request_id
+        for key in _REQUEST_ID_KEYS
     )
 
 
-def _get_process_lines(
-    own: Sequence[LogLine], before: Sequence[LogLine]
+def _select_process_lines(
+    own: Sequence[LogLine], earlier: Sequence[LogLine]
 ) -> list[LogLine]:
-    """The last line of each kind at each process that handled it."""
+    """Selects state lines of the processes that handled the request.
+
+    Returns:
+        For each process the last line of each event, and of each topic or
+        zone that the event names.
+    """
     last: dict[str, dict[tuple[str, str], LogLine]] = {
         line.vm: {} for line in own
     }
-    for line in before:
+    for line in earlier:
         if line.vm not in last or line.event not in _PROCESS_EVENTS:
             continue
         if line.event == "process_started":
-            # What the process before it believed is gone.
+            # The state of the process before the restart no longer applies.
             last[line.vm].clear()
-        subject = line.get("topic") or line.get("zone")
-        last[line.vm][line.event, subject] = line
+        scope = line.get("topic") or line.get("zone")
+        last[line.vm][line.event, scope] = line
     return [line for lines in last.values() for line in lines.values()]
 
 
-def _get_upstream_lines(
-    own: Sequence[LogLine], before: Sequence[LogLine]
+def _select_upstream_lines(
+    own: Sequence[LogLine], earlier: Sequence[LogLine]
 ) -> list[LogLine]:
-    """What was known of its upstreams, and how other requests fared there."""
+    """Selects lines about the upstreams of the request.
+
+    Returns:
+        The last state lines of these upstreams at the processes that handled
+        the request, and the last failed attempt of each reason at any process,
+        which shows how the upstreams handled other requests.
+    """
     names: set[str] = set()
     for line in own:
         names.update(filter(None, line.get("upstreams").split(",")))
         names.update(filter(None, (line.get("upstream"),)))
     last: dict[tuple[str, ...], LogLine] = {}
-    for line in before:
+    for line in earlier:
         name = line.get("upstream")
         if name not in names:
             continue
@@ -205,14 +236,14 @@
     ]
 
 
-def _get_service_lines(
-    own: Sequence[LogLine], before: Sequence[LogLine]
+def _select_service_lines(
+    own: Sequence[LogLine], earlier: Sequence[LogLine]
 ) -> list[LogLine]:
     services = {line.get("service") for line in own} - {""}
     processes = {line.vm for line in own}
     last = {
         (line.vm, line.event): line
-        for line in before
+        for line in earlier
         if line.event in _SERVICE_EVENTS
         and line.vm in processes
         and line.get("service") in services
@@ -220,24 +251,25 @@
     return list(last.values())
 
 
-def _conclude_without_lines(left_out: int) -> str:
+def _explain_missing_lines(left_out: int) -> str:
     if left_out:
         return (
-            f"No line tells of it, but {left_out} lines were left out to"
-            " bound the volume; look at the metrics of that time."
+            f"No line has this request id, but {left_out} lines were left out"
+            " to bound the volume; look at the metrics of that time."
         )
     return (
-        "No line tells of it: it reached no process whose log is given. Look"
-        " for a process that was between its end and process_started."
+        "No line has this request id: the request reached no process whose"
+        " log is given. Look for a process that was not running, between its"
+        " end and its next process_started."
     )
 
 
-def format_story(story: Story) -> str:
-    """Formats a story for a terminal."""
-    parts = [f"request {story.request_id}: {story.conclusion}"]
+def format_explanation(explanation: Explanation) -> str:
+    """Formats an explanation for a terminal."""
+    parts = [f"request {explanation.request_id}: {explanation.conclusion}"]
     for title, lines in (
-        ("what happened", story.own),
-        ("what was believed, and what happened around it", story.context),
+        ("lines of the request", explanation.own),
+        ("state of the processes, and related events", explanation.context),
     ):
         if lines:
             parts += ["", title, *(f"  {_format_line(line)}" for line in lines)]
@@ -245,11 +277,11 @@
 
 
 def _format_line(line: LogLine) -> str:
-    hidden = {"time", "event", "vm", "level", "name", "request"}
+    hidden_fields = {"time", "event", "vm", "level", "name", "request"}
     fields = " ".join(
         f"{key}={value}"
         for key, value in line.fields.items()
-        if key not in hidden
+        if key not in hidden_fields
     )
     return f"{line.time} {line.vm} {line.event} {fields}"
 
@@ -258,38 +290,38 @@
     commands: argparse._SubParsersAction[argparse.ArgumentParser],
 ) -> None:
     """Adds `explain` to the command line."""
-    text = "tell what happened to a request, from the processes' logs"
+    text = "explain what happened to a request, from the logs of the processes"
     parser = commands.add_parser("explain", help=text, description=text)
     parser.add_argument("request", metavar="REQUEST_ID")
     parser.add_argument(
         "files",
         nargs="+",
         metavar="FILE",
-        help="logs of any number of processes; - for standard input",
+        help="log files of any number of processes; - for standard input",
     )
     parser.add_argument("--json", action="store_true", help="print JSON")
     parser.set_defaults(run=run_explain)
 
 
 def run_explain(options: argparse.Namespace) -> int:
-    """Prints the story; fails where no line tells of the request.
+    """Prints the explanation; returns 1 where no line has the request id.
 
     Raises:
-        LogFileError: A file can't be read.
+        LogFileError: A log file cannot be read.
     """
-    story = make_story(options.request, read_logs(options.files))
+    explanation = explain_request(options.request, read_logs(options.files))
     if options.json:
-        print_json(_make_json(story))
+        print_json(_make_json(explanation))
     else:
-        print(format_story(story))
-    return 0 if story.own else EXIT_FAILURE
+        print(format_explanation(explanation))
+    return 0 if explanation.own else EXIT_FAILURE
 
 
 def read_logs(paths: Sequence[str]) -> list[LogLine]:
-    """Reads the lines of log files; `-` is standard input.
+    """Reads the events of log files; the path `-` is standard input.
 
     Raises:
-        LogFileError: A file can't be read.
+        LogFileError: A log file cannot be read.
     """
     lines: list[LogLine] = []
     for path in paths:
@@ -304,11 +336,11 @@
     return lines
 
 
-def _make_json(story: Story) -> dict[str, object]:
+def _make_json(explanation: Explanation) -> dict[str, object]:
     return {
-        "request": story.request_id,
-        "conclusion": story.conclusion,
-        "own": [dict(line.fields) for line in story.own],
-        "context": [dict(line.fields) for line in story.context],
-        "left_out": story.left_out,
+        "request": explanation.request_id,
+        "conclusion": explanation.conclusion,
+        "own": [dict(line.fields) for line in explanation.own],
+        "context": [dict(line.fields) for line in explanation.context],
+        "left_out": explanation.left_out,
     }
--- a/src/lovagestage/operations/operator_client.py
+++ b/src/lovagestage/operations/operator_client.py
@@ -1,4 +1,4 @@
-"""What the operators' commands do, apart from reading and printing."""
+"""Client of the operators' commands: reads and changes the control log."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     SettingsError,
 )
 from lovagestage.messages.envelope import DumpAnswer, DumpRequest, Message
-from lovagestage.operations.checks import Fault, get_faults
+from lovagestage.operations.checks import Fault, find_faults
 from lovagestage.settings import BusSettings, OperatorSettings
 from lovagestage.state.document import ServiceDocument
 from lovagestage.state.operators import sign_change
@@ -45,20 +45,20 @@
 
 CATCH_UP_TIMEOUT_S = 15.0
 DUMP_TIMEOUT_S = 3.0
-READ_LIMIT = 500
-MAX_EDIT_TRIES = 5
+RECORDS_PER_READ = 500
+MAX_EDIT_ATTEMPTS = 5
 
 Edit = Callable[[ServiceDocument], ServiceDocument]
 
 
 @dataclasses.dataclass(frozen=True)
 class PutResult:
-    """What became of an operator's change.
+    """Result of a change that an operator appended.
 
     Attributes:
-        change_id: Names the change; to be asked about later.
-        outcome: Accepted or not.
-        revision: Revision in force after it.
+        change_id: Id of the change, by which its result can be queried later.
+        outcome: Whether the change was accepted, or why it was not.
+        revision: Revision in force after the change.
     """
 
     change_id: ChangeId
@@ -68,15 +68,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class HistoryEntry:
-    """A change that the log still has.
+    """A change whose record the log still retains.
 
     Attributes:
-        offset: Offset of its record.
-        change_id: Names the change.
-        author: Operator who made it.
-        base: Revision that it edited.
-        outcome: What became of it; `unknown` where that has been dropped.
-        revision: Revision in force after it.
+        offset: Offset of the change's record.
+        change_id: Id of the change.
+        author: Operator who made the change.
+        base: Revision that the change edited.
+        outcome: Outcome of the change; `unknown` where the folded state no
+            longer has it.
+        revision: Revision in force after the change; 0 where the outcome is
+            unknown.
     """
 
     offset: int
@@ -89,15 +91,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class ProcessStatus:
-    """What one process says of the configuration.
+    """Configuration that one process reports.
 
     Attributes:
-        vm: Its VM.
-        role: Its role.
-        zone: Its availability zone.
-        heard: Whether it answered.
-        offset: Next offset of its fold.
-        state_hash: Hash of its folded state.
+        vm: VM of the process.
+        role: Role of the process.
+        zone: Availability zone of the process.
+        heard: Whether the process answered in time.
+        offset: Next offset of the control stream that the process will fold.
+        state_hash: Hash of the folded state of the process.
         behind: Whether an accepted revision is not yet in force there.
     """
 
@@ -111,11 +113,14 @@
 
 
 class OperatorClient:
-    """Reads and changes documents through the log.
+    """Reads and changes service documents through the control log.
 
     Args:
-        settings: The operator's settings.
-        session: HTTP client.
+        settings: Settings of the operator.
+        session: HTTP client session for the log and the VM list.
+
+    Attributes:
+        control: Reader that folds the control stream.
     """
 
     def __init__(
@@ -133,35 +138,36 @@
         self._writer = ControlWriter(self._log, self.control)
 
     async def catch_up(self) -> None:
-        """Waits until the end of the log has been read.
+        """Waits until the control stream has been read to its end.
 
         Raises:
-            LogUnavailableError: It was not reached in time.
+            LogUnavailableError: The end was not reached within
+                `CATCH_UP_TIMEOUT_S`.
         """
-        end_s = time.monotonic() + CATCH_UP_TIMEOUT_S
+        deadline_s = time.monotonic() + CATCH_UP_TIMEOUT_S
         while not self.control.caught_up:
-            left_s = end_s - time.monotonic()
-            if left_s <= 0:
+            remaining_s = deadline_s - time.monotonic()
+            if remaining_s <= 0:
                 raise LogUnavailableError(
                     "The end of the log was not reached within"
                     f" {CATCH_UP_TIMEOUT_S:g} s; the reader is"
                     f" {self.control.follow_state.value}."
                 )
-            await self.control.wait_changed(min(left_s, 0.1))
+            await self.control.wait_changed(min(remaining_s, 0.1))
 
     def get_document(self, service: str) -> tuple[int, ServiceDocument]:
-        """Revision and document in force.
+        """Returns the revision and the document of a service in force.
 
         Raises:
-            ServiceUnknownError: There is none.
+            ServiceUnknownError: The service has no document.
         """
-        held = self.control.services.get(ServiceId(service))
-        if held is None:
+        in_force = self.control.services.get(ServiceId(service))
+        if in_force is None:
             known = sorted(self.control.services)
             raise ServiceUnknownError(
                 f"There is no service {service!r}; expected one of {known}."
             )
-        return held.revision, held.document
+        return in_force.revision, in_force.document
 
     async def put(
         self,
@@ -171,13 +177,19 @@
     ) -> PutResult:
         """Checks, signs and appends a document.
 
+        Args:
+            document: New document of its service.
+            base: Revision that the document was edited from.
+            change_id: Id of an earlier change that is sent again; a new id
+                is made without it.
+
         Raises:
             DocumentInvalidError: The document has faults; nothing was
                 appended.
-            LogUnavailableError: It was certainly not appended.
-            ChangeUnknownError: It may have been appended.
+            LogUnavailableError: The change was certainly not appended.
+            ChangeUnknownError: The change may have been appended.
         """
-        faults = get_faults(document)
+        faults = find_faults(document)
         if faults:
             raise DocumentInvalidError(format_faults(faults))
         change = DocumentChange(
@@ -190,12 +202,17 @@
         return _make_result(change, await self._append(change))
 
     async def edit(self, service: str, edit: Edit) -> PutResult:
-        """Edits the document in force, again where another edit won.
+        """Edits the document in force; retries after a conflicting change.
 
-        A thin edit says what is wanted of one part, so it holds on a later
-        revision as well; a whole document does not, and `put` never rebases.
+        An edit sets only one part of a document, so it is also valid for a
+        later revision and is applied to it after a conflict. A whole document
+        is not valid for a later revision, so `put` never rebases it.
+
+        Returns:
+            Result of the last attempt; there are at most
+            `MAX_EDIT_ATTEMPTS`.
         """
-        for _ in range(MAX_EDIT_TRIES):
+        for _ in range(MAX_EDIT_ATTEMPTS):
             revision, document = self.get_document(service)
             result = await self.put(edit(document), revision)
             if result.outcome is not Outcome.CONFLICT:
@@ -203,52 +220,58 @@
         return result
 
     async def put_operators(self, change: OperatorsChange) -> PutResult:
-        """Signs with the settings' key and appends a list of operators."""
+        """Signs a list of operators with the settings' key and appends it."""
         return _make_result(change, await self._append(change))
 
     def get_result(self, change_id: str) -> ChangeResult | None:
-        """What became of a change; None where it is not in the log."""
+        """Returns the result of a change; None where the result is unknown."""
         return self.control.folded.get_result(ChangeId(change_id))
 
     async def get_history(self, service: str) -> list[HistoryEntry]:
-        """Changes of a service that the log still has, oldest first."""
+        """Returns the changes of a service in the log, oldest first."""
         entries = []
         start = Offset(0)
         while start < self.control.folded.next_offset:
             try:
                 page = await self._log.read(
-                    CONTROL_STREAM, start, READ_LIMIT, 0.0
+                    CONTROL_STREAM, start, RECORDS_PER_READ, 0.0
                 )
             except BelowHorizonError as error:
-                # Records expire, also between two reads.
+                # Records expire in the log, even between two reads.
                 start = Offset(error.first_offset)
                 continue
             if not page.records:
                 break
             for offset, data in page.records:
-                entry = self._make_entry(offset, data, service)
+                entry = self._make_history_entry(offset, data, service)
                 if entry is not None:
                     entries.append(entry)
             start = Offset(page.records[-1][0] + 1)
         return entries
 
     async def get_status(self) -> list[ProcessStatus]:
-        """Asks each process of the VM list how far it is."""
+        """Queries the configuration in force at each process of the VM list."""
         vms = await self._vms.get_vms()
-        return list(await asyncio.gather(*(self._ask(vm) for vm in vms)))
+        return list(
+            await asyncio.gather(*(self._query_process(vm) for vm in vms))
+        )
 
     async def get_dump(self, address: str) -> bytes:
-        """One process's whole state as JSON.
+        """Returns the whole state of one process as JSON.
+
+        Args:
+            address: `HOST:PORT` of the process's listener.
 
         Raises:
-            ProcessSilentError: It did not answer in time.
+            ProcessSilentError: The process did not answer in time.
+            SettingsError: The settings have no `bus`.
         """
         bus = self._settings.bus
         if bus is None:
             raise SettingsError(
                 "operator settings", 1, "bus", "expected this key."
             )
-        return await ask_dump(bus, address)
+        return await request_dump(bus, address)
 
     async def _append(
         self, change: DocumentChange | OperatorsChange
@@ -257,7 +280,7 @@
             change = sign_change(change, self._settings.signing_key)
         return await self._writer.append(change)
 
-    def _make_entry(
+    def _make_history_entry(
         self, offset: Offset, data: bytes, service: str
     ) -> HistoryEntry | None:
         try:
@@ -276,13 +299,13 @@
             result.revision if result else 0,
         )
 
-    async def _ask(self, vm: Vm) -> ProcessStatus:
+    async def _query_process(self, vm: Vm) -> ProcessStatus:
         try:
             state = json.loads(await self.get_dump(vm.bus))
         except ProcessSilentError:
             return ProcessStatus(vm.vm, vm.role.value, vm.zone, False)
         control = state["control"]
-        mine = self.control.folded
+        folded = self.control.folded
         return ProcessStatus(
             vm.vm,
             vm.role.value,
@@ -291,21 +314,26 @@
             control["next_offset"],
             control["hash"],
             any(
-                control["revisions"].get(name, 0) < held.revision
-                for name, held in mine.services.items()
+                control["revisions"].get(name, 0) < in_force.revision
+                for name, in_force in folded.services.items()
             ),
         )
 
 
-async def ask_dump(bus: BusSettings, address: str) -> bytes:
-    """Asks one process for its state over a connection of its own.
+async def request_dump(bus: BusSettings, address: str) -> bytes:
+    """Requests the state of one process over new connections.
 
     Args:
-        bus: Keys; each accepted key is tried as the other's key.
+        bus: Bus settings. A connection is opened for each accepted key, since
+            any of them may be the key of the process.
         address: `HOST:PORT` of the process's listener.
 
+    Returns:
+        State of the process as JSON.
+
     Raises:
-        ProcessSilentError: It did not answer in time.
+        ProcessSilentError: The process did not answer within
+            `DUMP_TIMEOUT_S`.
     """
     context: zmq.Context[zmq.Socket[bytes]] = zmq.Context()
     answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
@@ -337,7 +365,11 @@
 async def open_client(
     settings: OperatorSettings,
 ) -> AsyncIterator[OperatorClient]:
-    """A client that has read the log to its end."""
+    """Opens a client that has read the control stream to its end.
+
+    Raises:
+        LogUnavailableError: The end was not reached in time.
+    """
     async with aiohttp.ClientSession() as session:
         client = OperatorClient(settings, session)
         await client.control.start()
@@ -348,10 +380,10 @@
             await client.control.stop()
 
 
-def get_services_of(
+def find_services_with_version(
     services: dict[ServiceId, ServiceDocument], version: str
 ) -> list[ServiceId]:
-    """Services whose document has a version."""
+    """Returns the services whose document contains a version."""
     return [
         name
         for name, document in services.items()
@@ -360,7 +392,7 @@
 
 
 def format_faults(faults: list[Fault]) -> str:
-    """One line a fault."""
+    """Formats faults for a terminal, one on each line."""
     return "\n".join(f"{fault.path}: {fault.reason}" for fault in faults)
 
 
--- a/src/lovagestage/operations/printing.py
+++ b/src/lovagestage/operations/printing.py
@@ -1,4 +1,4 @@
-"""How the operators' commands print what they found."""
+"""Output of the operators' commands: JSON, and columns for a terminal."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def format_document(document: ServiceDocument) -> str:
-    """A document as indented JSON."""
+    """Formats a service document as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(document), indent=2).decode()
 
 
 def print_result(result: PutResult, as_json: bool) -> int:
-    """Prints what became of a change; returns the exit code."""
+    """Prints the outcome of a change and returns the exit code for it."""
     if as_json:
         print_json(msgspec.to_builtins(result))
     else:
@@ -38,12 +38,12 @@
 
 
 def print_json(value: Any) -> None:
-    """Prints one JSON value."""
+    """Prints a value as indented JSON."""
     print(json.dumps(value, indent=2))
 
 
 def print_rows(rows: list[dict[str, Any]], as_json: bool) -> None:
-    """Prints rows as JSON, or as columns for a terminal."""
+    """Prints rows as JSON, or as aligned columns for a terminal."""
     if as_json:
         print_json(rows)
         return
--- a/src/lovagestage/operations/usage.py
+++ b/src/lovagestage/operations/usage.py
@@ -1,4 +1,4 @@
-"""The `usage` command: sums the billing stream."""
+"""The `usage` command: sums the bills of the billing stream."""
 
 from __future__ import annotations
 
@@ -27,12 +27,18 @@
 if TYPE_CHECKING:
     from lovagestage.adapters.http_log import HttpLog
 
-READ_LIMIT = 500
+RECORDS_PER_READ = 500
 
 
 @dataclasses.dataclass(frozen=True, order=True)
 class UsageKey:
-    """What usage is summed by; `day` is a UTC date, YYYY-MM-DD."""
+    """Key by which usage is summed.
+
+    Attributes:
+        day: UTC date of the bills, YYYY-MM-DD.
+        workspace: Workspace that is billed.
+        version: Model version that ran the requests.
+    """
 
     day: str
     workspace: str
@@ -41,7 +47,7 @@
 
 @dataclasses.dataclass
 class UsageSum:
-    """Usage of one key."""
+    """Summed usage of one key: requests and their tokens."""
 
     requests: int = 0
     prompt_tokens: int = 0
@@ -50,7 +56,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Filter:
-    """Which bills are summed; None stands for all."""
+    """Selects the bills that are summed.
+
+    Attributes:
+        workspace: Workspace of the bills; None for all workspaces.
+        day: UTC date of the bills, YYYY-MM-DD; None for all days.
+    """
 
     workspace: str | None = None
     day: str | None = None
@@ -58,13 +69,14 @@
 
 @dataclasses.dataclass
 class Totals:
-    """What one reading of the stream gave.
+    """Result of reading the billing stream.
 
     Attributes:
         sums: Usage by key.
-        duplicates: Bills left out because their request was counted.
-        undecodable: Records that are no batch of bills.
-        expired: Records of the stream that the log no longer has.
+        duplicates: Number of bills whose request had already been counted;
+            only one bill of a request is summed.
+        undecodable: Number of records that are not a batch of bills.
+        expired: Number of records of the stream that the log no longer has.
     """
 
     sums: dict[UsageKey, UsageSum] = dataclasses.field(default_factory=dict)
@@ -74,19 +86,22 @@
 
 
 class UsageCounter:
-    """Sums bills, each request once.
+    """Sums bills and counts each request once.
 
-    It remembers the ids of one share of the requests at a time: `passes`
-    readings of the stream bound memory to a share of the ids and stay exact.
+    The counter holds the request ids of one share of the requests at a time.
+    The stream is read `passes` times, once for each share, so that memory is
+    limited to the ids of a share and the sums stay exact.
 
     Args:
-        wanted: Which bills are summed.
-        passes: Number of shares.
-        totals: Where sums go, over all shares.
+        bill_filter: Selects the bills that are summed.
+        passes: Number of shares, and of passes over the stream.
+        totals: Object to which the sums of all shares are added.
     """
 
-    def __init__(self, wanted: Filter, passes: int, totals: Totals) -> None:
-        self._wanted = wanted
+    def __init__(
+        self, bill_filter: Filter, passes: int, totals: Totals
+    ) -> None:
+        self._bill_filter = bill_filter
         self._passes = passes
         self._totals = totals
         self._share = 0
@@ -94,34 +109,44 @@
         self._cancelled: dict[str, Bill] = {}
 
     def start_pass(self, share: int) -> None:
-        """Goes on with another share of the requests, from 0."""
+        """Starts a pass over the stream for one share of the requests.
+
+        Args:
+            share: Index of the share, from 0.
+        """
         self._share = share
         self._finished = set()
         self._cancelled = {}
 
     def add(self, data: bytes) -> None:
-        """Counts the bills of a record that are of the present share."""
+        """Adds the bills of a record that belong to the current share.
+
+        Args:
+            data: Record of the billing stream, an encoded batch of bills.
+        """
         try:
             bills = decode_batch(data)
         except CodecError:
             self._totals.undecodable += self._share == 0
             return
         for bill in bills:
-            if self._is_wanted(bill):
-                self._count(bill)
+            if self._is_selected(bill):
+                self._count_bill(bill)
 
-    def _is_wanted(self, bill: Bill) -> bool:
+    def _is_selected(self, bill: Bill) -> bool:
         if self._passes > 1:
             digest = zlib.crc32(bill.request_id.encode())
             if digest % self._passes != self._share:
                 return False
-        return self._wanted.workspace in (None, bill.workspace)
-
-    def _count(self, bill: Bill) -> None:
-        # A caller leaves and is billed for what it had; its retry with the
-        # same key gets the whole answer, billed under the same id, perhaps on
-        # another day and from another entry, so in either order. The whole
-        # answer is what the request cost.
+        return self._bill_filter.workspace in (None, bill.workspace)
+
+    def _count_bill(self, bill: Bill) -> None:
+        # The request of a caller that disconnects is billed for the tokens
+        # that had reached the entry. A retry with the same idempotency key
+        # gets the whole answer, which is billed under the same request id,
+        # perhaps on another day and by another entry, so the two bills arrive
+        # in either order. The bill of the whole answer is the cost of the
+        # request.
         name = bill.request_id
         earlier = self._cancelled.get(name)
         if name in self._finished:
@@ -129,19 +154,19 @@
             return
         if earlier is not None:
             self._totals.duplicates += 1
-            if _get_rank(bill) <= _get_rank(earlier):
+            if _get_bill_rank(bill) <= _get_bill_rank(earlier):
                 return
-            self._add(earlier, -1)
+            self._add_usage(earlier, -1)
             del self._cancelled[name]
         if bill.outcome is BillOutcome.FINISHED:
             self._finished.add(name)
         else:
             self._cancelled[name] = bill
-        self._add(bill, 1)
+        self._add_usage(bill, 1)
 
-    def _add(self, bill: Bill, sign: int) -> None:
-        day = get_day(bill.at_s)
-        if self._wanted.day not in (None, day):
+    def _add_usage(self, bill: Bill, sign: int) -> None:
+        day = get_utc_date(bill.at_s)
+        if self._bill_filter.day not in (None, day):
             return
         key = UsageKey(day, bill.workspace, bill.version)
         total = self._totals.sums.setdefault(key, UsageSum())
@@ -152,13 +177,13 @@
             del self._totals.sums[key]
 
 
-def _get_rank(bill: Bill) -> tuple[bool, int, int]:
+def _get_bill_rank(bill: Bill) -> tuple[bool, int, int]:
     is_finished = bill.outcome is BillOutcome.FINISHED
     return is_finished, bill.completion_tokens, -bill.at_s
 
 
-def get_day(at_s: int) -> str:
-    """UTC date of a Unix time, YYYY-MM-DD."""
+def get_utc_date(at_s: int) -> str:
+    """Formats a Unix time in seconds as its UTC date, YYYY-MM-DD."""
     at = datetime.datetime.fromtimestamp(at_s, datetime.UTC)
     return at.date().isoformat()
 
@@ -167,27 +192,31 @@
     commands: argparse._SubParsersAction[argparse.ArgumentParser],
 ) -> None:
     """Adds `usage` to the command line."""
-    text = "sum what workspaces used, by day and version"
-    command = commands.add_parser("usage", help=text, description=text)
+    description = "sum the usage of workspaces by day and version"
+    command = commands.add_parser(
+        "usage", help=description, description=description
+    )
     source = command.add_mutually_exclusive_group(required=True)
     source.add_argument("--settings", type=pathlib.Path, metavar="FILE")
-    source.add_argument("--log", metavar="URL", help="URL of the log")
+    source.add_argument("--log", metavar="URL", help="URL of the log service")
     command.add_argument("--workspace")
-    command.add_argument("--day", metavar="YYYY-MM-DD", help="UTC day")
+    command.add_argument(
+        "--day", metavar="YYYY-MM-DD", help="only this UTC day"
+    )
     command.add_argument(
         "--passes",
         type=int,
         default=1,
-        help="readings of the stream; more of them take less memory",
+        help="number of passes over the stream; more passes use less memory",
     )
     command.add_argument("--json", action="store_true")
-    command.set_defaults(run=_run)
+    command.set_defaults(run=_run_usage)
 
 
-def _run(options: argparse.Namespace) -> int:
+def _run_usage(options: argparse.Namespace) -> int:
     url = options.log or _get_log_url(options.settings)
-    wanted = Filter(options.workspace, options.day)
-    totals = asyncio.run(_read(url, wanted, max(options.passes, 1)))
+    bill_filter = Filter(options.workspace, options.day)
+    totals = asyncio.run(_sum_stream(url, bill_filter, max(options.passes, 1)))
     print(format_json(totals) if options.json else format_table(totals))
     return EXIT_INVALID if totals.undecodable else 0
 
@@ -198,29 +227,29 @@
     return get_settings(path).platform.log_url
 
 
-async def _read(url: str, wanted: Filter, passes: int) -> Totals:
+async def _sum_stream(url: str, bill_filter: Filter, passes: int) -> Totals:
     import aiohttp
 
     from lovagestage.adapters.http_log import HttpLog
 
     totals = Totals()
-    counter = UsageCounter(wanted, passes, totals)
+    counter = UsageCounter(bill_filter, passes, totals)
     async with aiohttp.ClientSession() as session:
         log = HttpLog(session, url)
         end = None
         for share in range(passes):
             counter.start_pass(share)
-            end = await _read_once(log, counter, totals, end)
+            end = await _read_pass(log, counter, totals, end)
     return totals
 
 
-async def _read_once(
+async def _read_pass(
     log: HttpLog, counter: UsageCounter, totals: Totals, end: Offset | None
 ) -> Offset:
     offset = Offset(0)
     while True:
         try:
-            page = await log.read(BILLING_STREAM, offset, READ_LIMIT, 0.0)
+            page = await log.read(BILLING_STREAM, offset, RECORDS_PER_READ, 0.0)
         except BelowHorizonError as error:
             totals.expired = error.first_offset
             offset = Offset(error.first_offset)
@@ -235,7 +264,7 @@
 
 
 def format_json(totals: Totals) -> str:
-    """Formats the sums as one JSON object."""
+    """Formats the totals as one JSON object."""
     rows = [
         dataclasses.asdict(key) | dataclasses.asdict(total)
         for key, total in sorted(totals.sums.items())
@@ -251,7 +280,7 @@
 
 
 def format_table(totals: Totals) -> str:
-    """Formats the sums for a terminal."""
+    """Formats the totals as a table for a terminal."""
     layout = "{:<10} {:<24} {:<16} {:>9} {:>12} {:>12}"
     lines = [
         layout.format(
--- a/src/lovagestage/telemetry/__init__.py
+++ b/src/lovagestage/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics of entries and sidecars."""
+"""Log output, log parsing and metrics of the processes."""
--- a/src/lovagestage/telemetry/loglines.py
+++ b/src/lovagestage/telemetry/loglines.py
@@ -1,4 +1,4 @@
-"""Reads log lines back: key=value pairs or JSON, one event a line."""
+"""Parses log lines: key=value pairs or JSON, one event on each line."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 import re
 from collections.abc import Iterable, Iterator, Mapping
 
-_PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
-_FIRST_KEYS = ("time=", '{"')
+_FIELD_PATTERN = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
+_LINE_STARTS = ("time=", '{"')
 
 
 @dataclasses.dataclass(frozen=True)
 class LogLine:
-    """One event of one process.
+    """One logged event of one process.
 
     Attributes:
-        time: Time of day as written; sorts as text within one day's format.
+        time: Time as written in the line. Times of the same format sort
+            as text.
         event: Name of the event.
-        vm: Process that wrote it.
-        fields: All fields as text, with the above among them.
+        vm: VM whose process wrote the line.
+        fields: All fields as text, including those above.
     """
 
     time: str
@@ -28,14 +29,15 @@
     fields: Mapping[str, str]
 
     def get(self, key: str) -> str:
-        """A field; empty where the line has none."""
+        """Returns the text of a field; empty if the line has no such field."""
         return self.fields.get(key, "")
 
 
 def parse_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Parses what can be parsed; other lines are passed over.
+    """Parses log lines and skips lines that are not events.
 
-    Collectors put names and times of their own in front of a line.
+    Text in front of the first field is ignored, because log collectors put
+    their own names and times in front of a line.
     """
     for text in lines:
         fields = _parse_fields(text.strip())
@@ -49,13 +51,13 @@
 
 
 def _parse_fields(text: str) -> dict[str, str]:
-    starts = [text.find(key) for key in _FIRST_KEYS if key in text]
+    starts = [text.find(key) for key in _LINE_STARTS if key in text]
     if not starts:
         return {}
     text = text[min(starts) :]
     if text.startswith("{"):
         return _parse_json(text)
-    return {key: _unquote(value) for key, value in _PAIR.findall(text)}
+    return {key: _unquote(value) for key, value in _FIELD_PATTERN.findall(text)}
 
 
 def _parse_json(text: str) -> dict[str, str]:
--- a/src/lovagestage/telemetry/logs.py
+++ b/src/lovagestage/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Logging: one line of key=value pairs, or JSON, for each event."""
+"""Log output: one line of key=value pairs or of JSON for each event."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 if TYPE_CHECKING:
     from lovagestage.settings import LogSettings
 
-_RENAMED = {"levelname": "level", "asctime": "time", "message": "event"}
-_FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
+_RENAMED_FIELDS = {"levelname": "level", "asctime": "time", "message": "event"}
+_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
 class KeyValueFormatter(BaseJsonFormatter):
-    """Writes the fields that the JSON formatter collects as key=value."""
+    """Formats the fields that the JSON formatter collects as key=value."""
 
     def jsonify_log_record(self, log_data: dict[str, Any]) -> str:
-        """Writes one line."""
+        """Formats the fields of one event as one line."""
         return " ".join(
             f"{key}={_format_value(value)}"
             for key, value in log_data.items()
@@ -37,11 +37,20 @@
 
 
 def start_logging(settings: LogSettings, vm: str) -> None:
-    """Sends all logging of the process to standard error."""
-    kind = JsonFormatter if settings.format == "json" else KeyValueFormatter
+    """Configures the process to write all log lines to standard error.
+
+    Args:
+        settings: Format and level of the log lines.
+        vm: VM of the process, written as a field of each line.
+    """
+    formatter_class = (
+        JsonFormatter if settings.format == "json" else KeyValueFormatter
+    )
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
-        kind(_FIELDS, rename_fields=_RENAMED, static_fields={"vm": vm})
+        formatter_class(
+            _FORMAT, rename_fields=_RENAMED_FIELDS, static_fields={"vm": vm}
+        )
     )
     root = logging.getLogger()
     root.handlers[:] = [handler]
--- a/src/lovagestage/telemetry/measurement.py
+++ b/src/lovagestage/telemetry/measurement.py
@@ -1,4 +1,4 @@
-"""What is measured of each request at the callers' API."""
+"""Metrics of the requests at the callers' API."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from lovagestage.telemetry.metrics import Metric, Metrics
 
 HEALTH_PATH = "/healthz"
-"""The balancer's checks are no requests."""
+"""Path of the load balancer's health checks, which are not measured."""
 
 
 class Measurement:
-    """One request, from its head to its end.
+    """Measures one request, from its head to its end.
 
     Args:
-        metrics: Where values are collected.
+        metrics: Collector of the values.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -28,21 +28,29 @@
         metrics.count(Metric.REQUESTS)
 
     def add_first_chunk(self) -> None:
-        """The first chunk of a streamed answer is there."""
+        """Records the time to the first chunk of a streamed answer."""
         self._metrics.time(Metric.FIRST_CHUNK, self._get_elapsed_ms())
 
     def add_attempts(self, attempts: int) -> None:
-        """Counts the attempts after the first."""
+        """Records the attempts beyond the first as retries.
+
+        Args:
+            attempts: Number of all attempts of the request.
+        """
         if attempts > 1:
             self._metrics.count(Metric.RETRIES, amount=attempts - 1)
 
     def add_refusal(self, code: str) -> None:
-        """The request is refused, or its stream ends with an error."""
+        """Records that the request was refused or its stream ended in an error.
+
+        Args:
+            code: Code of the error.
+        """
         self._is_refused = True
         self._metrics.count(Metric.REFUSALS, code)
 
     def end(self) -> None:
-        """The answer is whole, unless it ended with an error."""
+        """Records a complete answer, unless an error was recorded before."""
         if not self._is_refused:
             self._metrics.count(Metric.ANSWERS)
             self._metrics.time(Metric.TOTAL, self._get_elapsed_ms())
@@ -55,7 +63,7 @@
 
 
 def get_measurement(request: web.Request) -> Measurement:
-    """The measurement of a request that came through `Meter.measure`."""
+    """Returns the measurement that `Meter.measure` attached to a request."""
     return request[_MEASUREMENT]
 
 
@@ -63,21 +71,21 @@
     """Measures the requests of an HTTP application.
 
     Args:
-        metrics: Where values are collected.
+        metrics: Collector of the values.
     """
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def set_open_requests(self, count: int) -> None:
-        """Sets the number of requests that are open now."""
+        """Sets the gauge of the requests that are currently open."""
         self._metrics.set(Metric.OPEN_REQUESTS, count)
 
     @web.middleware
     async def measure(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Measures one request."""
+        """Measures one request as a middleware of the application."""
         if request.path == HEALTH_PATH:
             return await handler(request)
         measurement = Measurement(self._metrics)
--- a/src/lovagestage/telemetry/metrics.py
+++ b/src/lovagestage/telemetry/metrics.py
@@ -1,8 +1,9 @@
-"""Metrics: counted in the process, sent to statsd once a second.
+"""Metrics, collected in the process and sent to statsd once a second.
 
-A packet for each event would cost more than a token chunk does; counts are
-added up between sends, and of the timings a bounded sample is sent. A statsd
-that can't be found or reached costs metrics, never a request.
+A packet for each event would cost more than the handling of a token chunk.
+Counts are therefore summed between sends, and only a bounded number of timings
+is sent. If statsd cannot be found or reached, metrics are lost but no request
+is affected.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 
 SEND_INTERVAL_S = 1.0
 RESOLVE_INTERVAL_S = 30.0
-"""Time between look-ups of a host that has no address yet."""
-MAX_TIMINGS = 200
-"""Timings of one metric sent in an interval; further ones are counted only."""
+"""Seconds between look-ups of a statsd host whose address is not yet known."""
+MAX_TIMINGS_PER_SEND = 200
+"""Largest number of timings of one metric in an interval; more are dropped."""
 
 
 class MetricKind(enum.Enum):
-    """Kinds that statsd knows."""
+    """Kinds of metrics that statsd supports."""
 
     COUNTER = "counter"
     TIMER = "timer"
@@ -39,12 +40,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class MetricSpec:
-    """What a metric is.
+    """Describes a metric.
 
     Attributes:
-        kind: Kind of statsd.
-        unit: Unit of its values.
-        text: What it counts.
+        kind: Kind of the metric in statsd.
+        unit: Unit of the values.
+        text: Sentence that says what the metric measures.
     """
 
     kind: MetricKind
@@ -53,7 +54,7 @@
 
 
 class Metric(enum.Enum):
-    """All metrics; the value is the name that statsd gets."""
+    """All metrics; the value of a member is its name in statsd."""
 
     REQUESTS = "requests"
     ANSWERS = "answers"
@@ -104,44 +105,51 @@
 
 
 class Metrics:
-    """Collects values and sends them.
+    """Collects values of metrics and sends them to statsd.
 
     Args:
-        settings: Where statsd is.
-        timers: Timer service.
+        settings: Address of statsd and prefix of the names.
+        timers: Timer service that calls `send` every `SEND_INTERVAL_S`.
     """
 
     def __init__(self, settings: StatsdSettings, timers: TimerService) -> None:
         self._settings = settings
         self._client: statsd.StatsClient | None = None
         self._resolver: threading.Thread | None = None
-        self._resolve_at_s = 0.0
-        if _is_address(settings.host):
-            self._resolve()
+        self._next_resolve_s = 0.0
+        if _is_ip_address(settings.host):
+            self._create_client()
         self._counts: Counter[str] = Counter()
         self._timings: dict[str, list[float]] = {}
         self._gauges: dict[str, float] = {}
         timers.subscribe(SEND_INTERVAL_S, self.send)
 
     def count(self, metric: Metric, suffix: str = "", amount: int = 1) -> None:
-        """Adds to a counter."""
+        """Adds to a counter.
+
+        Args:
+            metric: Counter to add to.
+            suffix: Appended to the name in statsd, after a dot.
+            amount: Number that is added.
+        """
         name = f"{metric.value}.{suffix}" if suffix else metric.value
         self._counts[name] += amount
 
     def time(self, metric: Metric, value_ms: float) -> None:
-        """Adds a timing."""
+        """Adds a timing in milliseconds; drops it if too many were added."""
         values = self._timings.setdefault(metric.value, [])
-        if len(values) < MAX_TIMINGS:
+        if len(values) < MAX_TIMINGS_PER_SEND:
             values.append(value_ms)
 
     def set(self, metric: Metric, value: float) -> None:
-        """Sets a gauge."""
+        """Sets the value of a gauge, which is sent in each interval."""
         self._gauges[metric.value] = value
 
     def send(self) -> None:
-        """Sends what was collected since the last time.
+        """Sends the values collected since the last send.
 
-        It is kept, bounded, while the host has no address.
+        While the address of the statsd host is not known, the values are
+        retained; the number of retained timings is bounded.
         """
         if self._client is None:
             self._start_resolver()
@@ -159,16 +167,19 @@
 
     def _start_resolver(self) -> None:
         now_s = time.monotonic()
-        is_busy = self._resolver is not None and self._resolver.is_alive()
-        if is_busy or now_s < self._resolve_at_s:
+        is_resolving = self._resolver is not None and self._resolver.is_alive()
+        if is_resolving or now_s < self._next_resolve_s:
             return
-        self._resolve_at_s = now_s + RESOLVE_INTERVAL_S
+        self._next_resolve_s = now_s + RESOLVE_INTERVAL_S
         # The system's resolver blocks for seconds when no name server
-        # answers. A daemon thread holds up neither requests nor the exit.
-        self._resolver = threading.Thread(target=self._resolve, daemon=True)
+        # answers. A daemon thread delays neither requests nor the exit of the
+        # process.
+        self._resolver = threading.Thread(
+            target=self._create_client, daemon=True
+        )
         self._resolver.start()
 
-    def _resolve(self) -> None:
+    def _create_client(self) -> None:
         settings = self._settings
         try:
             self._client = statsd.StatsClient(
@@ -181,7 +192,7 @@
             )
 
 
-def _is_address(host: str) -> bool:
+def _is_ip_address(host: str) -> bool:
     try:
         ipaddress.ip_address(host)
     except ValueError:
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Deep checks of service documents."""
+"""Checks of the contents of service documents."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lovagestage.operations.checks import get_faults
+from lovagestage.operations.checks import find_faults
 from lovagestage.settings import parse_file
 from lovagestage.state.document import ServiceDocument
 
@@ -17,25 +17,25 @@
 ROLLOUT = {"old": "large@1", "new": "large@2", "steps": [0.1, 1]}
 
 
-def load(path=EXAMPLES[-1]) -> dict:
+def load_document(path=EXAMPLES[-1]) -> dict:
     return msgspec.to_builtins(parse_file(path, ServiceDocument))
 
 
-def check(raw: dict) -> list[str]:
-    return [f.path for f in get_faults(msgspec.convert(raw, ServiceDocument))]
+def find_fault_paths(raw: dict) -> list[str]:
+    return [f.path for f in find_faults(msgspec.convert(raw, ServiceDocument))]
 
 
-def change(raw: dict, path: tuple, value: object) -> dict:
-    place = raw
+def set_value(raw: dict, path: tuple, value: object) -> dict:
+    container = raw
     for key in path[:-1]:
-        place = place[key]
-    place[path[-1]] = value
+        container = container[key]
+    container[path[-1]] = value
     return raw
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda p: p.stem)
 def test_examples_have_no_fault(path):
-    assert check(load(path)) == []
+    assert find_fault_paths(load_document(path)) == []
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
     ],
 )
 def test_fault_is_found_at_its_path(path, value, fault):
-    found = check(change(load(), path, value))
+    found = find_fault_paths(set_value(load_document(), path, value))
     if fault is None:
         assert found == []
     else:
@@ -110,10 +110,10 @@
 
 
 def test_rollout_without_a_good_version_to_go_back_to_is_refused():
-    raw = change(load(), ("rollouts", "large"), ROLLOUT)
-    assert check(raw) == []
+    raw = set_value(load_document(), ("rollouts", "large"), ROLLOUT)
+    assert find_fault_paths(raw) == []
     raw["versions"][1]["state"] = "withdrawn"
-    assert "rollouts.large.old" in check(raw)
+    assert "rollouts.large.old" in find_fault_paths(raw)
 
 
 @given(
@@ -124,10 +124,10 @@
     )
 )
 def test_any_json_is_refused_by_type_or_checked_without_a_crash(value):
-    raw = load()
+    raw = load_document()
     raw["classes"]["default"] = value
     try:
         document = msgspec.convert(raw, ServiceDocument, strict=True)
     except msgspec.ValidationError:
         return
-    assert isinstance(get_faults(document), list)
+    assert isinstance(find_faults(document), list)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The `explain` command, on logs as processes write them."""
+"""The `explain` command, on log lines in the format of the processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from lovagestage.cli import main
 from lovagestage.exceptions import EXIT_FAILURE
-from lovagestage.operations.explain import make_story
+from lovagestage.operations.explain import explain_request
 from lovagestage.telemetry.loglines import parse_lines
 
 LOG = """\
@@ -30,52 +30,55 @@
 """
 
 
-def make_log_story(request_id, log=LOG):
-    return make_story(request_id, parse_lines(log.splitlines()))
+def explain_log(request_id, log=LOG):
+    return explain_request(request_id, parse_lines(log.splitlines()))
 
 
 def test_story_has_the_request_and_what_explains_it():
-    story = make_log_story("r1")
-    assert [line.event for line in story.own] == [
+    explanation = explain_log("r1")
+    assert [line.event for line in explanation.own] == [
         "attempt_failed",
         "request_ended",
     ]
-    events = [(line.vm, line.event) for line in story.context]
+    events = [(line.vm, line.event) for line in explanation.context]
     assert events == [
         ("a", "process_started"),
         ("a", "configuration_applied"),
         ("a", "upstream_added"),
         ("b", "attempt_failed"),
     ]
-    assert "Status 503" in story.conclusion
-    assert "has not run" in story.conclusion
+    assert "Status 503" in explanation.conclusion
+    assert "has not run" in explanation.conclusion
 
 
 def test_story_leaves_out_what_an_earlier_process_believed():
-    # The store was lost and the process restarted before the request came:
-    # the new process has read everything anew, so the loss explains nothing.
-    story = make_log_story("r1")
-    assert not any(line.event == "store_lost" for line in story.context)
+    # The process lost its connection to the store and restarted before the
+    # request arrived. The new process has read the configuration again, so the
+    # earlier loss does not explain the outcome and must not be listed.
+    explanation = explain_log("r1")
+    assert not any(line.event == "store_lost" for line in explanation.context)
 
 
 def test_story_tells_each_topic_that_was_lost():
-    # Only the loss of the operators' topic ends the trust in keys; a later
-    # loss of another topic must not hide it.
+    # Only the loss of the operators' topic makes keys invalid for lack of
+    # confirmation. A later loss of another topic must not hide that line.
     log = LOG.replace(
         "time=02.1 event=configuration_applied vm=a version=4",
         "time=02.1 event=store_lost vm=a topic=op\n"
         "time=02.2 event=store_lost vm=a topic=notes",
     )
-    story = make_log_story("r1", log)
-    lost = [line for line in story.context if line.event == "store_lost"]
-    assert [line.get("topic") for line in lost] == ["op", "notes"]
+    explanation = explain_log("r1", log)
+    store_losses = [
+        line for line in explanation.context if line.event == "store_lost"
+    ]
+    assert [line.get("topic") for line in store_losses] == ["op", "notes"]
 
 
 def test_answered_request_names_the_attempts_before():
     log = LOG.replace(
         "outcome=refused status=503", "outcome=answered status=200"
     )
-    conclusion = make_log_story("r1", log).conclusion
+    conclusion = explain_log("r1", log).conclusion
     assert conclusion.startswith("Status 200.")
     assert "attempts failed: refused" in conclusion
 
@@ -86,17 +89,18 @@
 time=2 event=answer_failed vm=a request=r2 upstream=u2 status=503 next=pass_on
 time=3 event=request_ended vm=a request=r2 outcome=answered status=503
 """
-    conclusion = make_log_story("r2", log).conclusion
+    conclusion = explain_log("r2", log).conclusion
     assert "attempts failed: status 500." in conclusion
 
 
 def test_request_without_an_answer_has_no_status():
     log = LOG.replace("outcome=refused status=503", "outcome=stopped status=0")
-    assert make_log_story("r1", log).conclusion.startswith("The gateway's time")
+    assert explain_log("r1", log).conclusion.startswith("The gateway's time")
 
 
 def test_reader_that_has_seen_enough_gets_no_stack_trace(tmp_path):
-    # The story is piped into a command that closes its end after a line.
+    # The output is piped into a command that has closed its end of the pipe.
+    # The write then fails, and the failure must not print a stack trace.
     path = tmp_path / "a.log"
     path.write_text(LOG)
     command = [sys.executable, "-m", "lovagestage", "explain", "r1", str(path)]
@@ -113,9 +117,11 @@
     ("extra", "hint"), [("", "process_started"), ("left_out=7", "left out")]
 )
 def test_unknown_request_says_what_to_look_at(extra, hint):
-    story = make_log_story("nobody", LOG.replace("address=x", extra or "a=b"))
-    assert story.own == ()
-    assert hint in story.conclusion
+    explanation = explain_log(
+        "nobody", LOG.replace("address=x", extra or "a=b")
+    )
+    assert explanation.own == ()
+    assert hint in explanation.conclusion
 
 
 def test_json_lines_are_read_too():
@@ -147,8 +153,9 @@
 
 
 def test_story_tells_that_the_budget_of_repeats_was_used_up():
-    # An upstream crashed and started again under its id; so many requests
-    # failed with it that this one could not be sent to another.
+    # An upstream crashed and restarted under its id. So many requests failed
+    # because of the crash that the retry budget was used up, and this request
+    # could not be sent to another upstream.
     log = (
         "time=01.0 event=upstream_restarted vm=a upstream=u1 born=2 before=1\n"
         "time=02.0 event=attempt_failed vm=a request=r1 upstream=u1"
@@ -157,9 +164,11 @@
         "time=02.1 event=request_ended vm=a request=r1 upstreams=u1"
         " outcome=connection_lost status=502\n"
     )
-    story = make_log_story("r1", log)
-    assert story.conclusion.endswith("The budget of repeats was used up.")
-    assert [line.event for line in story.context] == ["upstream_restarted"]
+    explanation = explain_log("r1", log)
+    assert explanation.conclusion.endswith("The retry budget was used up.")
+    assert [line.event for line in explanation.context] == [
+        "upstream_restarted"
+    ]
 
 
 def test_story_tells_of_emptied_zones_and_cold_upstreams():
@@ -171,8 +180,8 @@
 time=01.4 event=request_ended vm=a request=r1 outcome=upstreams_cold \
 status=503 upstreams=u1 service=s
 """
-    story = make_log_story("r1", log)
-    events = [line.event for line in story.context]
+    explanation = explain_log("r1", log)
+    events = [line.event for line in explanation.context]
     assert events.count("zone_evacuated") == 2
     assert "upstream_cold" in events
-    assert "just started" in story.conclusion
+    assert "just started" in explanation.conclusion
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as statsd gets them."""
+"""Metrics as statsd receives them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lab.shapes import SHAPES
 from lovagestage.settings import StatsdSettings
 from lovagestage.telemetry.metrics import (
-    MAX_TIMINGS,
+    MAX_TIMINGS_PER_SEND,
     SEND_INTERVAL_S,
     SPECS,
     Metric,
@@ -23,8 +23,8 @@
 from lovagestage.timers import TimerService
 
 
-def receive_all(sent: Metrics, server: socket.socket) -> list[str]:
-    sent.send()
+def send_and_receive(metrics: Metrics, server: socket.socket) -> list[str]:
+    metrics.send()
     lines: list[str] = []
     server.settimeout(0.2)
     try:
@@ -51,16 +51,16 @@
 
 
 def receive_sums(
-    server: socket.socket, wanted: dict[str, int], timeout_s: float
+    server: socket.socket, expected: dict[str, int], timeout_s: float
 ) -> tuple[dict[str, int], list[str]]:
-    """Sums counters until all that is wanted has come, and two sends more."""
+    """Sums counters until the expected ones and two more sends have arrived."""
     sums: dict[str, int] = {}
     lines: list[str] = []
     end_s = time.monotonic() + timeout_s
-    is_whole = False
+    is_complete = False
     while time.monotonic() < end_s:
-        if not is_whole and wanted.items() <= sums.items():
-            is_whole = True
+        if not is_complete and expected.items() <= sums.items():
+            is_complete = True
             end_s = time.monotonic() + 2 * SEND_INTERVAL_S
         for line in server.recv(65536).decode().split("\n"):
             name, _, rest = line.partition(":")
@@ -80,13 +80,13 @@
             assert post(fleet, "small@1") == 200
             assert post(fleet, "small@1", stream=True) == 200
             assert post(fleet, "large@1") == 403
-            wanted = {
+            expected = {
                 "p.requests": 3,
                 "p.answers": 2,
                 "p.refusals.model_not_allowed": 1,
             }
-            sums, lines = receive_sums(server, wanted, 10.0)
-    assert sums == wanted
+            sums, lines = receive_sums(server, expected, 10.0)
+    assert sums == expected
     timers = [line.partition(":")[0] for line in lines if "|ms" in line]
     assert sorted(timers) == ["p.first_chunk", "p.total", "p.total"]
     assert "p.records_refused:0|g" in lines
@@ -97,7 +97,7 @@
 def test_entry_serves_without_statsd():
     statsd = {"host": "statsd.invalid"}
     with Fleet(SHAPES["thin"], statsd=statsd) as fleet:
-        time.sleep(1.5)  # The first send has looked the host up.
+        time.sleep(1.5)  # The first send has looked up the host.
         assert post(fleet, "small@1") == 200
         assert post(fleet, "large@1") == 403
 
@@ -106,12 +106,12 @@
 async def test_unknown_host_loses_no_count_and_raises_nothing(
     monkeypatch, error
 ):
-    def fail(*args):
+    def raise_error(*args):
         raise error
 
     metrics = Metrics(StatsdSettings("statsd.invalid"), TimerService())
     with monkeypatch.context() as patch:
-        patch.setattr(socket, "getaddrinfo", fail)
+        patch.setattr(socket, "getaddrinfo", raise_error)
         metrics.count(Metric.REQUESTS)
         metrics.send()
         metrics._resolver.join()
@@ -120,33 +120,33 @@
         address = server.getsockname()
         family = (socket.AF_INET, socket.SOCK_DGRAM, 17, "", address)
         monkeypatch.setattr(socket, "getaddrinfo", lambda *args: [family])
-        metrics._resolve_at_s = 0.0
+        metrics._next_resolve_s = 0.0
         metrics.send()
         metrics._resolver.join()
-        assert "lovagestage.requests:1|c" in receive_all(metrics, server)
+        assert "lovagestage.requests:1|c" in send_and_receive(metrics, server)
 
 
 async def test_slow_resolver_holds_up_nothing(monkeypatch):
-    asked = threading.Event()
-    release = threading.Event()
+    lookup_started = threading.Event()
+    release_lookup = threading.Event()
 
-    def wait(*args):
-        asked.set()
-        release.wait(10.0)
+    def block_lookup(*args):
+        lookup_started.set()
+        release_lookup.wait(10.0)
         raise socket.gaierror(-3, "x")
 
-    monkeypatch.setattr(socket, "getaddrinfo", wait)
+    monkeypatch.setattr(socket, "getaddrinfo", block_lookup)
     metrics = Metrics(StatsdSettings("statsd.invalid"), TimerService())
     started_s = time.monotonic()
     metrics.send()
-    metrics._resolve_at_s = 0.0
-    first = metrics._resolver
+    metrics._next_resolve_s = 0.0
+    first_resolver = metrics._resolver
     metrics.send()
     assert time.monotonic() - started_s < 1.0
-    assert asked.wait(5.0)
-    assert metrics._resolver is first
-    release.set()
-    first.join()
+    assert lookup_started.wait(5.0)
+    assert metrics._resolver is first_resolver
+    release_lookup.set()
+    first_resolver.join()
 
 
 async def test_counts_are_added_up_and_timings_bounded():
@@ -158,11 +158,11 @@
             metrics.count(Metric.REFUSALS, "no_capacity")
             metrics.time(Metric.TOTAL, 2.5)
         metrics.set(Metric.OPEN_REQUESTS, 7)
-        lines = receive_all(metrics, server)
-        again = receive_all(metrics, server)
+        lines = send_and_receive(metrics, server)
+        second_lines = send_and_receive(metrics, server)
     assert "p.refusals.no_capacity:500|c" in lines
-    assert lines.count("p.total:2.500000|ms") == MAX_TIMINGS
-    assert again == ["p.open_requests:7|g"]
+    assert lines.count("p.total:2.500000|ms") == MAX_TIMINGS_PER_SEND
+    assert second_lines == ["p.open_requests:7|g"]
 
 
 def test_every_metric_is_described():
