--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands against real processes."""
+"""The operators' commands, run against a fleet of real processes."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
     answer = json.loads(out)
     path = tmp_path / "vault.json"
 
-    def write(**changes):
+    def write_document(**changes):
         path.write_text(json.dumps({**answer["document"], **changes}))
         return str(path)
 
-    return answer["revision"], write
+    return answer["revision"], write_document
 
 
 def test_put_is_accepted_once_and_conflicts_for_the_loser(run, document):
-    revision, write = document
-    path = write(sessions={"idle_timeout_s": 1800.0})
+    revision, write_document = document
+    path = write_document(sessions={"idle_timeout_s": 1800.0})
     code, out, _ = run("service", "put", path, "--base", str(revision))
     assert (code, out.split()[:2]) == (
         0,
@@ -59,8 +59,8 @@
 
 
 def test_invalid_document_is_refused_with_path_and_reason(run, document):
-    revision, write = document
-    path = write(routes=[{"prefix": "/v1/x/", "pool": "p"}])
+    revision, write_document = document
+    path = write_document(routes=[{"prefix": "/v1/x/", "pool": "p"}])
     code, _, err = run("service", "put", path, "--base", str(revision))
     assert code == EXIT_INVALID
     assert "routes[0].prefix" in err
@@ -68,9 +68,9 @@
 
 
 def test_change_is_in_the_history_with_its_author(run, document):
-    revision, write = document
+    revision, write_document = document
     arguments = ("--base", str(revision), "--change-id", f"id-{revision}")
-    assert run("service", "put", write(), *arguments)[0] == 0
+    assert run("service", "put", write_document(), *arguments)[0] == 0
     _, out, _ = run("service", "history", "vault", "--json")
     last = json.loads(out)[-1]
     assert (last["author"], last["change_id"]) == ("lab", f"id-{revision}")
@@ -92,24 +92,26 @@
 
 
 def test_status_says_when_a_change_is_in_force_everywhere(run, document):
-    revision, write = document
-    run("service", "put", write(), "--base", str(revision))
+    revision, write_document = document
+    run("service", "put", write_document(), "--base", str(revision))
     end_s = time.monotonic() + 8
     while run("status")[0] != 0:
         assert time.monotonic() < end_s
-    # Lease and member records go on arriving while the processes are asked,
-    # so hashes are comparable only where the offsets are equal.
-    hashes, seen = {}, {}
-    while not any(len(vms) == 4 for vms in seen.values()):
-        assert time.monotonic() < end_s, seen
+    # Lease and member records continue to arrive while the processes are
+    # queried, so state hashes are comparable only at equal offsets.
+    hashes_by_offset, vms_by_offset = {}, {}
+    while not any(len(vms) == 4 for vms in vms_by_offset.values()):
+        assert time.monotonic() < end_s, vms_by_offset
         _, out, _ = run("status", "--json")
         processes = json.loads(out)["processes"]
         assert len(processes) == 4
         for process in processes:
             offset = process["offset"]
-            hashes.setdefault(offset, set()).add(process["state_hash"])
-            seen.setdefault(offset, set()).add(process["vm"])
-    assert all(len(found) == 1 for found in hashes.values())
+            hashes_by_offset.setdefault(offset, set()).add(
+                process["state_hash"]
+            )
+            vms_by_offset.setdefault(offset, set()).add(process["vm"])
+    assert all(len(hashes) == 1 for hashes in hashes_by_offset.values())
 
 
 def test_dump_shows_state_and_no_secret(run, fleet):
@@ -122,9 +124,9 @@
 
 
 def test_withdrawn_version_gets_no_new_work_within_seconds(run, fleet):
-    # The caller asks for a version by name. An operator withdraws it; once
-    # `status` says that this is in force everywhere, every entry refuses it
-    # and no engine runs it again, whichever entry is asked.
+    # A caller requests a version by name after an operator has withdrawn it.
+    # Once `status` reports that the withdrawal is in force everywhere, every
+    # entry must refuse the request and no engine may run the version.
     assert run("withdraw", "large@2")[0] == 0
     end_s = time.monotonic() + 8
     while run("status")[0] != 0:
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo's exit code: 0 only where every row held on each fleet."""
+"""Exit code of the demo: 0 only if every row passed on each fleet."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from lab.demo_stage import Row
 
 
-def fail(stage):
-    raise CommandError(f"refused on {stage.workspace}")
+def fail(harness):
+    raise CommandError(f"refused on {harness.workspace}")
 
 
 @pytest.mark.parametrize(
     ("check", "code", "last"),
     [
-        (lambda stage: stage.workspace, 0, "all rows held"),
+        (lambda harness: harness.workspace, 0, "all rows held"),
         (fail, 1, "2 rows failed"),
     ],
 )
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The operators' history of a service's changes."""
+"""The history of a service's changes, as operators read it."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 
 
 async def test_history_begins_at_the_oldest_record_that_is_left():
-    # An operator asks for the history after the log has expired its first
-    # records. A read from offset 0 is refused as below the horizon; the
-    # changes that the log still has are to be shown all the same.
-    async with serve_log(retain_records=4) as served:
-        settings = OperatorSettings("op", PlatformSettings(served.url, ""))
-        await served.log.append("control", encode_record(make_change("c0", 0)))
+    # An operator requests the history after the first records of the log have
+    # expired. A read from offset 0 is refused as below the horizon, and the
+    # changes that the log still has must nevertheless be listed.
+    async with serve_log(retain_records=4) as log_server:
+        settings = OperatorSettings("op", PlatformSettings(log_server.url, ""))
+        await log_server.log.append(
+            "control", encode_record(make_change("c0", 0))
+        )
         async with open_client(settings) as client:
             for number in range(1, 7):
                 change = make_change(f"c{number}", number)
-                await served.log.append("control", encode_record(change))
+                await log_server.log.append("control", encode_record(change))
                 await wait_for(
                     lambda n=number: client.control.folded.next_offset > n
                 )
--- a/tests/test_lab_engine.py
+++ b/tests/test_lab_engine.py
@@ -1,4 +1,4 @@
-"""The model engine's stand-in."""
+"""The lab's simulated model engine."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 @contextlib.asynccontextmanager
-async def serve(timing=FAST, **options):
+async def serve_engine(timing=FAST, **options):
     engine = Engine(EngineOptions(models=[MODEL], timing=timing, **options))
     async with TestClient(TestServer(engine.app())) as client:
         yield engine, client
 
 
-def ask(client, request_id, priority=0, **body):
+def send_chat_request(client, request_id, priority=0, **body):
     return client.post(
         "/v1/chat/completions",
         json={"model": MODEL, "messages": MESSAGES, **body},
@@ -41,35 +41,37 @@
     )
 
 
-async def until(condition):
+async def wait_until(condition):
     async with asyncio.timeout(DEADLINE_S):
         while not condition():
             await asyncio.sleep(0.001)
 
 
-def data_lines(events):
+def get_data_lines(events):
     lines = events.decode().split("\n")
     return [line[6:] for line in lines if line.startswith("data: ")]
 
 
 async def test_resume_after_silence_completes_the_same_bytes():
-    async with serve() as (_, client):
+    async with serve_engine() as (_, client):
         await client.post("/_faults", json={"silent_after_tokens": 3})
-        response = await ask(client, "r1", stream=True, max_tokens=8)
-        first = b""
+        response = await send_chat_request(
+            client, "r1", stream=True, max_tokens=8
+        )
+        received = b""
         async with asyncio.timeout(DEADLINE_S):
-            while first.count(b"\n\n") < 4:
-                first += await response.content.readany()
+            while received.count(b"\n\n") < 4:
+                received += await response.content.readany()
         try:
             async with asyncio.timeout(0.1):
-                first += await response.content.readany()
+                received += await response.content.readany()
         except TimeoutError:
             pass
         response.close()
         rest = await (await client.get("/v1/streams/r1?from_seq=4")).read()
         whole = await (await client.get("/v1/streams/r1?from_seq=0")).read()
         stats = await (await client.get("/_stats")).json()
-    assert first + rest == whole
+    assert received + rest == whole
     assert whole.count(b"\n\n") == 8 + 3
     assert whole.endswith(b"id: 10\ndata: [DONE]\n\n")
     assert stats["runs"] == {"r1": 1}
@@ -78,16 +80,18 @@
 
 async def test_both_forms_give_the_deterministic_text():
     expected = "".join(answer_tokens(prompt_text(MESSAGES), MODEL, 5))
-    async with serve() as (_, client):
-        plain = await (await ask(client, "p", max_tokens=5)).json()
-        stream = await ask(
+    async with serve_engine() as (_, client):
+        plain = await (
+            await send_chat_request(client, "p", max_tokens=5)
+        ).json()
+        stream = await send_chat_request(
             client,
             "s",
             max_tokens=5,
             stream=True,
             stream_options={"include_usage": True},
         )
-        lines = data_lines(await stream.read())
+        lines = get_data_lines(await stream.read())
     chunks = [json.loads(line) for line in lines[:-1]]
     streamed = "".join(
         choice["delta"].get("content", "")
@@ -104,15 +108,21 @@
 
 
 async def test_most_urgent_request_leaves_the_queue_first():
-    async with serve(ONE_AT_A_TIME) as (engine, client):
-        tasks = [asyncio.create_task(ask(client, "first", 5, max_tokens=100))]
-        await until(lambda: engine.batch.running == 1)
+    async with serve_engine(ONE_AT_A_TIME) as (engine, client):
+        tasks = [
+            asyncio.create_task(
+                send_chat_request(client, "first", 5, max_tokens=100)
+            )
+        ]
+        await wait_until(lambda: engine.batch.running == 1)
         waiting = [("normal", 5), ("later", 5), ("urgent", 0), ("lazy", 9)]
         for count, (name, priority) in enumerate(waiting, 1):
             tasks.append(
-                asyncio.create_task(ask(client, name, priority, max_tokens=2))
+                asyncio.create_task(
+                    send_chat_request(client, name, priority, max_tokens=2)
+                )
             )
-            await until(lambda count=count: engine.batch.waiting == count)
+            await wait_until(lambda count=count: engine.batch.waiting == count)
         answers = await asyncio.gather(*tasks)
         assert [answer.status for answer in answers] == [200] * 5
         runs = (await (await client.get("/_stats")).json())["runs"]
@@ -120,12 +130,16 @@
 
 
 async def test_cancel_frees_the_place_and_forgets_the_stream():
-    async with serve(ONE_AT_A_TIME) as (engine, client):
-        response = await ask(client, "long", stream=True, max_tokens=4000)
-        waits = asyncio.create_task(ask(client, "next", max_tokens=1))
-        await until(lambda: engine.batch.waiting == 1)
+    async with serve_engine(ONE_AT_A_TIME) as (engine, client):
+        response = await send_chat_request(
+            client, "long", stream=True, max_tokens=4000
+        )
+        next_request = asyncio.create_task(
+            send_chat_request(client, "next", max_tokens=1)
+        )
+        await wait_until(lambda: engine.batch.waiting == 1)
         cancelled = await client.delete("/v1/streams/long")
-        assert (await waits).status == 200
+        assert (await next_request).status == 200
         assert b"[DONE]" not in await response.read()
         again = await client.delete("/v1/streams/long")
         resumed = await client.get("/v1/streams/long")
@@ -137,7 +151,7 @@
 
 async def test_fencing_is_checked_only_where_the_engine_honours_it():
     for checks_fencing, expected in ((True, 409), (False, 202)):
-        async with serve(checks_fencing=checks_fencing, load_ms=1) as (
+        async with serve_engine(checks_fencing=checks_fencing, load_ms=1) as (
             engine,
             client,
         ):
@@ -151,7 +165,9 @@
                 }
                 response = await client.post("/orders", json=order)
                 statuses.append(response.status)
-            await until(lambda engine=engine: "small@4" in engine.models.loaded)
+            await wait_until(
+                lambda engine=engine: "small@4" in engine.models.loaded
+            )
             orders = (await (await client.get("/_stats")).json())["orders"]
         assert statuses == [202, expected, 202]
         assert [order["stale"] for order in orders] == [False, True, False]
@@ -159,8 +175,8 @@
 
 
 async def test_refusals_are_told_by_status_and_code():
-    async with serve() as (_, client):
-        missing = await ask(client, "m", model="small@9")
+    async with serve_engine() as (_, client):
+        missing = await send_chat_request(client, "m", model="small@9")
         unknown = await client.get("/v1/streams/none")
         fault = await client.post("/_faults", json={"no_such_fault": 1})
         wrong = await client.post("/_faults", json={"slow_factor": "much"})
@@ -181,10 +197,12 @@
     messages = [{"role": "user", "content": "x" * 1600}]
     loop = asyncio.get_running_loop()
     times_s = []
-    async with serve(timing) as (_, client):
+    async with serve_engine(timing) as (_, client):
         for name in ("cold", "warm"):
             start_s = loop.time()
-            await ask(client, name, messages=messages, max_tokens=1)
+            await send_chat_request(
+                client, name, messages=messages, max_tokens=1
+            )
             times_s.append(loop.time() - start_s)
         stats = await (await client.get("/_stats")).json()
     assert (stats["cache_misses"], stats["cache_hits"]) == (1, 1)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports of launchers that run side by side."""
+"""Ports of launchers that run at the same time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from lab.ports import LISTENER_PORTS, get_free_port
 
-CLAIM = """
+CLAIM_SCRIPT = """
 import os, sys
 os.getpid = lambda: 55
 from lab.ports import get_free_port
@@ -20,10 +20,10 @@
 """
 
 
-def start_launcher(folder):
+def start_launcher(temporary_folder):
     return subprocess.Popen(
-        [sys.executable, "-c", CLAIM],
-        env={**os.environ, "TMPDIR": str(folder)},
+        [sys.executable, "-c", CLAIM_SCRIPT],
+        env={**os.environ, "TMPDIR": str(temporary_folder)},
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
@@ -31,26 +31,27 @@
 
 
 def test_launchers_side_by_side_never_share_ports(tmp_path):
-    # Two launchers run at once. One kills a process; were its port to be
-    # given to the other one, peers of the killed process would talk to a
-    # stranger, and callers would see refusals that nothing explains.
+    # Launchers run at the same time, and one of them kills a process. If the
+    # port of that process were given to another launcher, the peers of the
+    # killed process would connect to an unrelated process, and callers would
+    # see refusals without an apparent cause.
     launchers = [start_launcher(tmp_path) for _ in range(4)]
     try:
-        first = [int(each.stdout.readline()) for each in launchers]
-        assert len(set(first)) == len(first)
-        assert set(first) < set(LISTENER_PORTS)
+        ports = [int(launcher.stdout.readline()) for launcher in launchers]
+        assert len(set(ports)) == len(ports)
+        assert set(ports) < set(LISTENER_PORTS)
     finally:
-        for each in launchers:
-            each.communicate("")
+        for launcher in launchers:
+            launcher.communicate("")
 
 
 def test_part_is_free_again_when_its_process_has_ended(tmp_path):
     launcher = start_launcher(tmp_path)
     port = int(launcher.stdout.readline())
     launcher.communicate("")
-    again = start_launcher(tmp_path)
-    assert int(again.stdout.readline()) == port
-    again.communicate("")
+    second_launcher = start_launcher(tmp_path)
+    assert int(second_launcher.stdout.readline()) == port
+    second_launcher.communicate("")
 
 
 def test_port_is_given_out_again_only_after_the_others():
@@ -60,10 +61,10 @@
 
 @pytest.mark.parametrize("kind", [socket.SOCK_STREAM, socket.SOCK_DGRAM])
 def test_a_port_that_is_held_for_either_protocol_is_not_given(kind):
-    # A launcher was killed, and its gateway runs on and holds a port for
-    # datagrams. The next launcher's gateway gets it and ends at its start,
-    # and whoever waits for it to be ready waits in vain.
-    following = get_free_port() + 1
+    # A launcher was killed, but its gateway still runs and holds a datagram
+    # port. If the next launcher gave this port to its own gateway, that gateway
+    # would exit at its start, and the wait until it is ready would time out.
+    next_port = get_free_port() + 1
     with socket.socket(type=kind) as holder:
-        holder.bind(("127.0.0.1", following))
-        assert get_free_port() != following
+        holder.bind(("127.0.0.1", next_port))
+        assert get_free_port() != next_port
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short runs of the soak; `python -m lab soak` plays more and longer ones."""
+"""Short soak runs; `python -m lab soak` runs more seeds for a longer time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from lab.soak.command import play
 
 REGRESSIONS = ()
-"""Seeds that ever failed, each with a line on its cause."""
+"""Seeds that failed in a soak run, each with a line on the cause."""
 
 
 @pytest.mark.parametrize("seed", [1, *REGRESSIONS])
@@ -17,8 +17,9 @@
 
 
 def test_gateways_that_watch_the_store_for_others_keep_their_promises(tmp_path):
-    # Nine gateways, of which two read the store for the rest. Any of them is
-    # ended, frozen or cut off from the store; keys are taken away and workers
-    # leave meanwhile. Callers must see what they see of three that each read.
+    # Of nine gateways, two read the store on behalf of the others. Gateways are
+    # stopped, frozen or disconnected from the store while keys are revoked and
+    # workers leave. Callers must be given the same guarantees as by three
+    # gateways that each read the store.
     breaches, summary = play(501, 6.0, tmp_path, gateways=9)
     assert not breaches, summary
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,4 +1,4 @@
-"""Where the time of requests goes, from log lines."""
+"""Times of the stages of requests, computed from log lines."""
 
 from __future__ import annotations
 
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops cut off no request."""
+"""Planned stops of a process interrupt no request."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 @pytest.mark.parametrize("role", ["entry", "sidecar"])
 def test_stop_during_streams_cuts_none(role):
-    # The caller sees a whole stream. SIGTERM reaches the process while
-    # streams run through it: it takes no new work, the open streams go on to
-    # their end, and only then does it exit, with 0.
+    # A process receives SIGTERM while streams run through it. It must accept
+    # no new requests, let the open streams run to their end and only then exit
+    # with 0, so that each caller receives its complete stream.
     with Fleet(SHAPES["thin"]) as fleet:
         texts: list[str] = []
         threads = [
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -1,4 +1,4 @@
-"""Where the worth of played days was lost."""
+"""Analysis of where simulated days lost worth, from their reports."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 }
 
 
-def write(tmp_path, report):
+def write_report(tmp_path, report):
     path = tmp_path / "quiet-1.json"
     path.write_text(json.dumps(report))
     return path
 
 
 def test_parts_and_prices_add_up(tmp_path):
-    day = read_day(write(tmp_path, REPORT))
+    day = read_day(write_report(tmp_path, REPORT))
     assert day.worth + sum(loss.worth for loss in day.losses) == 1.0
     assert day.worth == pytest.approx(1 - 0.04 - 0.3 - 0.0101)
     assert [cause for cause, _ in day.unserved] == ["deadline"]
@@ -47,14 +47,14 @@
 
 
 def test_kinds_are_split_by_what_they_lost(tmp_path):
-    (kind,) = read_day(write(tmp_path, REPORT)).kinds
+    (kind,) = read_day(write_report(tmp_path, REPORT)).kinds
     assert (kind.owed, kind.failed) == (100, 0.03)
     assert kind.late == pytest.approx(0.07)
     assert kind.failed + kind.late + kind.poor == pytest.approx(0.2)
 
 
 def test_tables_name_each_cause(tmp_path):
-    text = format_days([read_day(write(tmp_path, REPORT))])
+    text = format_days([read_day(write_report(tmp_path, REPORT))])
     for word in ("whole day", "calls", "letter", "deadline: 3", "quiet-1"):
         assert word in text
     assert "tiny" not in text
