--- a/src/lovagestage/control/__init__.py
+++ b/src/lovagestage/control/__init__.py
@@ -1,1 +1,1 @@
-"""Reading, appending and agreeing on the log."""
+"""Control plane: follows the log, appends records, holds leases."""
--- a/src/lovagestage/control/gate.py
+++ b/src/lovagestage/control/gate.py
@@ -1,8 +1,9 @@
-"""Refuses orders of a lease's earlier holders.
+"""Rejects orders that were sent by an earlier holder of a lease.
 
-Some engines ignore the fencing number and some do not check who gives an
-order. The sidecar beside each engine is therefore the only one that talks to
-it, and lets an order through only under the newest number that it knows.
+Some engines ignore the fencing number, and some do not authenticate the sender
+of an order. The sidecar beside each engine is therefore the only process that
+sends orders to the engine. The sidecar forwards an order only if the order's
+fencing number is the newest number that the sidecar knows.
 """
 
 from __future__ import annotations
@@ -18,31 +19,41 @@
 from lovagestage.types import FencingNumber, LeaseId
 
 FRESH_S = 1.0
-"""Longest time between asking the log and letting an order through."""
+"""Longest duration, in seconds, of the log read that precedes an order.
+
+A longer read may have included a pause of the process, so that its result is
+out of date and a later grant of the lease could be missed.
+"""
 
 
 class FencingGate:
-    """Checks the fencing numbers of orders.
+    """Checks the fencing numbers of orders against the folded leases.
 
     Args:
-        control: The folded state.
+        control: Reader that holds the folded control state.
     """
 
     def __init__(self, control: ControlReader) -> None:
         self._control = control
 
     async def check_now(self, lease: LeaseId, fencing: FencingNumber) -> None:
-        """Checks an order against what the log has now.
+        """Reads the log to its end, then checks an order.
+
+        Args:
+            lease: Lease that the order was given under.
+            fencing: Fencing number of the order.
 
         Raises:
-            GateNotReadyError: See `check`.
+            GateNotReadyError: The log can't be read, the read took longer
+                than `FRESH_S`, or for the reason given at `check`.
             StaleFencingError: See `check`.
         """
-        # A process that was paused finds an order in its socket before it
-        # has read that the lease has passed on meanwhile; its state says
-        # "read to the end", and the engine would load for an earlier holder.
-        # Reading after the order has come shows every grant before it, and a
-        # pause within the read shows by the clock.
+        # A process that resumes after a pause finds an order in its socket
+        # before it has read that another process took the lease meanwhile.
+        # Its folded state still counts as read to the end, so the engine
+        # would load a version for an earlier holder. Reading the log after
+        # the order has arrived shows every grant that precedes the order. A
+        # pause during the read shows as a read that takes too long.
         asked_s = time.monotonic()
         try:
             await self._control.read_to_end()
@@ -53,18 +64,25 @@
         self.check(lease, fencing)
 
     def check(self, lease: LeaseId, fencing: FencingNumber) -> None:
-        """Lets an order through, or raises.
+        """Checks an order against the folded state, without reading the log.
+
+        Args:
+            lease: Lease that the order was given under.
+            fencing: Fencing number of the order.
 
         Raises:
-            GateNotReadyError: The gate has not read how far the lease got;
-                the order was not carried out, and may be sent again.
-            StaleFencingError: A later holder has taken the lease.
+            GateNotReadyError: The log has not been read to its end, or not
+                up to the order's grant. The order was not carried out and
+                may be sent again.
+            StaleFencingError: The order's number is not that of the latest
+                grant of the lease, as after a later holder has taken it.
         """
         folded = self._control.folded
-        # A gate that has just started, or has lost the log, may not know the
-        # latest grant and would let a paused holder's order through: it
-        # first reads the log to its end. No holder stays one without the log,
-        # so nothing that is due is kept waiting.
+        # A gate that has just started, or whose log is unavailable, may not
+        # know the latest grant and would accept the order of an earlier
+        # holder that was paused. The log has to be read to its end first. No
+        # process stays the holder without the log either, so this rejection
+        # delays no order that should be carried out.
         if not self._control.caught_up or fencing >= folded.next_offset:
             raise GateNotReadyError(lease, fencing)
         granted = folded.leases.get_fencing(lease)
--- a/src/lovagestage/control/leasing.py
+++ b/src/lovagestage/control/leasing.py
@@ -1,9 +1,10 @@
-"""Holding a lease by own clocks: pure rules, and the task around them.
+"""Lease holding by local clocks: pure rules, and the task that applies them.
 
-The holder counts from when it sent its latest confirmed renewal, a contender
-from when it saw that renewal in the log. Sending comes before seeing, so the
-holder's time is over first, whatever is delayed, lost or paused in between;
-the margin covers clocks that run at different speeds.
+The holder counts the lease's time to live from when the holder sent its latest
+confirmed renewal. A contender counts from when it read that renewal in the
+log. Sending precedes reading, so the lease expires for the holder first,
+whatever is delayed, lost or paused in between. The margin covers clocks that
+run at different speeds.
 """
 
 from __future__ import annotations
@@ -30,10 +31,14 @@
 
 DEFAULT_TTL_S = 15.0
 MARGIN_RATIO = 0.2
-"""Part of the time to live that the holder gives away."""
+"""Fraction of the time to live that the holder does not use.
+
+Without the margin, a holder with a slow clock would still act while a
+contender with a faster clock has already taken the lease.
+"""
 
 RENEW_RATIO = 1 / 3
-"""Part of the time to live after which the holder renews."""
+"""Fraction of the time to live after which the holder renews the lease."""
 
 STEPS_PER_TTL = 15
 FIRST_AT_ONCE = 1.5
@@ -42,17 +47,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeaseView:
-    """One process's view of a lease, with times of its own clock.
+    """State of a lease as one process knows it, with times of its own clock.
 
     Attributes:
-        lease: The lease.
-        own: Name and incarnation of this process.
-        ttl_ms: Time to live that this process takes the lease with.
-        current: The lease as this process has read it; None before the
-            first grant.
-        observed_s: When `current` last changed here.
-        fencing: Number of the own grant; None where there is none.
-        sent_s: When the latest confirmed record of the own grant was sent.
+        lease: Name of the lease.
+        own: VM and incarnation of this process.
+        ttl_ms: Time to live, in milliseconds, that this process requests when
+            it takes the lease.
+        current: The lease as this process has read it from the log; None
+            before the first grant.
+        observed_s: Monotonic time, in seconds, at which this process last saw
+            `current` change.
+        fencing: Fencing number of this process's grant; None if this process
+            has no grant.
+        sent_s: Monotonic time, in seconds, at which this process sent the
+            latest confirmed record of its grant.
     """
 
     lease: LeaseId
@@ -67,7 +76,13 @@
 def observe(
     view: LeaseView, current: LeaseInForce | None, now_s: float
 ) -> LeaseView:
-    """The view after the log was read up to `current`."""
+    """Returns the view after the log was read up to `current`.
+
+    Args:
+        view: The view before the read.
+        current: The lease as the log has it.
+        now_s: Monotonic time in seconds.
+    """
     if current == view.current:
         return view
     assert current is not None
@@ -80,12 +95,13 @@
 
 
 def confirm(view: LeaseView, sent_s: float) -> LeaseView:
-    """The view after a take or renewal of its own was read as accepted.
+    """Returns the view after the log accepted this process's take or renewal.
 
     Args:
-        view: Has observed the record.
-        sent_s: When the record was first sent, not when it was read: the
-            time between is the contender's.
+        view: A view that `observe` has already updated with the record.
+        sent_s: Monotonic time, in seconds, at which the record was first
+            sent, not when it was read back. A contender counts from its own
+            read, so the holder must not count the time in between as its own.
     """
     if not _is_own(view):
         return view
@@ -96,7 +112,15 @@
 
 
 def get_held_fencing(view: LeaseView, now_s: float) -> FencingNumber | None:
-    """Number to act under; None where the lease is not surely held."""
+    """Returns the fencing number to act under.
+
+    Args:
+        view: The lease as this process sees it.
+        now_s: Monotonic time in seconds.
+
+    Returns:
+        None if the lease may have expired or is not held by this process.
+    """
     if view.fencing is None or view.current is None:
         return None
     ttl_s = view.current.ttl_ms / 1000
@@ -108,13 +132,17 @@
 def make_next_record(
     view: LeaseView, now_s: float, change_id: ChangeId, turn_s: float = 0.0
 ) -> LeaseTake | LeaseRenew | None:
-    """What this process may append now; None where it has to wait.
+    """Makes the lease record that this process may append now.
 
     Args:
         view: The lease as this process sees it.
-        now_s: Monotonic time.
-        change_id: Id of the record.
-        turn_s: How much later than the earliest time to take it.
+        now_s: Monotonic time in seconds.
+        change_id: Change id of the record.
+        turn_s: Seconds to wait after the lease has become free before taking
+            the lease.
+
+    Returns:
+        None if this process has to wait.
     """
     current = view.current
     if current is None:
@@ -130,17 +158,18 @@
 
 
 def get_turn_s(view: LeaseView, contenders: int, step_s: float) -> float:
-    """How much longer than others this process waits for a free lease.
+    """Returns how many seconds this process waits before taking a free lease.
 
-    The logarithm of a uniform number makes few go early and most late: of
-    any number of contenders about `FIRST_AT_ONCE` go within the first step,
-    and the others read of the grant before their turn (suppression timers of
-    multicast feedback, Nonnenmacher and Biersack 1999).
+    The delay is the logarithm of a uniform number, so few contenders have a
+    short delay and most have a long one. Of any number of contenders, about
+    `FIRST_AT_ONCE` append within the first step. The other contenders read the
+    grant before their own delay is over (suppression timers of multicast
+    feedback, Nonnenmacher and Biersack 1999).
 
     Args:
         view: The lease as this process sees it.
-        contenders: How many want it.
-        step_s: Time in which a grant is read by all.
+        contenders: Number of processes that want the lease.
+        step_s: Seconds within which all contenders read a grant.
     """
     current = view.current
     if current is None:
@@ -180,14 +209,14 @@
 
 
 class LeaseKeeper(mode.Service):
-    """Takes and renews one lease, as long as the process runs.
+    """Takes and renews one lease for as long as the process runs.
 
     Args:
-        lease: The lease.
-        own: Name and incarnation of this process.
-        control: The folded state.
-        writer: Appends the lease's records.
-        ttl_s: Time to live.
+        lease: Name of the lease.
+        own: VM and incarnation of this process.
+        control: Reader that holds the folded control state.
+        writer: Writer that appends the lease's records to the log.
+        ttl_s: Time to live in seconds.
     """
 
     def __init__(
@@ -206,10 +235,13 @@
         control.subscribe(self._observe)
 
     def get_fencing(self) -> FencingNumber:
-        """Number to act under; asked again before each act.
+        """Returns the fencing number to act under.
+
+        A caller has to call this method again before each action.
 
         Raises:
-            LeaseLostError: The lease is not surely held.
+            LeaseLostError: The lease may have expired or is not held by this
+                process.
         """
         fencing = get_held_fencing(self._view, time.monotonic())
         if fencing is None:
@@ -218,11 +250,11 @@
 
     @property
     def is_held(self) -> bool:
-        """Whether the lease is surely held now."""
+        """Whether this process certainly holds the lease now."""
         return get_held_fencing(self._view, time.monotonic()) is not None
 
     async def on_stop(self) -> None:
-        """Gives the lease up, so that another need not wait for its end."""
+        """Releases the lease, so that another process need not await expiry."""
         current = self._view.current
         if self._view.fencing is None or current is None:
             return
@@ -286,7 +318,7 @@
         self._view = observe(self._view, current, time.monotonic())
 
     def get_dump(self) -> dict[str, object]:
-        """State for the dump."""
+        """Returns the state of the lease for the diagnostic dump."""
         return {
             "lease": self._view.lease,
             "held": self.is_held,
--- a/src/lovagestage/control/membership.py
+++ b/src/lovagestage/control/membership.py
@@ -1,4 +1,7 @@
-"""Keeps this entry in the log's list of key holders, and dead ones out."""
+"""Keeps this entry in the log's member list and removes failed entries.
+
+The members are the entries that hold request keys.
+"""
 
 from __future__ import annotations
 
@@ -28,27 +31,33 @@
 MAX_CHECK_GAP_S = 1.5
 RANK_DELAY_S = 1.0
 MAX_RANKS = 8
-"""Turns; two watchers with the same one append the same record twice."""
+"""Number of distinct delays that the entries wait before a removal.
+
+Two entries with the same delay may both append the same removal record.
+"""
 APPEND_RETRY_S = 1.0
 LAST_HOLDER_SILENCE_S = 60.0
-"""Silence of an entry that may alone know claims; see `_may_hold_alone`.
+"""Inactivity timeout, in seconds, of an entry that may alone know claims.
 
-As long as a sidecar remembers forbidden runs for a paused sender.
+See `_may_hold_alone`. The timeout equals the time for which a sidecar remembers
+forbidden runs for a sender that is paused.
 """
 
 
 class Membership(mode.Service):
-    """Appends this entry's join and the removal of silent entries.
+    """Appends this entry's join record and removes entries that stop answering.
 
     Args:
-        control: Configuration in force.
-        log: The platform's log.
+        control: Reader that holds the folded control state.
+        log: Client of the platform's log.
         peers: Connections to the other entries.
-        own: This process as a member.
-        silence_s: Silence after which an entry is removed.
+        own: Join record of this process.
+        silence_s: Inactivity timeout, in seconds, after which an entry is
+            removed.
 
     Attributes:
-        own: This process as a member; a new incarnation after a removal.
+        own: Join record of this process; has a new incarnation after this
+            process was removed.
     """
 
     def __init__(
@@ -76,15 +85,19 @@
 
     @property
     def view(self) -> MemberView:
-        """The members now."""
+        """The folded member list."""
         return self._control.folded.members
 
     def get_own_id(self) -> MemberId:
-        """This process's present incarnation."""
+        """Returns the member id of this process's current incarnation."""
         return MemberId(self.own.vm, self.own.incarnation)
 
     def apply_vm_list(self, vms: list[Vm]) -> None:
-        """Takes the platform's list of VMs."""
+        """Replaces the set of VMs that the platform lists.
+
+        Args:
+            vms: The VMs of the platform's latest list.
+        """
         self._listed = {vm.vm for vm in vms}
 
     def _on_control(self) -> None:
@@ -94,7 +107,7 @@
         self._members = members
 
     async def on_stop(self) -> None:
-        """Leaves, so that others take over without waiting for silence."""
+        """Removes this process, so that others need not await the timeout."""
         if self.view.has(self.get_own_id()):
             await self._append(
                 MemberRemoved(self.own.vm, self.own.incarnation, ended=True)
@@ -110,8 +123,9 @@
     async def _check(self) -> None:
         now_s = time.monotonic()
         if now_s - self._checked_s > MAX_CHECK_GAP_S:
-            # This process was paused: everyone seems silent to it, and it
-            # would remove the entries that went on. It starts to count anew.
+            # This process was paused, so no entry seems to have answered, and
+            # this process would remove entries that kept running. The
+            # inactivity times are counted from zero again.
             self._heard_s.clear()
             self._removed_s = now_s
         self._checked_s = now_s
@@ -127,15 +141,17 @@
                 )
                 await self._append(removal)
                 if not removal.ended:
-                    # Who else is due may now be the last to know claims.
+                    # Another entry that is due for removal may now be the
+                    # last that knows some claims.
                     break
 
     async def _join(self, now_s: float) -> None:
         if now_s < self._append_after_s:
             return
         if self._has_joined:
-            # Others removed this process while it was paused or cut off; what
-            # it holds may be out of date, so it comes back as a new one.
+            # Other entries removed this process while it was paused or
+            # disconnected. The claims that it holds may be out of date, so it
+            # joins again under a new incarnation.
             self.own = MemberJoined(
                 self.own.vm, self.own.zone, time.time_ns(), self.own.bus
             )
@@ -151,7 +167,8 @@
         ]
         silent = [m for m in others if self._is_silent(m, len(others), now_s)]
         if len(others) > 2 and len(silent) * 2 > len(others):
-            # More likely this process is cut off than most others gone.
+            # This process has more likely lost its own network connection
+            # than most other entries have failed.
             _log.warning("most_members_silent", extra={"silent": len(silent)})
             return []
         removals = [
@@ -169,10 +186,12 @@
         link = self._peers.links.get(member.vm)
         known_s = self._heard_s.setdefault(member, now_s)
         if link is not None:
-            # What has been asked nothing since it answered is not silent.
+            # A peer that has answered every request is not inactive, however
+            # long ago its last answer came.
             heard_s = now_s if link.asked_s is None else link.heard_s
             self._heard_s[member] = known_s = max(known_s, heard_s)
-        # The watchers take turns by name: one record, not one from each.
+        # The entries wait for different delays, ordered by name. The first
+        # entry appends the removal, and the others read it before they would.
         rank = sorted(self.view.members).index(self.own.vm)
         delay_s = RANK_DELAY_S * min(rank % MAX_RANKS, others)
         limit_s = self._silence_s
@@ -181,12 +200,13 @@
         return now_s - known_s > limit_s + delay_s
 
     def _may_hold_alone(self, member: MemberId, known_s: float) -> bool:
-        """Whether a silent entry may know claims that nobody else knows.
+        """Whether an inactive entry may know claims that no other entry knows.
 
-        One that was not heard since another was removed may not have handed
-        on what the two held. With both removed, each key of theirs that comes
-        again is refused for the whole window, though a pause of seconds had
-        harmed nothing. Until it is heard, callers are told to come back.
+        An entry that has sent nothing since another member was removed may not
+        have transferred the claims that the two held together. If both are
+        removed, each retried key that they held is refused for the whole
+        window, although a pause of a few seconds would have done no harm.
+        Until the inactive entry answers, callers are told to retry later.
         """
         link = self._peers.links.get(member.vm)
         if not self._is_listed(member.vm) or (link is not None and link.gone):
@@ -197,8 +217,8 @@
         return self._listed is None or vm in self._listed
 
     async def _append(self, record: MemberRecord) -> None:
-        # The records are idempotent: a lost answer is mended by appending
-        # again, if the fold does not show the change by then.
+        # The records are idempotent. If the answer to an append is lost, the
+        # record is appended again unless the folded state shows the change.
         self._append_after_s = time.monotonic() + APPEND_RETRY_S
         try:
             async with asyncio.timeout(APPEND_RETRY_S):
--- a/src/lovagestage/control/orders.py
+++ b/src/lovagestage/control/orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine, let through by the sidecar beside it."""
+"""Forwards orders of a lease holder to the engine beside this sidecar."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 
 
 class OrderService:
-    """Carries out orders of the lease's holder at one engine.
+    """Carries out orders of the lease holder at one engine.
 
     Args:
-        engine: The engine.
-        gate: Refuses orders of earlier holders, whatever the engine does.
-        hub: Hands over what arrives at the listener.
+        engine: Client of the engine.
+        gate: Rejects orders of earlier holders, even if the engine would
+            accept them.
+        hub: Message hub that delivers the messages of the listener.
     """
 
     def __init__(self, engine: Engine, gate: FencingGate, hub: Hub) -> None:
--- a/src/lovagestage/control/peerstate.py
+++ b/src/lovagestage/control/peerstate.py
@@ -1,9 +1,9 @@
-"""State from peers while the log is down, and comparison of state hashes.
+"""Control state from peers while the log is down, and hash comparison.
 
-A process that starts while the log is down asks its peers and installs the
-state with the highest offset. Connections are authenticated by CURVE keys;
-the checksum guards against a damaged answer, and a state is installed only
-where it is newer than the own one.
+A process that starts while the log is down asks its peers for their state and
+installs the valid state with the highest offset. Connections are authenticated
+by CURVE keys. The checksum guards against a damaged answer. A state is
+installed only if it is newer than the process's own state.
 """
 
 from __future__ import annotations
@@ -37,18 +37,25 @@
 COMPARE_INTERVAL_S = 10.0
 ASK_TIMEOUT_S = 2.0
 FETCH_LIMIT_S = 32.0
-"""A state that has not come within the first limit is waited for twice as long
-the next time, up to this: how long it takes depends on size and link, and
-each question begins its transfer anew. The largest that snapshots hold, 12 MB,
-takes 20 s at 5 Mbit/s."""
+"""Longest timeout, in seconds, for the transfer of a peer's state.
+
+After a timeout, the next request waits twice as long, up to this limit. The
+duration of a transfer depends on the size of the state and on the link, and
+each request starts the transfer from the beginning. The largest state that
+snapshots hold, 12 MB, takes 20 s at 5 Mbit/s.
+"""
 MAX_ASKED = 5
 
 
 def check_answer(answer: StateAnswer | StateOffer) -> ControlState:
-    """Makes the state that a peer sent.
+    """Decodes the state that a peer sent and verifies the peer's statements.
+
+    Args:
+        answer: The peer's message with an encoded state.
 
     Raises:
-        CodecError: Its bytes or its offset are not what the peer says.
+        CodecError: The bytes do not decode, or the checksum or the offset
+            differs from the one that the peer states.
     """
     checksum = hashlib.sha256(answer.state).hexdigest()
     if checksum != answer.checksum:
@@ -66,7 +73,14 @@
 def choose_newest(
     answers: Sequence[StateAnswer | StateOffer],
 ) -> ControlState | None:
-    """The state with the highest offset among those that prove right."""
+    """Returns the valid state with the highest offset.
+
+    Args:
+        answers: Messages of peers; those without a state are skipped.
+
+    Returns:
+        None if no message holds a valid state.
+    """
     for answer in sorted(answers, key=lambda a: a.next_offset, reverse=True):
         if not answer.state:
             continue
@@ -79,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Offer:
-    """What a peer says of its state."""
+    """A peer's answer about its state, and the connection it came through."""
 
     table: LinkTable
     vm: VmId
@@ -87,11 +101,11 @@
 
 
 class StateResponder:
-    """Answers peers' questions and takes their offers.
+    """Answers peers' state requests and installs the states that they offer.
 
     Args:
-        control: The folded state.
-        hub: Brings the questions.
+        control: Reader that holds the folded control state.
+        hub: Message hub that delivers the requests.
     """
 
     def __init__(self, control: ControlReader, hub: Hub) -> None:
@@ -112,8 +126,9 @@
 
     def _make_answer(self, *, with_state: bool) -> StateAnswer:
         folded = self._control.folded
-        # A state that is still being read is old; handing it on would bring
-        # back, elsewhere, what has been withdrawn since.
+        # A state is out of date while the log is still being read. Sending
+        # such a state would bring withdrawn versions back into force at the
+        # process that installs it.
         if not self._control.is_usable:
             return StateAnswer(folded.next_offset, "", b"")
         state = folded.encode() if with_state else b""
@@ -121,16 +136,18 @@
 
 
 class PeerState(mode.Service):
-    """Gets state from peers at a cold start and compares hashes later.
+    """Fetches the state from peers at a cold start and compares hashes later.
 
     Attributes:
-        mismatches: Peers found with another hash at the same offset.
+        mismatches: Number of comparisons in which a peer had another hash at
+            the same offset.
 
     Args:
-        control: The folded state.
+        control: Reader that holds the folded control state.
         tables: Connections to peers.
-        upstreams: Sidecars, which hold no connection to ask through: they
-            are offered the state where their heartbeat shows none.
+        upstreams: Connections to the sidecars. A sidecar has no connection to
+            an entry and can't ask for the state, so this process offers the
+            state to sidecars whose heartbeat shows that they have none.
     """
 
     def __init__(
@@ -163,10 +180,14 @@
                 await self.compare()
 
     async def fetch(self) -> bool:
-        """Asks some peers and installs the newest state they have.
+        """Asks some peers for their offset and installs the newest state.
+
+        The peers first report their offsets, and then one peer at a time is
+        asked for its state. States of all peers at the same time would share
+        the link, and each transfer would take longer by that factor.
 
-        They tell first how far they are, and one sends its state: those of
-        all would share the link and each take that much longer.
+        Returns:
+            Whether a newer state was installed.
         """
         offers = await self._ask_some(MAX_ASKED)
         offers.sort(key=lambda offer: offer.answer.next_offset, reverse=True)
@@ -196,7 +217,7 @@
         return state is not None and self._control.install(state, whole=True)
 
     async def compare(self) -> None:
-        """Compares hashes with a peer; a mismatch is logged as an error."""
+        """Compares the state hash with one peer's and logs a mismatch."""
         for offer in await self._ask_some(1):
             answer = offer.answer
             folded = self._control.folded
@@ -217,7 +238,11 @@
                 )
 
     async def _ask_some(self, count: int) -> list[_Offer]:
-        """Asks some peers how far they are."""
+        """Asks some randomly chosen peers for their offset and hash.
+
+        Args:
+            count: Largest number of peers to ask.
+        """
         peers = [(table, vm) for table in self._tables for vm in table.links]
         random.shuffle(peers)
         question = StateQuestion(with_state=False)
--- a/src/lovagestage/control/reader.py
+++ b/src/lovagestage/control/reader.py
@@ -1,4 +1,4 @@
-"""Follows the `control` stream and keeps the folded state."""
+"""Follows the log's `control` stream and maintains the folded state."""
 
 from __future__ import annotations
 
@@ -24,22 +24,28 @@
 
 
 class FollowState(enum.Enum):
-    """How the reader stands to the log."""
+    """State of the reader with respect to the log."""
 
     STARTING = "starting"
-    """The end of the log has not been reached yet."""
+    """The reader has not reached the end of the log yet."""
     FOLLOWING = "following"
     LOG_DOWN = "log_down"
-    """The latest read failed; what was in force is kept."""
+    """The latest read failed; the documents in force stay in force."""
     BELOW_HORIZON = "below_horizon"
-    """Records have expired unread, and no snapshot covers them."""
+    """Records expired before they were read, and no snapshot covers them."""
 
 
 class SnapshotSource(Protocol):
-    """Where a reader gets a state whose records have expired."""
+    """Source of a state that covers records that have expired."""
 
     async def find(self, first_offset: Offset) -> ControlState | None:
-        """A state at or after `first_offset`; None where there is none.
+        """Finds a state that covers all records before an offset.
+
+        Args:
+            first_offset: Oldest offset that the `control` stream still has.
+
+        Returns:
+            A state at or after `first_offset`; None if there is none.
 
         Raises:
             LogError: The log does not answer.
@@ -52,12 +58,13 @@
     Attributes:
         folded: The folded state; only this service changes it.
         caught_up: Whether the latest read reached the end of the log.
-        follow_state: How the reader stands to the log.
+        follow_state: State of the reader with respect to the log.
 
     Args:
-        log: The platform's log.
-        snapshots: Where to get a state from below the horizon.
-        root_key: See `Operators`.
+        log: Client of the platform's log.
+        snapshots: Source of a state when records expired before they were
+            read; None if there is no such source.
+        root_key: Root key of the operators; see `Operators`.
     """
 
     def __init__(
@@ -78,11 +85,12 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether the state may be acted on.
+        """Whether other components may act on the folded state.
 
-        A state that is still being read holds an old document until the end
-        is reached: to act on it would bring a withdrawn version back. The
-        same holds for one that is known to miss records.
+        Until the reader reaches the end of the log, the folded state may hold
+        an old document. Acting on an old document would bring a withdrawn
+        version back into use. A state that is known to lack records may not
+        be acted on for the same reason.
         """
         return (
             self._whole and self.follow_state is not FollowState.BELOW_HORIZON
@@ -90,26 +98,30 @@
 
     @property
     def services(self) -> dict[ServiceId, ServiceInForce]:
-        """Documents in force; none where the state may not be acted on."""
+        """Documents in force; empty while the state is not usable."""
         return self.folded.services if self.is_usable else {}
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Calls `callback` after each batch of records."""
+        """Registers a callback that is called after each batch of records."""
         self._subscribers.append(callback)
 
     async def wait_changed(self, timeout_s: float) -> None:
-        """Returns after the next batch of records, or when time is over."""
+        """Waits for the next batch of records, at most `timeout_s` seconds."""
         try:
             await asyncio.wait_for(self._changed.wait(), timeout_s)
         except TimeoutError:
             return
 
     def install(self, state: ControlState, *, whole: bool) -> bool:
-        """Replaces the state by a newer one; False where it is not newer.
+        """Replaces the folded state by a newer one.
 
         Args:
-            state: Checked by whoever brings it.
-            whole: Whether it may be acted on before the log is read.
+            state: The newer state; the caller has already verified it.
+            whole: Whether the state may be acted on before the log is read to
+                its end.
+
+        Returns:
+            False if `state` is not newer than the folded state.
         """
         if state.next_offset <= self.folded.next_offset:
             return False
@@ -123,7 +135,7 @@
         return True
 
     def get_dump(self) -> dict[str, object]:
-        """State for the dump: offset, hash and revisions in force."""
+        """Returns the diagnostic dump: offset, hash, revisions and leases."""
         return {
             "state": self.follow_state.value,
             "usable": self.is_usable,
@@ -142,10 +154,10 @@
         }
 
     async def read_to_end(self) -> None:
-        """Reads what the log has now, beside the follower.
+        """Reads to the current end of the log, concurrently with the follower.
 
         Raises:
-            LogError: The log can't be read, or not from here on.
+            LogError: The log can't be read, or no longer has the next record.
         """
         while True:
             start = self.folded.next_offset
@@ -170,9 +182,10 @@
                 await self.sleep(RETRY_S)
 
     async def _recover(self, first_offset: Offset) -> None:
-        # Records have expired unread: a withdrawal may be among them. Until
-        # a later state is read to its end, nothing is served from this one;
-        # the callers see `not_ready`, never an older configuration.
+        # Records expired before this process read them, and a withdrawal may
+        # be among them. Until a later state is installed and the log is read
+        # to its end, no document of this state is served. Callers receive
+        # `not_ready` and never an older configuration.
         self.follow_state = FollowState.BELOW_HORIZON
         self.caught_up = False
         state = None
@@ -202,8 +215,9 @@
         self._apply(page)
         self._publish()
         if not self.caught_up and start == self.folded.next_offset:
-            # A log that is behind the state answers at once, every time:
-            # without a pause each reader would ask it without end.
+            # A log that is behind the folded state answers every read
+            # immediately. Without a pause, each reader would poll it in a
+            # busy loop.
             await self.sleep(RETRY_S)
 
     def _apply(self, page: LogPage) -> None:
@@ -211,9 +225,10 @@
             self.folded.apply(offset, data)
         behind = page.next_offset < self.folded.next_offset
         if behind:
-            # A log that lost records would hand out their offsets again, and
-            # readers would fold different records at one offset. What is in
-            # force is kept; only an operator can say which is right.
+            # A log that lost records would assign their offsets to new
+            # records, and readers would fold different records at one offset.
+            # The documents in force stay in force, because only an operator
+            # can decide whether the log or the folded state is right.
             _log.error(
                 "log_behind_state",
                 extra={
--- a/src/lovagestage/control/rollout_driver.py
+++ b/src/lovagestage/control/rollout_driver.py
@@ -1,9 +1,10 @@
-"""Moves roll-outs on: the work of whichever entry holds the lease.
+"""Advances roll-outs in the entry that holds the roll-out lease.
 
-Nothing of it is kept here: the phase and step are in the log and the loaded
-versions in the sidecars' heartbeats, so another process goes on from any
-point. Time spent at a step is counted from when this process first saw the
-step; after a take-over a step lasts longer, never shorter.
+The driver holds no state of a roll-out that would be lost with the process.
+The phase and step are in the log, and the loaded versions are in the sidecars'
+heartbeats, so another entry can continue from any point. The duration of a
+step is counted from when this process first saw the step. After another entry
+takes over, a step therefore lasts longer, never shorter.
 """
 
 from __future__ import annotations
@@ -43,29 +44,32 @@
 ORDER_TIMEOUT_S = 5.0
 APPEND_TIMEOUT_S = 5.0
 MAX_LOADS_AT_ONCE = 2
-"""Engines that load at once: the weight store is rate-limited, and an engine
-that loads serves less."""
+"""Largest number of engines that load a version at the same time.
+
+More concurrent loads would reach the weight store's rate limit, and an engine
+that loads serves fewer requests.
+"""
 THROTTLED_PAUSE_S = 2.0
 LOADING_TIMEOUT_S = 120.0
 _FINAL = (RolloutPhase.DONE, RolloutPhase.ROLLED_BACK)
 
 
 class Evidence(Protocol):
-    """What is known for and against a new version."""
+    """Evidence for and against the new version of a roll-out."""
 
     def may_step(self, rollout: Rollout) -> bool:
-        """Whether nothing speaks against the next step."""
+        """Whether the evidence permits the roll-out's next step."""
 
 
 class RolloutDriver(mode.Service):
-    """Drives all roll-outs while it holds the lease.
+    """Advances all roll-outs while this process holds the roll-out lease.
 
     Args:
-        control: The folded state.
-        lease: The roll-out lease.
-        writer: Appends progress.
-        upstreams: Links to the sidecars.
-        evidence: What is known of new versions.
+        control: Reader that holds the folded control state.
+        lease: Keeper of the roll-out lease.
+        writer: Writer that appends progress records to the log.
+        upstreams: Connections to the sidecars.
+        evidence: Evidence for and against new versions.
     """
 
     def __init__(
@@ -91,9 +95,10 @@
         while not self.should_stop:
             rollouts = self._control.folded.rollouts.get_all()
             is_driver = self._lease.is_held and self._control.is_usable
-            # The driver orders loads at each upstream of the fleet. Judged by
-            # its subset alone, a version would count as loaded everywhere
-            # while most upstreams lack it.
+            # The driver sends load orders to each upstream of the fleet, so
+            # it follows all upstreams. If it followed only its subset, a
+            # version would count as loaded everywhere while most upstreams
+            # lack it.
             is_open = any(
                 rollout.progress.phase not in _FINAL for rollout in rollouts
             )
@@ -140,8 +145,8 @@
         )
 
     def _get_engines(self) -> list[UpstreamView]:
-        # A plain service never has a version; were it asked to load one, no
-        # roll-out would get past its first phase.
+        # The upstream of a plain service never loads a version. If such
+        # upstreams were counted, no roll-out would leave its first phase.
         return [v for v in self._upstreams.get_views() if v.is_engine]
 
     def _get_entered_s(self, progress: Progress) -> float:
@@ -198,7 +203,8 @@
         try:
             result = await self._writer.append(record, APPEND_TIMEOUT_S)
         except LogError as error:
-            # The next round reads what came of it and goes on from there.
+            # The next iteration reads from the log whether the record was
+            # appended, and continues from the folded progress.
             _log.warning("rollout_append_failed", extra={"code": error.code})
             return
         _log.info(
--- a/src/lovagestage/control/snapshotting.py
+++ b/src/lovagestage/control/snapshotting.py
@@ -1,4 +1,4 @@
-"""Reads and writes snapshots in the log's `snapshots` stream."""
+"""Reads and writes snapshots of the state in the log's `snapshots` stream."""
 
 from __future__ import annotations
 
@@ -31,14 +31,16 @@
 
 
 class SnapshotPolicy(msgspec.Struct, frozen=True):
-    """When a snapshot is written.
+    """Bounds after which the next snapshot is written.
 
-    Both bounds have to be under a third of the log's retention, so that two
-    snapshots are always there and one may fail.
+    Both bounds have to be under a third of the log's retention, so that the
+    log always has two snapshots and one of the two may be unusable.
 
     Attributes:
-        every_records: After so many records of the `control` stream.
-        every_s: After so much time, since idle streams expire as well.
+        every_records: Number of records of the `control` stream after which a
+            snapshot is written.
+        every_s: Seconds after which a snapshot is written, since records of
+            idle streams expire as well.
     """
 
     every_records: int = 5000
@@ -46,15 +48,15 @@
 
 
 class SnapshotStream:
-    """This process's place in the `snapshots` stream.
+    """Reads the `snapshots` stream from this process's position in it.
 
     Args:
-        log: The platform's log.
-        keys: The system's log keys; the first one signs.
+        log: Client of the platform's log.
+        keys: The system's log keys; the first key signs snapshots.
 
     Attributes:
-        shelf: What was read.
-        key: The key that signs.
+        shelf: Collects the chunks that were read.
+        key: The log key that signs snapshots; empty if there is none.
     """
 
     def __init__(self, log: Log, keys: Sequence[str] = ()) -> None:
@@ -64,7 +66,7 @@
         self._next_offset = Offset(0)
 
     async def read_to_end(self) -> None:
-        """Reads on to the end of the stream.
+        """Reads from the current position to the end of the stream.
 
         Raises:
             LogError: The log does not answer.
@@ -75,7 +77,8 @@
                     SNAPSHOT_STREAM, self._next_offset, READ_LIMIT, 0.0
                 )
             except BelowHorizonError as error:
-                # Chunks expire too; a snapshot that lost some stays torn.
+                # Chunks expire as well. A snapshot that lost a chunk before
+                # it was read stays incomplete and is never restored.
                 self._next_offset = Offset(error.first_offset)
                 continue
             for offset, data in page.records:
@@ -85,10 +88,13 @@
                 return
 
     async def find(self, first_offset: Offset) -> ControlState | None:
-        """The newest state after which no record is missing.
+        """Restores the newest snapshot after which no record is missing.
 
         Args:
-            first_offset: The oldest offset that the `control` stream has.
+            first_offset: Oldest offset that the `control` stream still has.
+
+        Returns:
+            None if no complete snapshot covers `first_offset`.
 
         Raises:
             LogError: The log does not answer.
@@ -105,14 +111,14 @@
 
 
 class SnapshotWriter(mode.Service):
-    """Writes snapshots as long as it holds their lease.
+    """Writes snapshots while this process holds the snapshot lease.
 
     Args:
-        log: The platform's log.
-        control: The folded state.
-        keeper: Holds `SNAPSHOT_LEASE`.
-        policy: When to write.
-        keys: The system's log keys.
+        log: Client of the platform's log.
+        control: Reader that holds the folded control state.
+        keeper: Keeper of `SNAPSHOT_LEASE`.
+        policy: Bounds after which a snapshot is written.
+        keys: The system's log keys; the first key signs snapshots.
     """
 
     def __init__(
@@ -146,16 +152,18 @@
             return
         await self._stream.read_to_end()
         self._observe_newest()
-        # The writer's own lease renewals move the stream, so an idle system
-        # has records as well, and the cursor of each snapshot is new.
+        # Renewals of the snapshot lease are records of the `control` stream
+        # as well. An idle system therefore has new records too, and each
+        # snapshot has a cursor of its own.
         records = self._control.folded.next_offset - self._seen
         is_old = time.monotonic() - self._seen_s >= self._policy.every_s
         if records >= self._policy.every_records or (records and is_old):
             await self._write_one()
 
     def _observe_newest(self) -> None:
-        # Only what is whole in the log counts: the snapshot of a holder that
-        # died halfway is torn, and the next holder writes one at once.
+        # Only snapshots that are complete in the log count. If a holder fails
+        # before it has written all chunks, its snapshot is incomplete, and
+        # the next holder writes a snapshot immediately.
         cursor = self._stream.shelf.get_cursor()
         if cursor > self._seen:
             self._seen = cursor
--- a/src/lovagestage/control/writer.py
+++ b/src/lovagestage/control/writer.py
@@ -1,4 +1,4 @@
-"""Appends to the `control` stream and learns what became of it."""
+"""Appends records to the `control` stream and reads back their outcome."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
 
 DEFAULT_TIMEOUT_S = 20.0
 READ_BACK_S = 2.0
-"""How long a record is looked for before it is appended again."""
+"""Seconds to wait for a sent record in the fold before appending it again."""
 
 RETRY_S = 0.25
 
 
 class RecordWriter(Protocol):
-    """What parts that write to the log need."""
+    """Interface through which components append records to the log."""
 
     async def append(
         self, record: Record, timeout_s: float = DEFAULT_TIMEOUT_S
     ) -> ChangeResult:
-        """See `ControlWriter.append`."""
+        """Appends a record; see `ControlWriter.append`."""
 
 
 def make_change_id() -> ChangeId:
-    """A change id that no other writer chooses."""
+    """Makes a change id that no other writer chooses."""
     return ChangeId(uuid.uuid4().hex)
 
 
 class ControlWriter:
-    """Appends records; safe to call with the same change id again.
+    """Appends records; a retry with the same change id has no second effect.
 
     Args:
-        log: The platform's log.
-        control: The reader through whose fold results are learned.
+        log: Client of the platform's log.
+        control: Reader whose folded state shows the outcome of each change.
     """
 
     def __init__(self, log: Log, control: ControlReader) -> None:
@@ -57,16 +57,20 @@
     async def append(
         self, record: Record, timeout_s: float = DEFAULT_TIMEOUT_S
     ) -> ChangeResult:
-        """Appends a record until its result is known.
+        """Appends a record, and retries until its result is known.
 
         Args:
-            record: Its `change_id` names the change.
-            timeout_s: Longest time that is spent.
+            record: The record; its `change_id` identifies the change.
+            timeout_s: Longest duration of the call, in seconds.
+
+        Returns:
+            The result of the change as the fold decided it.
 
         Raises:
-            CodecError: The record is too large; it was not appended.
-            LogUnavailableError: It was certainly not appended by this call.
-            ChangeUnknownError: It may have been appended.
+            CodecError: The record is too large and was not appended.
+            LogUnavailableError: This call certainly did not append the
+                record.
+            ChangeUnknownError: The record may have been appended.
         """
         data = encode_record(record)
         end_s = time.monotonic() + timeout_s
@@ -79,8 +83,9 @@
             if left_s <= 0:
                 raise _make_error(record.change_id, sent, timeout_s)
             try:
-                # The fold drops a record whose change id it has seen, so
-                # appending again after a lost answer changes nothing twice.
+                # The fold drops a record whose change id it has already seen,
+                # so an append that is retried after a lost answer has no
+                # second effect.
                 await self._append_once(data, left_s)
             except LogUnavailableError:
                 await asyncio.sleep(min(RETRY_S, left_s))
--- a/src/lovagestage/messages/__init__.py
+++ b/src/lovagestage/messages/__init__.py
@@ -1,1 +1,1 @@
-"""What processes send each other."""
+"""Messages that the processes send to each other."""
--- a/src/lovagestage/messages/calls.py
+++ b/src/lovagestage/messages/calls.py
@@ -1,4 +1,4 @@
-"""A call to a plain service and its answer, as sent."""
+"""Calls to a plain service and their answers, as sent between processes."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 
 
 class Header(msgspec.Struct, frozen=True, array_like=True):
-    """One header; a name may come several times."""
+    """One HTTP header; several headers may have the same name."""
 
     name: str
     value: str
 
 
 class PlainCall(msgspec.Struct, frozen=True, array_like=True):
-    """What a call asks for; a request key stands for just this.
+    """The part of an HTTP call that a request key identifies.
 
-    Headers are sent beside it: those that clients and proxies add differ from
-    one try to the next and don't make it another call.
+    Headers are sent separately. The headers that clients and proxies add differ
+    between a call and its retries, so they must not make a retry a different
+    call.
 
     Attributes:
         method: HTTP method.
-        target: Path and query at the upstream, as they came.
-        content: The body.
+        target: Path and query at the upstream, as the caller sent them.
+        content: Body of the call.
     """
 
     method: str
@@ -37,9 +38,9 @@
     """The answer of a plain service.
 
     Attributes:
-        status: HTTP status, whatever it is.
-        headers: Its headers without those of the connection.
-        content: The body.
+        status: HTTP status, of any class.
+        headers: Headers of the answer, without the connection's own headers.
+        content: Body of the answer.
     """
 
     status: int
@@ -63,13 +64,13 @@
     """Decodes a call.
 
     Raises:
-        CodecError: The bytes are no call.
+        CodecError: The bytes are not an encoded call.
     """
     return _decode(_call_decoder, data, "A call")
 
 
 def encode_answer(answer: PlainAnswer) -> bytes:
-    """Encodes an answer as the one chunk of its run."""
+    """Encodes an answer as the only chunk of its run."""
     return _encoder.encode(answer)
 
 
@@ -77,7 +78,7 @@
     """Decodes an answer.
 
     Raises:
-        CodecError: The bytes are no answer.
+        CodecError: The bytes are not an encoded answer.
     """
     return _decode(_answer_decoder, data, "An answer")
 
--- a/src/lovagestage/messages/counters.py
+++ b/src/lovagestage/messages/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what entries learn of versions, and how they are sent."""
+"""Counters of the cost and quality of versions, and the message with them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,21 @@
 from lovagestage.types import VmId
 
 PRIOR_DEVIATION = 0.25
-"""Deviation of scores assumed until they show their own."""
+"""Standard deviation of scores that is assumed while there are few ratings.
+
+With too few ratings, the deviation of the scores themselves would give a
+standard error that is too small.
+"""
 PRIOR_COUNT = 8.0
 
 
 class Plan(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """How a request is answered.
+    """Versions that answer a request, in the order in which they are asked.
 
     Attributes:
-        start: `MODEL@VERSION` that answers first.
-        then: Version asked next where that answer is doubtful; empty for
-            none.
+        start: Version, as `MODEL@VERSION`, that answers first.
+        then: Version that the request escalates to if the first answer is
+            doubtful; empty if the request does not escalate.
     """
 
     start: str
@@ -27,12 +31,12 @@
 
 
 class Arm(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """What one counter is about.
+    """Group of requests that share one counter.
 
     Attributes:
-        class_name: Request class.
-        difficulty: Level of the request's difficulty feature.
-        plan: How the requests were answered.
+        class_name: Request class of the requests.
+        difficulty: Level of the requests' difficulty feature.
+        plan: Versions that answered the requests.
     """
 
     class_name: str
@@ -44,11 +48,11 @@
     """Sums over the requests of an arm.
 
     Attributes:
-        requests: Requests answered.
-        cost: Their cost, in the document's price units.
-        ratings: Answers that were rated.
-        score_sum: Sum of their scores.
-        square_sum: Sum of the squares of their scores.
+        requests: Number of requests that were answered.
+        cost: Total cost of the requests, in the document's price units.
+        ratings: Number of answers that were rated.
+        score_sum: Sum of the scores of the rated answers.
+        square_sum: Sum of the squares of the scores of the rated answers.
     """
 
     requests: int = 0
@@ -58,7 +62,7 @@
     square_sum: float = 0.0
 
     def add(self, other: Counter) -> None:
-        """Adds the sums of another counter."""
+        """Adds the sums of another counter to this counter."""
         self.requests += other.requests
         self.cost += other.cost
         self.ratings += other.ratings
@@ -66,16 +70,20 @@
         self.square_sum += other.square_sum
 
     def is_later(self, other: Counter) -> bool:
-        """Whether this is a later copy of the same counter."""
+        """Whether this counter is a newer copy of the same counter."""
         mine = (self.requests + self.ratings, self.requests)
         return mine > (other.requests + other.ratings, other.requests)
 
     def get_mean(self) -> float:
-        """Mean score; 0 without ratings."""
+        """Returns the mean score; 0 if there are no ratings."""
         return self.score_sum / self.ratings if self.ratings else 0.0
 
     def get_error(self) -> float:
-        """Standard error of the mean score, drawn towards a prior."""
+        """Returns the standard error of the mean score.
+
+        The variance is shrunk towards a prior; the error is infinite if there
+        are no ratings.
+        """
         if not self.ratings:
             return math.inf
         spread = self.square_sum - self.score_sum * self.get_mean()
@@ -85,12 +93,12 @@
         return math.sqrt(variance / self.ratings)
 
     def get_cost(self) -> float:
-        """Mean cost of a request; infinite without requests."""
+        """Returns the mean cost of a request; infinite if there are none."""
         return self.cost / self.requests if self.requests else math.inf
 
 
 class CounterEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One counter with its key, as sent."""
+    """One counter with its arm and time window, as sent to other entries."""
 
     arm: Arm
     window: int
@@ -98,12 +106,13 @@
 
 
 class LearnedDelta(msgspec.Struct, frozen=True, array_like=True, tag="learned"):
-    """Counters of one entry that changed since its last message.
+    """Counters of one entry that changed since the entry's last message.
 
     Attributes:
-        vm: The entry.
-        incarnation: Start time of its process; its counters began then.
-        entries: The counters, whole and not as differences.
+        vm: VM of the entry.
+        incarnation: Start time of the entry's process, at which its counters
+            started from zero.
+        entries: The counters as full sums, not as differences.
     """
 
     vm: VmId
--- a/src/lovagestage/messages/crashes.py
+++ b/src/lovagestage/messages/crashes.py
@@ -1,4 +1,4 @@
-"""What entries tell one another of requests that may crash upstreams."""
+"""Reports between entries about requests that may crash upstreams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CrashReportKind(enum.Enum):
-    """What an entry has learnt of a request that may crash upstreams."""
+    """Kind of event that an entry reports of a suspected request."""
 
     STRIKE = "strike"
     PROBE = "probe"
@@ -22,12 +22,12 @@
 class CrashReport(
     msgspec.Struct, frozen=True, array_like=True, tag="crash_report"
 ):
-    """What an entry tells the others of one request.
+    """Report to the other entries about a request that may crash upstreams.
 
     Attributes:
-        kind: What happened.
-        fingerprint: The request.
-        run: Names the attempt.
+        kind: Event that the entry reports.
+        fingerprint: Fingerprint of the request.
+        run: Identifies the attempt that the event belongs to.
     """
 
     kind: CrashReportKind
--- a/src/lovagestage/messages/envelope.py
+++ b/src/lovagestage/messages/envelope.py
@@ -1,10 +1,11 @@
-"""Messages between the system's processes, MessagePack over pyzmq.
-
-An entry connects to a sidecar and sends `Hello`, `Dispatch`, `Attach`, `Ack`
-and `Cancel`; the sidecar answers with the rest. A run is named by the request
-id together with the attempt number; frames of another attempt are dropped.
-Messages are arrays on the wire: a later version may only append fields that
-have defaults.
+"""Messages between the system's processes, as MessagePack over pyzmq.
+
+An entry connects to a sidecar and sends the messages of `EntryMessage`, such as
+`Hello`, `Dispatch`, `Attach`, `Ack` and `Cancel`. The sidecar answers with the
+messages of `SidecarMessage`. A run is identified by the request id together
+with the attempt number; frames of another attempt are dropped. Messages are
+arrays on the wire, so a later software version may only append fields, and the
+new fields must have defaults.
 """
 
 from __future__ import annotations
@@ -62,12 +63,16 @@
 
     Attributes:
         vm: The sender's VM.
-        incarnation: Start time of the process; a restart has a higher one.
-        sequence: Counts up on a link; its answer carries it back.
-        heard_sequence: Where this is an answer: the sequence it answers.
-        known_state: `state_hash` of the latest heartbeat; an answer may then
-            leave out what has that hash. 0 asks for all. With it, `vm` and
-            `incarnation` are left out too: the connection has said them.
+        incarnation: Start time of the sender's process; a restarted process
+            has a higher one.
+        sequence: Sequence number, which increases on a connection; the answer
+            carries it back.
+        heard_sequence: If this message is an answer, the sequence number of
+            the answered message.
+        known_state: `state_hash` of the latest heartbeat received. The answer
+            may then omit the fields that have this hash; 0 requests all
+            fields. If it is not 0, `vm` and `incarnation` are omitted too,
+            because an earlier message on the connection contained them.
     """
 
     vm: VmId
@@ -78,28 +83,36 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="heartbeat"):
-    """The sidecar's state, sent on a timer and after each change of it.
+    """The sidecar's state, sent on a timer and after each change of the state.
 
     Attributes:
         vm: The sidecar's VM.
-        zone: Its availability zone.
-        incarnation: Start time of the process; a restart has a higher one.
-        sequence: Counts up; an older heartbeat is dropped.
-        leaving: It takes no new work.
-        versions: `MODEL@VERSION` that its upstream has loaded.
-        running: Requests running at the upstream.
-        waiting: Requests waiting at the upstream.
-        max_running: Requests that may run at once.
-        token_interval_ms: Time between tokens of a stream, as measured.
-        control_offset: How far it has read the `control` stream.
-        clock_ms: Its own clock, from which runs of keyed requests take
-            their permit.
-        heard_sequence: Sequence of the latest `Hello` on this connection.
-        max_batch: Requests that the engine works on at once; 0 if unknown.
-        pool: Pool of its plain service; empty beside an engine.
-        is_up: Whether the plain service takes calls.
+        zone: Availability zone of the VM.
+        incarnation: Start time of the sidecar's process; a restarted process
+            has a higher one.
+        sequence: Sequence number, which increases; a heartbeat older than the
+            latest one received is dropped.
+        leaving: Whether the sidecar accepts no new requests.
+        versions: Versions, each as `MODEL@VERSION`, that the upstream has
+            loaded.
+        running: Number of requests that run at the upstream.
+        waiting: Number of requests that wait at the upstream.
+        max_running: Largest number of requests that may run at the same time.
+        token_interval_ms: Measured time between tokens of a stream, in
+            milliseconds.
+        control_offset: Offset up to which the sidecar has read the `control`
+            stream.
+        clock_ms: The sidecar's own clock in milliseconds, from which runs of
+            keyed requests take their permit.
+        heard_sequence: Sequence number of the latest `Hello` received on this
+            connection.
+        max_batch: Number of requests that the engine processes at the same
+            time; 0 if unknown.
+        pool: Pool of the plain service; empty beside an engine.
+        is_up: Whether the plain service accepts calls.
         state_hash: Hash of VM, zone and versions; never 0.
-        shortened: These three are left out: the reader has that hash.
+        shortened: Whether VM, zone and versions are omitted because the
+            receiver already has the values with this hash.
     """
 
     vm: VmId
@@ -125,13 +138,13 @@
 class DumpRequest(
     msgspec.Struct, frozen=True, array_like=True, tag="dump_request"
 ):
-    """Asks a process for its state."""
+    """Requests the diagnostic dump of a process."""
 
 
 class DumpAnswer(
     msgspec.Struct, frozen=True, array_like=True, tag="dump_answer"
 ):
-    """A process's state as JSON."""
+    """Diagnostic dump of a process as JSON."""
 
     state: bytes
 
@@ -139,7 +152,7 @@
 class StateQuestion(
     msgspec.Struct, frozen=True, array_like=True, tag="state_question"
 ):
-    """Asks a process for its folded state, or only for its hash."""
+    """Requests a process's folded state, or only its offset and hash."""
 
     with_state: bool
 
@@ -147,12 +160,13 @@
 class StateAnswer(
     msgspec.Struct, frozen=True, array_like=True, tag="state_answer"
 ):
-    """A process's folded state.
+    """A process's folded control state.
 
     Attributes:
-        next_offset: Its offset.
-        checksum: Its hash; empty where it may not be acted on.
-        state: Its encoding; empty where not asked for or not to be used.
+        next_offset: `next_offset` of the state.
+        checksum: Hash of the state; empty if the state may not be acted on.
+        state: The encoded state; empty if it was not requested or may not be
+            acted on.
     """
 
     next_offset: Offset
@@ -163,7 +177,10 @@
 class StateOffer(
     msgspec.Struct, frozen=True, array_like=True, tag="state_offer"
 ):
-    """A folded state for a process that has none; as `StateAnswer`."""
+    """Offers a folded state to a process that has none.
+
+    The fields are those of `StateAnswer`.
+    """
 
     next_offset: Offset
     checksum: str
@@ -171,11 +188,11 @@
 
 
 class Ask(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """A question; its answer comes in a `Reply` with the same call id.
+    """Request to a process that answers it in a `Reply` with the same call id.
 
     Attributes:
-        call_id: Chosen by the asker.
-        payload: An encoded message.
+        call_id: Id of the call, which the sender of the request chooses.
+        payload: The encoded message of the request.
     """
 
     call_id: int
@@ -183,21 +200,21 @@
 
 
 class Reply(msgspec.Struct, frozen=True, array_like=True, tag="reply"):
-    """The answer to an `Ask`."""
+    """Answer to an `Ask`; the payload is an encoded message."""
 
     call_id: int
     payload: bytes
 
 
 class OrderState(enum.Enum):
-    """What became of an order to an engine."""
+    """Result of an order to an engine."""
 
     STARTED = "started"
     DONE = "done"
     THROTTLED = "throttled"
-    """The weight store's rate limit; nothing was started."""
+    """The weight store's rate limit was reached; no load was started."""
     REFUSED = "refused"
-    """By the gate or the engine; nothing was started."""
+    """The fencing gate or the engine rejected it; no load was started."""
     UNKNOWN = "unknown"
 
 
@@ -205,9 +222,9 @@
     """Orders an engine to load a version.
 
     Attributes:
-        lease: The lease that the sender holds.
-        fencing: Its fencing number.
-        version: `MODEL@VERSION`.
+        lease: Name of the lease that the sender holds.
+        fencing: Fencing number of the sender's grant of the lease.
+        version: Version to load, as `MODEL@VERSION`.
     """
 
     lease: LeaseId
@@ -218,7 +235,7 @@
 class OrderResult(
     msgspec.Struct, frozen=True, array_like=True, tag="order_result"
 ):
-    """What became of an order."""
+    """Result of an order, with an error message if it failed."""
 
     state: OrderState
     message: str
@@ -273,9 +290,9 @@
     """Decodes a message.
 
     Raises:
-        CodecError: The bytes are no message.
+        CodecError: The bytes are not an encoded message.
     """
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as error:
-        raise CodecError(f"A message does not decode: {error}.") from error
+        raise CodecError(f"The message can't be decoded: {error}.") from error
--- a/src/lovagestage/messages/keys.py
+++ b/src/lovagestage/messages/keys.py
@@ -1,4 +1,4 @@
-"""Messages about request keys, asked and answered inside `Ask` and `Reply`."""
+"""Messages about request keys, sent as payloads of `Ask` and `Reply`."""
 
 from __future__ import annotations
 
@@ -11,15 +11,19 @@
 
 
 class RunId(msgspec.Struct, frozen=True, array_like=True):
-    """One run of a keyed request, and the only process that may execute it.
+    """Identifies a run of a keyed request and the process that may execute it.
+
+    No other process may execute the run.
 
     Attributes:
-        request_id: The request.
-        attempt: Attempt number from 1.
-        sidecar: VM of the executing sidecar.
-        incarnation: Its process; a later one has no record of the run.
-        permit_ms: The sidecar's own clock when it was chosen. It refuses the
-            run once that is too long ago.
+        request_id: Id of the request.
+        attempt: Number of the attempt, from 1.
+        sidecar: VM of the sidecar that executes the run.
+        incarnation: Incarnation of the sidecar's process; a restarted process
+            has no record of the run.
+        permit_ms: The sidecar's own clock, in milliseconds, at the time when
+            the sidecar was chosen. The sidecar refuses the run when this time
+            is too long ago.
     """
 
     request_id: RequestId
@@ -30,16 +34,18 @@
 
 
 class LedgerEntry(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A claim as its holders keep it.
+    """A claim of a request key as the key's holders store it.
 
     Attributes:
-        workspace: Scope of the key.
-        key: The caller's key.
-        fingerprint: Digest of the body.
+        workspace: Workspace that the key belongs to.
+        key: Request key that the caller sent.
+        fingerprint: Digest of the request body.
         run: The run that may execute.
-        version: `MODEL@VERSION` of the run.
-        stamp: Epoch and count; the higher stamp is the later claim.
-        put_at_s: The holder's monotonic time; in messages its age.
+        version: Version of the run, as `MODEL@VERSION`.
+        stamp: Epoch and count; of two claims, the claim with the higher stamp
+            is the later one.
+        put_at_s: Monotonic time of the holder, in seconds, at which the claim
+            was stored; in messages, the age of the claim in seconds.
     """
 
     workspace: WorkspaceId
@@ -51,23 +57,27 @@
     put_at_s: float
 
     def at(self, put_at_s: float) -> LedgerEntry:
-        """The same claim with another time."""
+        """Returns a copy of the claim with another time.
+
+        Args:
+            put_at_s: The new time or age, in seconds.
+        """
         return msgspec.structs.replace(self, put_at_s=put_at_s)
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
-    """Asks a key's owner to let a run execute.
+    """Asks the owner of a request key for permission to execute a run.
 
     Attributes:
-        epoch: Epoch of the asker's view.
-        workspace: Scope of the key.
-        key: The caller's key.
-        fingerprint: Digest of the body.
-        run: The run; None only asks what is known of the key.
-        version: `MODEL@VERSION` of the run.
+        epoch: Epoch of the sender's member view.
+        workspace: Workspace that the key belongs to.
+        key: Request key that the caller sent.
+        fingerprint: Digest of the request body.
+        run: The run to execute; None only queries the claim of the key.
+        version: Version of the run, as `MODEL@VERSION`.
         repeatable: Whether the request may run more than once.
-        after: The run that this one replaces; it was proved not to run, or
-            the request is repeatable.
+        after: The earlier run that `run` replaces. Either the earlier run was
+            proved not to run, or the request is repeatable.
     """
 
     epoch: Offset
@@ -81,12 +91,12 @@
 
 
 class ClaimOutcome(enum.Enum):
-    """What an owner says to a claim."""
+    """Answer of a key's owner to a claim."""
 
     GRANTED = "granted"
     HELD = "held"
     FREE = "free"
-    """No run was claimed; answers a claim that names no run."""
+    """The key has no claim; this answers a claim that names no run."""
     OTHER_BODY = "other_body"
     STALE_VIEW = "stale_view"
     BUSY = "busy"
@@ -97,20 +107,20 @@
 class ClaimAnswer(
     msgspec.Struct, frozen=True, array_like=True, tag="claim_answer"
 ):
-    """Answer to `Claim`; `entry` for `GRANTED` and `HELD`."""
+    """Answer to `Claim`; `entry` is set for `GRANTED` and `HELD`."""
 
     outcome: ClaimOutcome
     entry: LedgerEntry | None = None
 
 
 class Copy(msgspec.Struct, frozen=True, array_like=True, tag="copy"):
-    """Asks the copy of a slot to take a claim.
+    """Asks the copy holder of a slot to store a claim.
 
     Attributes:
-        epoch: The owner's epoch.
-        slot: The slot.
-        entry: The claim; None only asks whether the copy is in the same
-            epoch still.
+        epoch: Epoch of the owner's member view.
+        slot: Number of the slot.
+        entry: The claim to store; None only asks whether the copy holder is
+            still in the same epoch.
     """
 
     epoch: Offset
@@ -121,13 +131,13 @@
 class CopyAnswer(
     msgspec.Struct, frozen=True, array_like=True, tag="copy_answer"
 ):
-    """Answer to `Copy`."""
+    """Answer to `Copy`: whether the copy holder accepted it."""
 
     taken: bool
 
 
 class Pull(msgspec.Struct, frozen=True, array_like=True, tag="pull"):
-    """Asks for all claims of a slot."""
+    """Requests all claims of a slot from another holder."""
 
     epoch: Offset
     slot: int
@@ -136,7 +146,10 @@
 class PullAnswer(
     msgspec.Struct, frozen=True, array_like=True, tag="pull_answer"
 ):
-    """Answer to `Pull`; see `request_keys.Slot`. Entries carry ages."""
+    """Answer to `Pull` with the fields of `request_keys.Slot`.
+
+    The `put_at_s` of each entry is the age of the claim.
+    """
 
     epoch: Offset
     whole_start: Offset
@@ -146,11 +159,12 @@
 
 
 class Inquiry(msgspec.Struct, frozen=True, array_like=True, tag="inquiry"):
-    """Asks a sidecar about a run.
+    """Asks a sidecar whether it knows a run.
 
     Attributes:
         run: The run.
-        forbid: Where it never came, refuse it from now on.
+        forbid: Whether the sidecar has to refuse the run from now on if it
+            has never received the run.
     """
 
     run: RunId
@@ -158,19 +172,19 @@
 
 
 class RunKnown(enum.Enum):
-    """What a sidecar knows of a run."""
+    """Knowledge of a sidecar about a run."""
 
     HERE = "here"
     NEVER = "never"
     FORBIDDEN = "forbidden"
-    """It never ran and never will."""
+    """The run was never executed and never will be."""
     FORGOTTEN = "forgotten"
-    """It may have run; its answer is gone."""
+    """The run may have been executed; its answer is no longer available."""
 
 
 class InquiryAnswer(
     msgspec.Struct, frozen=True, array_like=True, tag="inquiry_answer"
 ):
-    """Answer to `Inquiry`."""
+    """Answer to `Inquiry`: the sidecar's knowledge about the run."""
 
     known: RunKnown
--- a/src/lovagestage/messages/peers.py
+++ b/src/lovagestage/messages/peers.py
@@ -1,4 +1,4 @@
-"""Messages between entries: bills, usage, evidence and loaded versions."""
+"""Messages between entries about bills, usage, evidence and loaded versions."""
 
 from __future__ import annotations
 
@@ -12,21 +12,25 @@
 
 
 class Evidence(msgspec.Struct, frozen=True, array_like=True, tag="evidence"):
-    """What one entry saw of a roll-out since its last message.
+    """Observations of a roll-out by one entry since its last message.
 
     Attributes:
-        vm: The entry.
-        incarnation: Start time of its process.
-        sequence: Counts up by one; a repeated message is dropped.
+        vm: VM of the entry.
+        incarnation: Start time of the entry's process.
+        sequence: Sequence number, which increases by one; a repeated message
+            is dropped.
         epoch: Revision of the document that last changed the roll-out.
         stopped: Whether the entry has stopped the roll-out.
-        step: Index of its step.
-        old_scores: Scores in 1/255, in the order of arrival.
-        new_scores: The same of the new version.
-        old_failure_shares: Share, in 1/255, of each failed request.
-        new_failure_shares: The same of the new version.
-        old_successes: Requests that did not fail.
-        new_successes: The same of the new version.
+        step: Index of the roll-out's step at the entry.
+        old_scores: Scores of the old version's answers, one byte each in units
+            of 1/255, in the order of arrival.
+        new_scores: Scores of the new version's answers, encoded likewise.
+        old_failure_shares: Share of each failed request of the old version,
+            one byte each in units of 1/255.
+        new_failure_shares: Share of each failed request of the new version,
+            encoded likewise.
+        old_successes: Number of requests of the old version that did not fail.
+        new_successes: Number of requests of the new version that did not fail.
     """
 
     vm: VmId
@@ -44,19 +48,19 @@
 
 
 class NumberedBill(msgspec.Struct, frozen=True, array_like=True):
-    """An encoded bill with its place in its owner's order, from 1."""
+    """An encoded bill with its sequence number at its owner, from 1."""
 
     number: int
     data: bytes
 
 
 class BillCopy(msgspec.Struct, frozen=True, array_like=True, tag="bill_copy"):
-    """Asks another entry to hold copies of bills.
+    """Asks another entry to store copies of bills.
 
     Attributes:
-        owner: The entry that answered the requests.
+        owner: VM of the entry that answered the requests.
         incarnation: Start time of the owner's process.
-        bills: The bills.
+        bills: Bills to store.
     """
 
     owner: VmId
@@ -67,7 +71,7 @@
 class BillCopied(
     msgspec.Struct, frozen=True, array_like=True, tag="bill_copied"
 ):
-    """Says whether the copies are held; False where there is no room."""
+    """Answers whether the copies are stored; False if the capacity is full."""
 
     held: bool
 
@@ -75,12 +79,12 @@
 class BillRelease(
     msgspec.Struct, frozen=True, array_like=True, tag="bill_release"
 ):
-    """Renews an owner's copies and drops those that the log has.
+    """Renews an owner's copies and drops the copies of bills in the log.
 
     Attributes:
-        owner: The entry that answered the requests.
+        owner: VM of the entry that answered the requests.
         incarnation: Start time of the owner's process.
-        last_number: The log has all bills up to this number.
+        last_number: Number up to which the log has all bills of the owner.
     """
 
     owner: VmId
@@ -91,7 +95,7 @@
 class VersionQuestion(
     msgspec.Struct, frozen=True, array_like=True, tag="version_question"
 ):
-    """Asks another entry which sidecars have versions loaded."""
+    """Asks another entry which sidecars have given versions loaded."""
 
     versions: list[str]
 
@@ -106,18 +110,20 @@
 class VersionAnswer(
     msgspec.Struct, frozen=True, array_like=True, tag="version_answer"
 ):
-    """Some of the sidecars that have the versions."""
+    """Answers `VersionQuestion` with some of the sidecars that have them."""
 
     places: list[VersionPlace]
 
 
 class UsageRow(msgspec.Struct, frozen=True, array_like=True):
-    """What one entry knows first-hand of one workspace.
+    """Usage and demand of one workspace through one entry.
 
     Attributes:
-        tag: The workspace.
-        used_tokens: Charged since the process has started.
-        demand_per_s: Tokens that callers ask for, smoothed.
+        tag: Identifies the workspace.
+        used_tokens: Tokens charged through the entry since its process
+            started.
+        demand_per_s: Smoothed number of tokens per second that callers
+            request through the entry.
     """
 
     tag: WorkspaceTag
@@ -128,12 +134,12 @@
 class UsageReport(
     msgspec.Struct, frozen=True, array_like=True, tag="usage_report"
 ):
-    """Tells another entry what was used through this one.
+    """Reports the usage through the sending entry to another entry.
 
     Attributes:
-        entry: The sender.
-        incarnation: Start time of its process.
-        rows: Workspaces with demand that matters.
+        entry: VM of the sending entry.
+        incarnation: Start time of the sending entry's process.
+        rows: Usage of each workspace whose demand is large enough to matter.
     """
 
     entry: VmId
@@ -144,12 +150,12 @@
 class EvidenceReport(
     msgspec.Struct, frozen=True, array_like=True, tag="evidence_report"
 ):
-    """What an entry tells the others of one roll-out.
+    """Reports an entry's observations of one roll-out to the other entries.
 
     Attributes:
-        service: The service.
-        model: The model.
-        evidence: What it saw since its last report.
+        service: Name of the service.
+        model: Name of the model.
+        evidence: Observations since the entry's last report.
     """
 
     service: ServiceId
--- a/src/lovagestage/messages/runs.py
+++ b/src/lovagestage/messages/runs.py
@@ -1,7 +1,7 @@
 """Messages about one run, between an entry and a sidecar.
 
-A run is named by the request id together with the attempt number; frames of
-another attempt are dropped.
+A run is identified by the request id together with the attempt number; frames
+of another attempt are dropped.
 """
 
 from __future__ import annotations
@@ -17,29 +17,33 @@
 
 
 class Dispatch(msgspec.Struct, frozen=True, array_like=True, tag="dispatch"):
-    """Runs a request at the sidecar's upstream.
+    """Orders a sidecar to run a request at its upstream.
 
     Attributes:
-        request_id: The request.
-        attempt: Attempt number from 1; names the run with the request id.
-        workspace: Who asks; the sidecar checks it again.
-        service: The service.
-        version: `MODEL@VERSION`.
-        priority: 0 is most urgent.
-        deadline_s: Time left until the deadline.
-        stream: Whether chunks are wanted as they arrive.
+        request_id: Id of the request.
+        attempt: Number of the attempt, from 1; together with the request id
+            it identifies the run.
+        workspace: Workspace of the caller; the sidecar checks its rights
+            again.
+        service: Name of the service.
+        version: Version to run, as `MODEL@VERSION`.
+        priority: Priority of the request; 0 is the most urgent.
+        deadline_s: Seconds left until the deadline.
+        stream: Whether the caller wants chunks as they arrive.
         body: The request's JSON body for the engine.
-        in_session: It goes on with an open session, so that a retired version
-            takes it.
-        incarnation: The process that may run it; 0 is any. A restarted
-            sidecar remembers nothing and must not run what was meant for
-            the one before.
-        keyed: It was claimed under a request key.
-        permit_ms: That process's clock when it was chosen, where keyed.
-        strikes: Crashes at which the request was in flight.
-        probe: It must not run beside others that have strikes.
-        clock_ms: That process's clock as the entry had heard it last; -1
-            where it had not.
+        in_session: Whether the request belongs to an open session, so that a
+            retired version accepts it.
+        incarnation: Incarnation of the sidecar's process that may run the
+            request; 0 is any. A restarted sidecar has no record of earlier
+            runs and must not run a request that was sent to its predecessor.
+        keyed: Whether the run was claimed under a request key.
+        permit_ms: Clock of the sidecar's process, in milliseconds, at the time
+            when it was chosen, if the run is keyed.
+        strikes: Number of upstream crashes at which the request was in flight.
+        probe: Whether the request must not run beside other requests that
+            have strikes.
+        clock_ms: Clock of the sidecar's process, in milliseconds, as the
+            entry last received it; -1 if the entry never received it.
         headers: Headers of a call to a plain service.
     """
 
@@ -63,15 +67,17 @@
 
 
 class Attach(msgspec.Struct, frozen=True, array_like=True, tag="attach"):
-    """Asks for a run's chunks again, from `from_seq`.
+    """Requests a run's chunks again, from `from_seq`.
 
-    Where the sidecar never saw the run, it bars it and answers `not_run`.
+    A sidecar that never received the run refuses the run for good and answers
+    `not_run`.
 
     Attributes:
-        request_id: The request.
-        attempt: The attempt.
-        from_seq: First chunk that is wanted.
-        incarnation: The process that was to run it; 0 is any.
+        request_id: Id of the request.
+        attempt: Number of the attempt.
+        from_seq: Number of the first requested chunk.
+        incarnation: Incarnation of the sidecar's process that was to execute
+            the run; 0 is any.
     """
 
     request_id: RequestId
@@ -81,7 +87,7 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="ack"):
-    """The reader has passed on all chunks before `next_seq`."""
+    """Confirms that the reader has forwarded all chunks before `next_seq`."""
 
     request_id: RequestId
     attempt: int
@@ -96,18 +102,18 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag="accepted"):
-    """The sidecar has taken the run; from here on it may have run."""
+    """Reports that the sidecar accepted the run; it may execute from now on."""
 
     request_id: RequestId
     attempt: int
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True, tag="chunk"):
-    """Part of an answer.
+    """Part of the answer of a run.
 
     Attributes:
-        request_id: The request.
-        attempt: The attempt.
+        request_id: Id of the request.
+        attempt: Number of the attempt.
         seq: Number of the chunk within the run, from 0.
         data: Bytes for the caller.
         count: Number of chunks that are joined in `data`.
@@ -121,15 +127,16 @@
 
 
 class Finished(msgspec.Struct, frozen=True, array_like=True, tag="finished"):
-    """The run is whole.
+    """Reports that the answer of a run is complete.
 
     Attributes:
-        request_id: The request.
-        attempt: The attempt.
-        chunks: Number of chunks; all must have arrived.
-        prompt_tokens: As the engine counted.
-        completion_tokens: As the engine counted.
-        digest: xxh3 of the answer's bytes, in hex.
+        request_id: Id of the request.
+        attempt: Number of the attempt.
+        chunks: Number of chunks of the answer; the reader must have received
+            all of them.
+        prompt_tokens: Number of prompt tokens that the engine counted.
+        completion_tokens: Number of generated tokens that the engine counted.
+        digest: xxh3 digest of the answer's bytes, in hex.
     """
 
     request_id: RequestId
@@ -141,15 +148,16 @@
 
 
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
-    """The run ends without a whole answer.
+    """Reports that a run ended without a complete answer.
 
     Attributes:
-        request_id: The request.
-        attempt: The attempt.
+        request_id: Id of the request.
+        attempt: Number of the attempt.
         code: Code of the error.
-        message: Whole sentences.
-        run: Whether it was run.
-        retry_after_s: When to come back; None where that does not help.
+        message: Description of the error, in complete sentences.
+        run: Whether the request was executed.
+        retry_after_s: Seconds after which to retry; None if a retry does not
+            help.
     """
 
     request_id: RequestId
--- a/src/lovagestage/state/__init__.py
+++ b/src/lovagestage/state/__init__.py
@@ -1,1 +1,1 @@
-"""State folded from the log and from documents; pure."""
+"""Control state folded from the log and from documents; pure functions."""
--- a/src/lovagestage/state/document.py
+++ b/src/lovagestage/state/document.py
@@ -1,8 +1,8 @@
-"""The service document: all that a team says about its service.
+"""The service document: a team's configuration of its service.
 
-One document per service, owned by a team, published through the log. API
-keys appear only as SHA-256 digests, since every process and the log can read
-the document.
+Each service has one document, which a team owns and publishes through the log.
+API keys appear in it only as SHA-256 digests, since every process and the log
+can read the document.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 
 class VersionState(enum.Enum):
-    """Life of a version within a service."""
+    """Life-cycle state of a version within a service."""
 
     ACTIVE = "active"
     RETIRED = "retired"
-    """No new sessions or requests; open sessions finish on it."""
+    """The version gets no new sessions or requests; open sessions keep it."""
     WITHDRAWN = "withdrawn"
-    """No work at all from now on."""
+    """The version gets no requests at all, also not of open sessions."""
 
 
 class Repeatable(enum.Enum):
@@ -38,13 +38,14 @@
 
 
 class VersionSpec(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A version that the service has.
+    """A model version that the service offers.
 
     Attributes:
-        name: `MODEL@VERSION`.
+        name: Name of the version as `MODEL@VERSION`.
         price: Cost of a generated token, in units of the team's choice.
-        capacity_tokens_per_s: What the paid upstreams generate together.
-        state: Life of the version.
+        capacity_tokens_per_s: Tokens per second that all paid upstreams
+            generate together.
+        state: Life-cycle state of the version.
     """
 
     name: str
@@ -54,14 +55,17 @@
 
 
 class WorkspaceSpec(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A workspace and what it may use.
+    """A workspace's API keys, allowed versions and limits.
 
     Attributes:
-        key_digests: SHA-256 digests, in hex, of its API keys.
-        allowed: `MODEL@VERSION`, or `MODEL` for all versions of a model.
-        limit_tokens_per_s: Long-run limit over all entries.
-        burst_tokens: How far it may go over the limit at once.
-        weight: Its share where capacity is scarce.
+        key_digests: SHA-256 digests, in hex, of the workspace's API keys.
+        allowed: Versions that the workspace may use, each as `MODEL@VERSION`,
+            or as `MODEL` for all versions of a model.
+        limit_tokens_per_s: Long-run limit in tokens per second over all
+            entries.
+        burst_tokens: Tokens that the workspace may use in a burst over the
+            limit.
+        weight: Relative share of the workspace when capacity is scarce.
     """
 
     key_digests: list[str]
@@ -72,15 +76,17 @@
 
 
 class ClassSpec(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A class of requests.
+    """A class of requests with its versions, quality target and deadline.
 
     Attributes:
-        cascade: `MODEL@VERSION` from cheapest to best.
+        cascade: Versions, each as `MODEL@VERSION`, from cheapest to best.
         quality_target: Mean rating that answers must reach, from 0 to 1.
-        priority: 0 is most urgent.
-        repeatable: Whether it may be sent to an upstream more than once.
-        deadline_s: Deadline of a request that names none; 0 for the default.
-        deferrable: It may wait until its deadline.
+        priority: Priority of the requests; 0 is the most urgent.
+        repeatable: Whether a request may be sent to an upstream more than
+            once.
+        deadline_s: Deadline, in seconds, of a request that names none; 0 for
+            the default deadline.
+        deferrable: Whether a request may wait until its deadline.
     """
 
     cascade: list[str]
@@ -92,18 +98,18 @@
 
 
 class OnWithdraw(enum.Enum):
-    """What becomes of a session whose version is withdrawn."""
+    """What happens to a session when its version is withdrawn."""
 
     END = "end"
     MOVE = "move"
 
 
 class SessionSpec(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How sessions behave.
+    """Settings of the service's sessions.
 
     Attributes:
-        idle_timeout_s: A session unused for so long has ended.
-        on_withdraw: What becomes of it when its version is withdrawn.
+        idle_timeout_s: Seconds without a request after which a session ends.
+        on_withdraw: What happens to a session when its version is withdrawn.
     """
 
     idle_timeout_s: float = 3600.0
@@ -111,7 +117,7 @@
 
 
 class RolloutState(enum.Enum):
-    """What the operator wants of a roll-out."""
+    """State of a roll-out as the operator requests it."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -122,14 +128,16 @@
     """Moves a model's traffic from one version to another.
 
     Attributes:
-        old: The last good `MODEL@VERSION`.
-        new: The `MODEL@VERSION` to bring in.
-        steps: Shares of traffic for `new`, growing, the last 1.
-        step_min_s: Shortest time at a step.
-        exposure_budget: Most requests that `new` may answer before there is
-            evidence that it is no worse than `old`.
+        old: The last good version, as `MODEL@VERSION`; the roll-out replaces
+            it, or returns to it if the roll-out is stopped or aborted.
+        new: The version, as `MODEL@VERSION`, that the roll-out introduces.
+        steps: Shares of traffic for `new` at each step, in growing order; the
+            last share is 1.
+        step_min_s: Shortest duration of a step, in seconds.
+        exposure_budget: Largest number of requests that `new` may answer
+            before there is evidence that it is no worse than `old`.
         max_quality_drop: Drop of the mean rating that stops the roll-out.
-        state: What the operator wants of it.
+        state: State of the roll-out as the operator requests it.
     """
 
     old: str
@@ -142,12 +150,12 @@
 
 
 class RouteSpec(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A plain service, reached by path prefix.
+    """A route to a plain service, selected by path prefix.
 
     Attributes:
-        prefix: Path prefix, such as `/till/`.
-        pool: Pool of the upstreams that serve it.
-        repeatable: Whether calls may be sent more than once.
+        prefix: Path prefix of the route, such as `/till/`.
+        pool: Name of the pool whose upstreams serve the route.
+        repeatable: Whether a call may be sent to an upstream more than once.
     """
 
     prefix: str
@@ -156,17 +164,18 @@
 
 
 class ServiceDocument(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """All that a team says about its service.
+    """A team's configuration of its service.
 
     Attributes:
         service: Name of the service.
-        team: Team that owns it.
-        versions: The versions it has.
-        workspaces: Who may use it, by workspace.
-        classes: Request classes by name; `default` is used when none is named.
-        sessions: How sessions behave.
+        team: Name of the team that owns the service.
+        versions: Model versions that the service offers.
+        workspaces: Workspaces that may use the service, by name.
+        classes: Request classes by name; a request that names no class gets
+            the class `default`.
+        sessions: Settings of the service's sessions.
         rollouts: Roll-outs by model.
-        routes: Plain services.
+        routes: Routes to plain services.
     """
 
     service: ServiceId
@@ -179,7 +188,7 @@
     routes: list[RouteSpec] = []
 
     def get_version(self, name: ModelVersion) -> VersionSpec | None:
-        """Finds a version's part of the document."""
+        """Returns the document's entry for a version, or None."""
         wanted = str(name)
         return next((v for v in self.versions if v.name == wanted), None)
 
@@ -188,17 +197,18 @@
 
 
 def get_key_digest(api_key: str) -> str:
-    """Digest of an API key, as documents hold it."""
+    """Returns the digest of an API key as documents hold it: SHA-256 in hex."""
     return hashlib.sha256(api_key.encode()).hexdigest()
 
 
 def get_allowed_versions(
     document: ServiceDocument, workspace: WorkspaceId
 ) -> list[ModelVersion]:
-    """Versions that a workspace's open sessions may use: withdrawn ones not.
+    """Returns the versions that a workspace's open sessions may use.
 
-    This is the one place that decides it: entries choose from this list and
-    sidecars check against it again, so no routing rule can widen it.
+    Withdrawn versions are excluded. Only this function decides which versions
+    are allowed: entries choose from its list and sidecars check against the
+    list again, so no routing rule can extend the list.
     """
     return [
         name
@@ -212,7 +222,10 @@
 def get_open_versions(
     document: ServiceDocument, workspace: WorkspaceId
 ) -> list[ModelVersion]:
-    """Versions for new sessions and single requests: retired ones not."""
+    """Returns the versions for new sessions and requests without a session.
+
+    Retired and withdrawn versions are excluded.
+    """
     active = {
         version.name
         for version in document.versions
@@ -228,7 +241,7 @@
 def is_version_granted(
     document: ServiceDocument, workspace: WorkspaceId, version: ModelVersion
 ) -> bool:
-    """Whether the workspace's own list names a version, in any state."""
+    """Whether a workspace's `allowed` list names a version, in any state."""
     spec = document.workspaces.get(workspace)
     if spec is None:
         return False
--- a/src/lovagestage/state/documents.py
+++ b/src/lovagestage/state/documents.py
@@ -18,19 +18,22 @@
 from lovagestage.types import Offset, ServiceId
 
 MAX_OUTCOMES = 4096
-"""Change outcomes remembered; at 1,600 changes a day, two and a half days."""
+"""Number of change outcomes that are remembered.
+
+At 1,600 changes a day, the outcomes cover two and a half days.
+"""
 
 
 @dataclasses.dataclass(frozen=True)
 class ServiceInForce:
-    """A service's document with its revision.
+    """A service's document in force, with its revision.
 
     Attributes:
-        revision: Counts the accepted changes of the service.
-        document: The document, decoded.
-        source: The bytes that the operator appended.
-        offset: Offset of the record that brought it in force.
-        rollout_revisions: Revision that last changed each model's roll-out.
+        revision: Number of accepted changes of the service's document.
+        document: The decoded document.
+        source: The document's bytes as the operator appended them.
+        offset: Log offset of the record that put the document in force.
+        rollout_revisions: Revision that last changed the roll-out, by model.
     """
 
     revision: int
@@ -54,10 +57,13 @@
 
 
 class Documents:
-    """Documents in force by service, with the results of changes.
+    """Documents in force by service, with the results of recent changes.
+
+    Args:
+        operators: Operators in force, who decide which changes are permitted.
 
     Attributes:
-        services: Documents in force.
+        services: Documents in force, by service.
         outcomes: Results of the latest changes.
     """
 
@@ -70,7 +76,7 @@
         self.outcomes = OutcomeTable(MAX_OUTCOMES)
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
-        """Applies a change where it may, and its base is in force."""
+        """Applies a change if its author may edit and its base is in force."""
         assert isinstance(record, DocumentChange)
         if record.change_id in self.outcomes:
             return
@@ -104,15 +110,16 @@
         current: ServiceInForce | None,
         document: ServiceDocument,
     ) -> bool:
-        # Both teams must agree to a hand-over: an operator who named its own
-        # team as the owner of another's document would otherwise take it.
+        # The author needs the right to edit for both teams if a change names
+        # another team as the owner. Otherwise an operator could take over
+        # another team's document by naming their own team as its owner.
         teams = {document.team}
         if current is not None:
             teams.add(current.document.team)
         return all(self._operators.may_edit(record, team) for team in teams)
 
     def encode(self) -> bytes:
-        """Canonical encoding: equal states give equal bytes."""
+        """Returns the canonical encoding: equal states give equal bytes."""
         services = [
             _ServiceForm(
                 name,
@@ -128,10 +135,10 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by an encoded one.
+        """Replaces this state by an encoded one.
 
         Raises:
-            msgspec.MsgspecError: The bytes are no encoded state.
+            msgspec.MsgspecError: The bytes are not an encoded state.
         """
         form = msgspec.msgpack.decode(data, type=_Form)
         self.services = {
--- a/src/lovagestage/state/fold.py
+++ b/src/lovagestage/state/fold.py
@@ -1,9 +1,10 @@
 """Deterministic fold of the `control` stream.
 
 Every process applies the same records in the same order. A change that names
-its base therefore either applies for everyone or loses for everyone, which
-gives compare-and-set over a log that has none. The state is a set of
-sub-states, each of which folds the record types that it names in `kinds`.
+its base revision is therefore either accepted by every process or rejected by
+every process. This gives compare-and-set over a log that has no such operation.
+The state is a set of sub-states, each of which folds the record types that it
+names in `kinds`.
 """
 
 from __future__ import annotations
@@ -36,12 +37,12 @@
 
 
 class SubState(Protocol):
-    """A part of the state; a new one is added in `ControlState`.
+    """Part of the control state; new parts are registered in `ControlState`.
 
     Attributes:
-        name: Its name within snapshots.
-        kinds: Record types that it folds.
-        outcomes: Results of its changes.
+        name: Name of the sub-state within snapshots.
+        kinds: Record types that the sub-state folds.
+        outcomes: Results of the changes that the sub-state applied.
     """
 
     name: str
@@ -49,16 +50,16 @@
     outcomes: OutcomeTable
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
-        """Applies a record; uses nothing but the state and the record."""
+        """Applies a record; depends only on the folded state and the record."""
 
     def encode(self) -> bytes:
-        """Canonical encoding: equal states give equal bytes."""
+        """Returns the canonical encoding: equal states give equal bytes."""
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by an encoded one.
+        """Replaces this state by an encoded one.
 
         Raises:
-            msgspec.MsgspecError: The bytes are no encoded state.
+            msgspec.MsgspecError: The bytes are not an encoded state.
         """
 
 
@@ -71,11 +72,15 @@
 class ControlState:
     """State folded from the `control` stream.
 
+    Args:
+        root_key: Root key of the operators; see `Operators`.
+
     Attributes:
         next_offset: Offset of the next record to apply.
-        undecodable: Number of records that were refused.
-        documents: Service documents.
-        leases: Leases.
+        undecodable: Number of records that could not be decoded.
+        operators: Operators in force.
+        documents: Service documents in force.
+        leases: Leases by name.
         rollouts: Progress of roll-outs.
         members: Entries that hold request keys.
     """
@@ -102,11 +107,11 @@
 
     @property
     def services(self) -> dict[ServiceId, ServiceInForce]:
-        """Documents in force."""
+        """Documents in force, by service."""
         return self.documents.services
 
     def get_result(self, change_id: ChangeId) -> ChangeResult | None:
-        """What became of a change; None where it is not known here."""
+        """Returns the result of a change; None if it is not known here."""
         for part in self._parts:
             result = part.outcomes.get(change_id)
             if result is not None:
@@ -117,11 +122,12 @@
         """Applies the record at `offset`.
 
         Args:
-            offset: Must be `next_offset`; an older one is ignored.
+            offset: Offset of the record, which must be `next_offset`; a record
+                at an older offset is ignored.
             data: The record's bytes.
 
         Raises:
-            CodecError: There is a gap before `offset`.
+            CodecError: Records before `offset` are missing.
         """
         if offset < self.next_offset:
             return
@@ -134,9 +140,10 @@
         try:
             record = decode_record(data)
         except CodecError as error:
-            # Skipped by every reader alike, so the states stay equal. A
-            # reader of another version that can decode it counts
-            # differently, and its hash differs: that raises the alarm.
+            # Every reader skips a record that can't be decoded, so the folded
+            # states stay equal. A reader of another software version that can
+            # decode the record has another count of undecodable records, and
+            # the comparison of state hashes reports the difference.
             self.undecodable += 1
             _log.error(
                 "control_record_refused",
@@ -146,13 +153,16 @@
         self._part_by_kind[type(record)].apply(offset, record)
 
     def get_hash(self) -> str:
-        """SHA-256 of the encoded state, in hex; computed when asked for."""
+        """Returns the SHA-256 of the encoded state, in hex.
+
+        The hash is computed at the first call after each change.
+        """
         if not self._hash:
             self._hash = hashlib.sha256(self.encode()).hexdigest()
         return self._hash
 
     def encode(self) -> bytes:
-        """Canonical encoding: equal states give equal bytes."""
+        """Returns the canonical encoding: equal states give equal bytes."""
         parts = [(part.name, part.encode()) for part in self._parts]
         return msgspec.msgpack.encode(
             _StateForm(self.next_offset, self.undecodable, parts)
@@ -160,11 +170,15 @@
 
 
 def restore_state(data: bytes) -> ControlState:
-    """Makes a state from its encoding.
+    """Decodes a control state.
+
+    Args:
+        data: Bytes that `ControlState.encode` made.
 
     Raises:
-        CodecError: The bytes are no encoded state, or one whose encoding
-            here differs, such as one with parts that are not known.
+        CodecError: The bytes are not an encoded state, or this process would
+            encode the state differently, for example because the state has
+            sub-states that this process does not know.
     """
     state = ControlState()
     try:
@@ -174,7 +188,7 @@
             if part.name in parts:
                 part.restore(parts[part.name])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise CodecError(f"A state does not decode: {error}.") from error
+        raise CodecError(f"The state can't be decoded: {error}.") from error
     state.next_offset = form.next_offset
     state.undecodable = form.undecodable
     if state.encode() != data:
--- a/src/lovagestage/state/leases.py
+++ b/src/lovagestage/state/leases.py
@@ -1,9 +1,10 @@
 """Leases folded from the `control` stream, without any clock.
 
-A take names the grant and the number of renewals that it supersedes. A
-renewal that came first in the log therefore defeats the take, and a take that
-came first defeats the renewal: the order of the log decides, and every
-reader decides the same. Clocks are used only around the fold (`leasing.py`).
+A take record names the grant and the number of renewals that it supersedes. A
+renewal that precedes a take in the log makes the take a conflict, and a take
+that precedes a renewal makes the renewal a conflict. The order of the log
+decides, and every reader decides alike. Clocks are used only outside the fold,
+in `leasing.py`.
 """
 
 from __future__ import annotations
@@ -20,23 +21,29 @@
 from lovagestage.types import FencingNumber, LeaseId, Offset, VmId
 
 MAX_OUTCOMES = 256
-"""Results of lease records remembered; a retry comes within seconds."""
+"""Number of results of lease records that are remembered.
+
+The limit is small because a lease record is retried within seconds or not at
+all.
+"""
 
 NO_FENCING = FencingNumber(-1)
-"""Superseded by the first take of a lease."""
+"""Fencing number that the first take of a lease supersedes."""
 
 
 class LeaseInForce(msgspec.Struct, frozen=True, array_like=True):
-    """A lease as the log has it.
+    """State of a lease as folded from the log.
 
     Attributes:
         lease: Name of the lease.
-        holder: VM of the process that took it last.
-        incarnation: Incarnation of that process.
-        fencing: Offset of the record that granted it.
-        renewals: Number of renewals since.
-        ttl_ms: How long it is held after its latest renewal.
-        released: The holder gave it up; it may be taken at once.
+        holder: VM of the process that took the lease last.
+        incarnation: Incarnation of the process that took the lease last.
+        fencing: Fencing number: offset of the record that granted the lease.
+        renewals: Number of renewals and releases since the grant.
+        ttl_ms: Milliseconds for which the lease is held after its grant or
+            its latest renewal.
+        released: Whether the holder released the lease, so that another
+            process may take it immediately.
     """
 
     lease: LeaseId
@@ -54,10 +61,11 @@
 
 
 class Leases:
-    """Leases by name, with the results of recent records.
+    """Leases by name, with the results of recent lease records.
 
     Attributes:
-        held: The leases, also released ones: fencing never goes back.
+        held: Leases by name. Released leases stay in it, so that fencing
+            numbers never decrease.
         outcomes: Results of the latest lease records.
     """
 
@@ -73,7 +81,7 @@
         self.outcomes = OutcomeTable(MAX_OUTCOMES)
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
-        """Applies a lease record where it names the lease as it stands."""
+        """Applies a lease record if it names the current grant and renewals."""
         assert isinstance(record, LeaseTake | LeaseRenew | LeaseRelease)
         if record.change_id in self.outcomes:
             return
@@ -92,12 +100,16 @@
         )
 
     def get_fencing(self, lease: LeaseId) -> FencingNumber:
-        """Fencing number of the latest grant; `NO_FENCING` before it."""
+        """Returns the fencing number of the latest grant of a lease.
+
+        Returns:
+            `NO_FENCING` if the lease was never granted.
+        """
         held = self.held.get(lease)
         return held.fencing if held else NO_FENCING
 
     def encode(self) -> bytes:
-        """Canonical encoding: equal states give equal bytes."""
+        """Returns the canonical encoding: equal states give equal bytes."""
         return msgspec.msgpack.encode(
             _Form(
                 [held for _, held in sorted(self.held.items())],
@@ -106,10 +118,10 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by an encoded one.
+        """Replaces this state by an encoded one.
 
         Raises:
-            msgspec.MsgspecError: The bytes are no encoded state.
+            msgspec.MsgspecError: The bytes are not an encoded state.
         """
         form = msgspec.msgpack.decode(data, type=_Form)
         self.held = {held.lease: held for held in form.leases}
--- a/src/lovagestage/state/members.py
+++ b/src/lovagestage/state/members.py
@@ -1,10 +1,11 @@
 """The entries that hold the request keys, folded from the `control` stream.
 
-Every process folds the same joins and removals in the same order, so that
-all agree on who holds a key at an epoch (the offset of the last change). The
-keys are divided over a fixed number of slots; the pair of a slot is chosen by
-rendezvous hashing, and the past pairs of each slot are kept, so that a new
-holder can tell whom to ask and whether what they knew is lost.
+Every process folds the same joins and removals in the same order, so all
+processes agree on the holders of a key at an epoch (the offset of the last
+change). The keys are divided over a fixed number of slots. The two holders of a
+slot are chosen by rendezvous hashing. The past holders of each slot are
+retained, so that a new holder knows which processes to ask for claims and
+whether the claims of past holders are lost.
 """
 
 from __future__ import annotations
@@ -19,17 +20,21 @@
 
 SLOTS = 256
 MAX_PERIODS = 8
-"""Past pairs kept for each slot; what lies before them counts as lost."""
+"""Number of periods that are retained for each slot.
+
+Claims that were made before the oldest retained period count as lost.
+"""
 
 
 class MemberJoined(msgspec.Struct, frozen=True, tag="member_joined"):
-    """An entry that starts to hold keys.
+    """Record of an entry that starts to hold request keys.
 
     Attributes:
         vm: The entry's VM.
-        zone: Its availability zone.
-        incarnation: A higher one replaces the VM's earlier process.
-        bus: `HOST:PORT` of its listener.
+        zone: Availability zone of the VM.
+        incarnation: Incarnation of the entry's process; a higher number
+            replaces the VM's earlier process.
+        bus: Address of the entry's listener as `HOST:PORT`.
     """
 
     vm: VmId
@@ -39,13 +44,15 @@
 
 
 class MemberRemoved(msgspec.Struct, frozen=True, tag="member_removed"):
-    """An entry that holds no keys from now on.
+    """Record of an entry that holds no request keys from this record on.
 
     Attributes:
         vm: The entry's VM.
-        incarnation: The process that is removed; another one stays.
-        ended: Whether the process has certainly ended: the VM list no longer
-            names it or it said so itself. A silent one may only be paused.
+        incarnation: Incarnation of the process that is removed; a process
+            with another incarnation stays a member.
+        ended: Whether the process has certainly ended, because the VM list no
+            longer names the VM or the process itself appended the record. A
+            process that only stopped answering may be paused.
     """
 
     vm: VmId
@@ -57,19 +64,20 @@
 
 
 class MemberId(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """One process of an entry."""
+    """Identifies one process of an entry."""
 
     vm: VmId
     incarnation: int
 
 
 class Period(msgspec.Struct, frozen=True, array_like=True):
-    """Time in which a slot had the same holders.
+    """Period in which a slot had the same holders.
 
     Attributes:
-        start: Offset of the change that began it.
-        holders: Owner and copy; the owner alone, or nobody.
-        is_first: There was no holder before it.
+        start: Log offset of the change that began the period.
+        holders: Owner and copy holder of the slot, in this order; only the
+            owner if there is one member, empty if there is none.
+        is_first: Whether the slot had no period before this one.
     """
 
     start: Offset
@@ -87,17 +95,19 @@
 class MemberView:
     """State folded from the member records.
 
-    Part of `fold.ControlState`.
+    The view is a sub-state of `fold.ControlState`.
 
     Args:
-        slots: Number of slots; every process must have the same.
+        slots: Number of slots; every process must use the same number.
 
     Attributes:
-        epoch: Offset of the last change; -1 before the first.
-        members: Entries by VM.
-        may_be_paused: Removed processes not known to have ended.
-        periods: For each slot its pairs, oldest first.
-        outcomes: Empty: member records are idempotent and have no result.
+        epoch: Log offset of the last change; -1 before the first change.
+        members: Join records of the members, by VM.
+        may_be_paused: Incarnations of removed processes that are not known to
+            have ended, by VM.
+        periods: Retained periods of each slot, oldest first.
+        outcomes: Always empty, because member records are idempotent and have
+            no result.
     """
 
     name = "members"
@@ -111,7 +121,7 @@
         self.outcomes = OutcomeTable(0)
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
-        """Applies the record at `offset`."""
+        """Applies the member record at `offset`."""
         assert isinstance(record, MemberJoined | MemberRemoved)
         if isinstance(record, MemberJoined):
             changed = self._join(record)
@@ -122,7 +132,7 @@
             self._update_periods(offset)
 
     def encode(self) -> bytes:
-        """Encodes the state for a snapshot."""
+        """Returns the encoded state for a snapshot."""
         return msgspec.msgpack.encode(
             _Snapshot(
                 self.epoch,
@@ -133,7 +143,7 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by that of a snapshot."""
+        """Replaces this state by the encoded state of a snapshot."""
         snapshot = msgspec.msgpack.decode(data, type=_Snapshot)
         self.epoch = snapshot.epoch
         self.members = {m.vm: m for m in snapshot.members}
@@ -143,23 +153,23 @@
         self.periods = snapshot.periods
 
     def has(self, member: MemberId) -> bool:
-        """Whether this very process is a member."""
+        """Whether a process is a member under its own incarnation."""
         known = self.members.get(member.vm)
         return known is not None and known.incarnation == member.incarnation
 
     def has_certainly_ended(self, member: MemberId) -> bool:
-        """Whether a process can neither grant nor confirm a claim again."""
+        """Whether a process can never again grant or confirm a claim."""
         if self.has(member):
             return False
         return self.may_be_paused.get(member.vm) != member.incarnation
 
     def get_slot(self, workspace: WorkspaceId, key: str) -> int:
-        """The slot of a request key."""
+        """Returns the slot of a request key."""
         digest = xxhash.xxh3_64_intdigest(f"{workspace}\0{key}".encode())
         return int(digest % len(self.periods))
 
     def get_holders(self, slot: int) -> tuple[MemberId, ...]:
-        """Owner and copy of a slot now."""
+        """Returns the current owner and copy holder of a slot."""
         periods = self.periods[slot]
         return periods[-1].holders if periods else ()
 
@@ -168,8 +178,8 @@
         if known is not None and known.incarnation >= record.incarnation:
             return False
         self.members[record.vm] = record
-        # A VM has one slot for the process: a later one proves the end of
-        # the earlier.
+        # A VM runs one entry process at a time, so the join of a later
+        # process proves that the earlier process has ended.
         self.may_be_paused.pop(record.vm, None)
         return True
 
@@ -196,10 +206,14 @@
 def choose_holders(
     slot: int, members: dict[VmId, MemberJoined]
 ) -> tuple[MemberId, ...]:
-    """Owner and copy by rendezvous hashing.
+    """Chooses the owner and the copy holder of a slot by rendezvous hashing.
 
-    The copy is in another availability zone than the owner where there is
-    one, so that the loss of one zone forgets nothing.
+    The copy holder is in another availability zone than the owner if there
+    is such a member, so that the loss of one zone loses no claim.
+
+    Args:
+        slot: Number of the slot.
+        members: Join records of the members, by VM.
     """
     ranked = sorted(
         members.values(),
--- a/src/lovagestage/state/operators.py
+++ b/src/lovagestage/state/operators.py
@@ -1,9 +1,10 @@
-"""Operators: who may edit which team's documents, folded from the log.
+"""Operators and the teams whose documents they may edit, folded from the log.
 
-Operators are named by a record signed with the root key that every process
-has in its settings; the record may name the next root key, which is how it is
-rotated. Changes of documents are signed with an operator's own key. The check
-is part of the fold, so a change that was not signed loses for every reader.
+A record that is signed with the root key lists the operators. Every process
+has the first root key in its settings, and the record may name the next root
+key, which is how the root key is rotated. Changes of documents are signed with
+an operator's own key. The signature check is part of the fold, so every reader
+rejects a change that was not signed.
 """
 
 from __future__ import annotations
@@ -37,17 +38,18 @@
 
 
 class Operators:
-    """Operators in force.
+    """Operators in force, with the results of recent changes.
 
     Args:
-        root_key: Hex Ed25519 public key that signs changes of the operators;
-            empty where the log itself guards who may append, and then
-            signatures are not checked.
+        root_key: Ed25519 public key, in hex, that verifies changes of the
+            operators. Empty if the log itself restricts who may append; then
+            signatures of document changes are not checked, and changes of the
+            operators are rejected.
 
     Attributes:
-        revision: Counts the accepted changes.
+        revision: Number of accepted changes of the operators.
         operators: Operators by name.
-        outcomes: Results of the latest changes.
+        outcomes: Results of the latest changes of the operators.
     """
 
     name = "operators"
@@ -60,7 +62,7 @@
         self._root_key = root_key
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
-        """Applies a change where the root key signed it and its base fits."""
+        """Applies a change if its root signature and its base are valid."""
         assert isinstance(record, OperatorsChange)
         if record.change_id in self.outcomes:
             return
@@ -78,11 +80,11 @@
         )
 
     def may_edit(self, change: DocumentChange, team: str) -> bool:
-        """Whether a change is signed by an operator of the team.
+        """Whether an operator with rights on a team signed a change.
 
         Args:
             change: The signed change.
-            team: Owner of the document in force, or of a first document.
+            team: Team that owns the document in force or the changed document.
         """
         if not self._root_key:
             return True
@@ -96,7 +98,7 @@
         )
 
     def encode(self) -> bytes:
-        """Canonical encoding: equal states give equal bytes."""
+        """Returns the canonical encoding: equal states give equal bytes."""
         operators = sorted(self.operators.values(), key=lambda s: s.name)
         return msgspec.msgpack.encode(
             _Form(
@@ -108,10 +110,10 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by an encoded one.
+        """Replaces this state by an encoded one.
 
         Raises:
-            msgspec.MsgspecError: The bytes are no encoded state.
+            msgspec.MsgspecError: The bytes are not an encoded state.
         """
         form = msgspec.msgpack.decode(data, type=_Form)
         self._root_key = form.root_key
@@ -126,7 +128,10 @@
 
 
 def get_signed_bytes(change: DocumentChange | OperatorsChange) -> bytes:
-    """What the signature of a change covers: all of it but the signature."""
+    """Returns the bytes that a change's signature covers.
+
+    They encode all fields of the change, with an empty signature.
+    """
     return msgspec.msgpack.encode(
         msgspec.structs.replace(change, signature=b"")
     )
@@ -135,11 +140,11 @@
 def sign_change(
     change: DocumentChange | OperatorsChange, signing_key: str
 ) -> DocumentChange | OperatorsChange:
-    """Signs a change.
+    """Returns a copy of a change with its signature.
 
     Args:
-        change: The change.
-        signing_key: Hex Ed25519 seed, 32 bytes.
+        change: The change to sign.
+        signing_key: Ed25519 seed of 32 bytes, in hex.
     """
     key = nacl.signing.SigningKey(bytes.fromhex(signing_key))
     signature = key.sign(get_signed_bytes(change)).signature
--- a/src/lovagestage/state/outcomes.py
+++ b/src/lovagestage/state/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of recent changes, by change id, bounded."""
+"""Results of recent changes by change id, with a bound on their number."""
 
 from __future__ import annotations
 
@@ -11,23 +11,25 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a change."""
+    """Outcome of a change."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
     INVALID = "invalid"
     FORBIDDEN = "forbidden"
-    """The author may not edit this, or the signature is wrong."""
+    """The author may not make this change, or the signature is wrong."""
 
 
 class ChangeResult(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a change, and where.
+    """Result of a change and the record that decided it.
 
     Attributes:
-        outcome: Accepted or not.
-        revision: Revision in force after the change: of the service for a
-            document, number of renewals for a lease.
-        offset: Offset of the record that decided it.
+        outcome: Outcome of the change.
+        revision: Revision in force after the change. It is the revision of
+            the service for a document, of the operator list for a change of
+            the operators, the number of renewals for a lease, and the number
+            of moves for a roll-out.
+        offset: Log offset of the record that decided the outcome.
     """
 
     outcome: Outcome
@@ -36,7 +38,7 @@
 
 
 class OutcomeEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One place of an outcome table, as a snapshot holds it."""
+    """One entry of an outcome table, as a snapshot holds it."""
 
     change_id: ChangeId
     result: ChangeResult
@@ -45,11 +47,12 @@
 class OutcomeTable:
     """Results of the latest changes, oldest first.
 
-    The bound is safe: a change that comes again after its result was dropped
-    names a base that has passed, so it loses for every reader.
+    Dropping the oldest results is safe. A change that is appended again after
+    its result was dropped names a base that is no longer current, so every
+    reader rejects the change.
 
     Args:
-        limit: Most results that are remembered.
+        limit: Largest number of results that are remembered.
     """
 
     def __init__(self, limit: int) -> None:
@@ -62,21 +65,21 @@
         return change_id in self._results
 
     def get(self, change_id: ChangeId) -> ChangeResult | None:
-        """Result of a change; None where it is not known."""
+        """Returns the result of a change; None if it is not known."""
         return self._results.get(change_id)
 
     def add(self, change_id: ChangeId, result: ChangeResult) -> None:
-        """Remembers a result and drops the oldest over the limit."""
+        """Adds a result and drops the oldest results above the limit."""
         self._results[change_id] = result
         while len(self._results) > self._limit:
             self._results.popitem(last=False)
 
     def get_entries(self) -> list[OutcomeEntry]:
-        """All places in order, for a snapshot."""
+        """Returns all entries, oldest first, for a snapshot."""
         return [OutcomeEntry(*item) for item in self._results.items()]
 
     def restore(self, entries: list[OutcomeEntry]) -> None:
-        """Replaces all places by those of a snapshot."""
+        """Replaces all entries by the entries of a snapshot."""
         self._results.clear()
         for entry in entries:
             self.add(entry.change_id, entry.result)
--- a/src/lovagestage/state/records.py
+++ b/src/lovagestage/state/records.py
@@ -1,8 +1,8 @@
-"""Records that the system keeps in the log's `control` stream.
+"""Records that the processes append to the log's `control` stream.
 
-A record is a header byte pair (major and minor format version) followed by
-MessagePack. A reader refuses another major version and accepts any minor one,
-whose new fields it ignores.
+A record is a header of two bytes (major and minor format version) followed by
+MessagePack. A reader rejects records of another major version. It accepts any
+minor version and ignores fields that it does not know.
 """
 
 from __future__ import annotations
@@ -28,15 +28,16 @@
 
 
 class DocumentChange(msgspec.Struct, frozen=True, tag="document_change"):
-    """An operator's new document.
+    """Replaces a service's document by an operator's new document.
 
     Attributes:
-        change_id: Chosen by the writer; a repeated append has the same one.
-        service: The service.
-        base: Revision that the operator edited; 0 where there was none.
-        author: Operator's name.
-        document: The document as JSON.
-        signature: Ed25519 signature by the author's key.
+        change_id: Id of the change, which the writer chooses; a retried
+            append has the same id.
+        service: Name of the service.
+        base: Revision that the operator edited; 0 if there was none.
+        author: Name of the operator.
+        document: The new document as JSON.
+        signature: Ed25519 signature of the change by the author's key.
     """
 
     change_id: ChangeId
@@ -48,12 +49,13 @@
 
 
 class OperatorSpec(msgspec.Struct, frozen=True):
-    """An operator.
+    """An operator's name, keys and teams.
 
     Attributes:
-        name: Name that changes give as their author.
-        public_keys: Hex Ed25519 keys; two while one is being rotated.
-        teams: Teams whose documents it may edit; `*` for all.
+        name: Name of the operator, which changes state as their author.
+        public_keys: Ed25519 public keys in hex; two while a key is being
+            rotated.
+        teams: Teams whose documents the operator may edit; `*` for all teams.
     """
 
     name: str
@@ -65,12 +67,12 @@
     """Replaces the list of operators.
 
     Attributes:
-        change_id: Chosen by the writer.
-        base: Revision of the list that was edited; 0 for the first.
-        operators: The new list.
-        next_root_key: Hex Ed25519 key that signs the next change; empty
-            where the root key stays.
-        signature: Ed25519 signature by the root key.
+        change_id: Id of the change, which the writer chooses.
+        base: Revision of the list that was edited; 0 for the first list.
+        operators: The new list of operators.
+        next_root_key: Ed25519 public key, in hex, that verifies the next
+            change of the list; empty if the root key stays.
+        signature: Ed25519 signature of the change by the root key.
     """
 
     change_id: ChangeId
@@ -81,16 +83,18 @@
 
 
 class LeaseTake(msgspec.Struct, frozen=True, tag="lease_take"):
-    """Takes a lease that nobody has, or that its holder let lapse.
+    """Takes a lease that has no holder, or whose holder let it expire.
 
     Attributes:
-        change_id: Chosen by the writer.
-        lease: The lease.
-        fencing: Fencing number of the grant that it supersedes.
-        renewals: Renewals of that grant that the writer has seen.
-        holder: VM of the process that takes it.
-        incarnation: Incarnation of that process.
-        ttl_ms: How long it is held after each renewal.
+        change_id: Id of the change, which the writer chooses.
+        lease: Name of the lease.
+        fencing: Fencing number of the grant that the take supersedes.
+        renewals: Number of renewals of the superseded grant that the writer
+            has read.
+        holder: VM of the process that takes the lease.
+        incarnation: Incarnation of the process that takes the lease.
+        ttl_ms: Milliseconds for which the lease is held after its grant and
+            after each renewal.
     """
 
     change_id: ChangeId
@@ -106,10 +110,10 @@
     """Renews a lease.
 
     Attributes:
-        change_id: Chosen by the writer.
-        lease: The lease.
+        change_id: Id of the change, which the writer chooses.
+        lease: Name of the lease.
         fencing: Fencing number of the holder's grant.
-        renewals: Renewals before this one.
+        renewals: Number of renewals of the grant before this one.
     """
 
     change_id: ChangeId
@@ -119,7 +123,7 @@
 
 
 class LeaseRelease(msgspec.Struct, frozen=True, tag="lease_release"):
-    """Gives a lease up; the fields are those of `LeaseRenew`."""
+    """Releases a lease; the fields are those of `LeaseRenew`."""
 
     change_id: ChangeId
     lease: LeaseId
@@ -128,17 +132,17 @@
 
 
 class RolloutProgress(msgspec.Struct, frozen=True, tag="rollout_progress"):
-    """Moves a roll-out on.
+    """Moves a roll-out to its next phase or step.
 
     Attributes:
-        change_id: Chosen by the writer.
-        service: The service.
-        model: The model.
+        change_id: Id of the change, which the writer chooses.
+        service: Name of the service.
+        model: Name of the model.
         revision: Revision of the document that last changed the roll-out.
-        fencing: Number of the writer's grant of the roll-out lease.
-        base: Number of moves before this one.
-        phase: Phase after it.
-        step: Step after it.
+        fencing: Fencing number of the writer's grant of the roll-out lease.
+        base: Number of moves before this move.
+        phase: Phase of the roll-out after this move.
+        step: Index of the step after this move.
     """
 
     change_id: ChangeId
@@ -152,14 +156,14 @@
 
 
 class RolloutStop(msgspec.Struct, frozen=True, tag="rollout_stop"):
-    """Stops a roll-out for good; any process may append it.
+    """Stops a roll-out for good; any process may append this record.
 
     Attributes:
-        change_id: Chosen by the writer.
-        service: The service.
-        model: The model.
+        change_id: Id of the change, which the writer chooses.
+        service: Name of the service.
+        model: Name of the model.
         revision: Revision of the document that last changed the roll-out.
-        reason: What the evidence was.
+        reason: Evidence that led to the stop.
     """
 
     change_id: ChangeId
@@ -178,7 +182,7 @@
     | RolloutProgress
     | RolloutStop
 )
-"""Records with a change id and an outcome."""
+"""Records that have a change id and an outcome."""
 
 LogRecord = Record | MemberRecord
 
@@ -190,7 +194,7 @@
     """Encodes a record for the log.
 
     Raises:
-        CodecError: The record is too large for any reader.
+        CodecError: The record is larger than readers accept.
     """
     data = bytes((FORMAT_MAJOR, FORMAT_MINOR)) + _encoder.encode(record)
     _check_size(data)
@@ -201,7 +205,7 @@
     """Decodes a record from the log.
 
     Raises:
-        CodecError: The bytes are no record of this format.
+        CodecError: The bytes are too long or not a record of this format.
     """
     _check_size(data)
     if len(data) < 2 or data[0] != FORMAT_MAJOR:
@@ -215,7 +219,7 @@
         UnicodeDecodeError,
         RecursionError,
     ) as error:
-        raise CodecError(f"A record does not decode: {error}.") from error
+        raise CodecError(f"The record can't be decoded: {error}.") from error
 
 
 def _check_size(data: bytes) -> None:
--- a/src/lovagestage/state/rollout_chart.py
+++ b/src/lovagestage/state/rollout_chart.py
@@ -1,4 +1,4 @@
-"""Interprets the roll-out state chart in `charts/rollout.yaml`."""
+"""Runs the state chart of roll-outs, which is in `charts/rollout.yaml`."""
 
 from __future__ import annotations
 
@@ -16,17 +16,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Observation:
-    """What the driver sees of a roll-out.
+    """Conditions of a roll-out as the driver observes them.
 
     Attributes:
-        loaded: Every upstream that should have the new version has it.
-        old_loaded: Some upstream has the old version.
-        step_due: The step has lasted long enough and nothing speaks against
-            the next one.
-        last_step: The step is the last.
-        paused: The operator has paused it.
-        aborted: The operator has aborted it.
-        stopped: Evidence against the new version has stopped it.
+        loaded: Whether every upstream that should load the new version has
+            loaded it.
+        old_loaded: Whether at least one upstream has the old version loaded.
+        step_due: Whether the step has lasted long enough and the evidence
+            permits the next step.
+        last_step: Whether the step is the last one.
+        paused: Whether the operator has paused the roll-out.
+        aborted: Whether the operator has aborted the roll-out.
+        stopped: Whether evidence against the new version has stopped the
+            roll-out.
     """
 
     loaded: bool = False
@@ -40,10 +42,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Position:
-    """Where a roll-out is.
+    """Phase and step of a roll-out.
 
     Attributes:
-        phase: Its phase.
+        phase: Phase of the roll-out.
         step: Index into the document's steps.
     """
 
@@ -52,10 +54,17 @@
 
 
 def get_next_position(position: Position, seen: Observation) -> Position:
-    """The position after an observation; the same where nothing follows.
+    """Returns the position of a roll-out after an observation.
 
-    Costs about a millisecond, which is why it is for roll-outs and not for
-    requests.
+    A call takes about a millisecond, so the chart is used for roll-outs and
+    not for requests.
+
+    Args:
+        position: Position of the roll-out as recorded in the log.
+        seen: Conditions that the driver observes.
+
+    Returns:
+        `position` itself, by value, if no transition applies.
     """
     from sismic.interpreter import Interpreter
 
@@ -80,7 +89,7 @@
 
 @functools.cache
 def _load_chart() -> Any:
-    """Reads and checks the chart once.
+    """Reads and validates the chart; the result is cached.
 
     Raises:
         sismic.exceptions.StatechartError: The chart is not valid.
--- a/src/lovagestage/state/rollouts.py
+++ b/src/lovagestage/state/rollouts.py
@@ -1,10 +1,10 @@
 """Progress of roll-outs, folded from the log.
 
-A roll-out is named by service, model and the revision of the document that
-last changed it, so an operator's edit always starts one afresh. Only the
-holder of the roll-out lease moves it on. Stopping it needs no lease: any
-process may say so, it can't be taken back, and it lasts until the operator
-edits the roll-out.
+A roll-out is identified by service, model and the revision of the document that
+last changed the roll-out, so an operator's edit always starts a new roll-out.
+Only the holder of the roll-out lease moves a roll-out forward. A stop needs no
+lease: any process may append it. A stop can't be reverted and lasts until the
+operator edits the roll-out.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
 
 
 class RolloutKey(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Names one roll-out.
+    """Identifies a roll-out.
 
     Attributes:
-        service: The service.
-        model: The model.
+        service: Name of the service.
+        model: Name of the model.
         revision: Revision of the document that last changed the roll-out.
     """
 
@@ -53,14 +53,16 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True):
-    """How far a roll-out is.
+    """Progress of a roll-out.
 
     Attributes:
-        key: The roll-out.
-        count: Number of moves; the next move names it as its base.
-        phase: Its phase.
+        key: Identifies the roll-out.
+        count: Number of moves and stops; the next move names this number as
+            its base.
+        phase: Phase of the roll-out.
         step: Index into the document's steps.
-        stop_reason: Why it was stopped; empty where it was not.
+        stop_reason: Reason for which the roll-out was stopped; empty if it
+            was not stopped.
     """
 
     key: RolloutKey
@@ -71,7 +73,7 @@
 
     @property
     def position(self) -> Position:
-        """Phase and step."""
+        """Phase and step of the roll-out."""
         return Position(self.phase, self.step)
 
 
@@ -82,18 +84,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rollout:
-    """A roll-out in force: what the operator wants and how far it is.
+    """A roll-out in force: the operator's specification and the progress.
 
     Attributes:
-        spec: The document's part.
-        progress: How far it is.
+        spec: Specification of the roll-out in the document in force.
+        progress: Progress of the roll-out.
     """
 
     spec: RolloutSpec
     progress: Progress
 
     def get_share(self) -> float:
-        """Share of the model's new requests that the new version gets."""
+        """Returns the new version's share, from 0 to 1, of new requests."""
         progress = self.progress
         if progress.stop_reason or self.spec.state is RolloutState.ABORTED:
             return 0.0
@@ -108,11 +110,11 @@
     """Progress of the roll-outs of all services.
 
     Args:
-        documents: Documents in force; folded before this part.
-        leases: Leases; folded before this part.
+        documents: Documents in force, of the same control state.
+        leases: Leases, of the same control state.
 
     Attributes:
-        outcomes: Results of the latest records.
+        outcomes: Results of the latest roll-out records.
     """
 
     name = "rollouts"
@@ -125,7 +127,7 @@
         self._progress: dict[RolloutKey, Progress] = {}
 
     def get(self, service: ServiceId, model: str) -> Rollout | None:
-        """The roll-out in force of a model."""
+        """Returns the roll-out in force of a model; None if it has none."""
         held = self._documents.services.get(service)
         spec = held.document.rollouts.get(model) if held else None
         if held is None or spec is None:
@@ -134,7 +136,7 @@
         return Rollout(spec, self._progress.get(key, Progress(key)))
 
     def get_all(self) -> list[Rollout]:
-        """All roll-outs in force."""
+        """Returns all roll-outs in force."""
         found = [
             self.get(service, model)
             for service, held in self._documents.services.items()
@@ -143,7 +145,7 @@
         return [rollout for rollout in found if rollout is not None]
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
-        """Applies a move or a stop where the roll-out is still in force."""
+        """Applies a move or a stop if its roll-out is still in force."""
         assert isinstance(record, RolloutProgress | RolloutStop)
         if record.change_id in self.outcomes:
             return
@@ -164,17 +166,17 @@
         )
 
     def encode(self) -> bytes:
-        """Canonical encoding: equal states give equal bytes."""
+        """Returns the canonical encoding: equal states give equal bytes."""
         progress = sorted(self._progress.values(), key=lambda p: p.key)
         return msgspec.msgpack.encode(
             _Form(progress, self.outcomes.get_entries())
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by an encoded one.
+        """Replaces this state by an encoded one.
 
         Raises:
-            msgspec.MsgspecError: The bytes are no encoded state.
+            msgspec.MsgspecError: The bytes are not an encoded state.
         """
         form = msgspec.msgpack.decode(data, type=_Form)
         self._progress = {progress.key: progress for progress in form.progress}
@@ -189,9 +191,10 @@
             return msgspec.structs.replace(
                 progress, stop_reason=record.reason, count=progress.count + 1
             )
-        # The lease's number is compared in the fold and not only at the
-        # writer: a holder that was paused past its lease may append what it
-        # decided before, and that must lose for every reader.
+        # The fencing number is compared in the fold and not only by the
+        # writer. A holder that was paused until its lease expired may append
+        # a move that it decided on before, and every reader must reject that
+        # move.
         if record.fencing != self._leases.get_fencing(ROLLOUT_LEASE):
             return None
         if record.base != progress.count:
--- a/src/lovagestage/state/snapshots.py
+++ b/src/lovagestage/state/snapshots.py
@@ -1,10 +1,10 @@
-"""Snapshots of the folded state, as chunks in the `snapshots` stream.
+"""Snapshots of the folded state, stored as chunks in the `snapshots` stream.
 
-Each chunk says all that is needed to judge it: which snapshot it belongs to,
-how many chunks there are, the cursor and the checksum of the whole. A reader
-collects chunks in any order and takes a snapshot only where all are there and
-the checksum holds; anything else is dropped, so torn, corrupt, repeated and
-mixed snapshots harm nothing.
+Each chunk identifies its snapshot and states the number of chunks, the cursor
+and the checksum of the complete encoded state. A reader collects chunks in any
+order and accepts a snapshot only if all of its chunks have been read and the
+checksum is valid. All other chunks are dropped, so incomplete, corrupt,
+repeated and interleaved snapshots do no harm.
 """
 
 from __future__ import annotations
@@ -26,25 +26,29 @@
 
 CHUNK_BYTES = 192 * 1024
 MAX_CHUNKS = 64
-"""12 MiB: far over any state, and a bound on what a bad chunk may claim."""
+"""Largest number of chunks of a snapshot, which limits its size to 12 MiB.
+
+This is far above the size of any state, and it limits the memory that a faulty
+chunk can claim by stating a large count.
+"""
 
 MAX_PARTIAL = 4
-"""Unfinished snapshots kept at once; the oldest is dropped."""
+"""Largest number of incomplete snapshots in memory; the oldest is dropped."""
 
 SNAPSHOTS_KEPT = 2
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True):
-    """Part of a snapshot.
+    """One chunk of a snapshot.
 
     Attributes:
-        fencing: Lease number of the writer.
-        cursor: `next_offset` of the state.
-        checksum: Checksum of the whole encoded state under the first of
-            the system's log keys, in hex.
-        count: Number of chunks.
+        fencing: Fencing number of the writer's snapshot lease.
+        cursor: `next_offset` of the encoded state.
+        checksum: Checksum, in hex, of the complete encoded state under the
+            first of the system's log keys.
+        count: Number of chunks of the snapshot.
         index: Number of this chunk, from 0.
-        data: Its part of the encoded state.
+        data: Part of the encoded state that this chunk carries.
     """
 
     fencing: FencingNumber
@@ -60,10 +64,15 @@
 
 
 def get_checksum(data: bytes, key: str) -> str:
-    """Keyed BLAKE2b of an encoded state, in hex.
+    """Returns the keyed BLAKE2b checksum of an encoded state, in hex.
 
-    A snapshot carries the operators and their root key. Without a key of its
-    own, whoever can append to the log could bring in another root key.
+    A snapshot contains the operators and their root key. If the checksum had
+    no secret key, anyone who can append to the log could replace the root key
+    by writing a snapshot.
+
+    Args:
+        data: The encoded state.
+        key: One of the system's log keys.
     """
     secret = hashlib.sha256(key.encode()).digest()
     return hashlib.blake2b(data, key=secret, digest_size=32).hexdigest()
@@ -78,13 +87,13 @@
     """Encodes a state as records for the `snapshots` stream.
 
     Args:
-        state: The state.
-        fencing: Lease number of the writer.
-        chunk_bytes: Largest part of the state in one record.
+        state: The state to encode.
+        fencing: Fencing number of the writer's snapshot lease.
+        chunk_bytes: Largest number of bytes of the state in one record.
         key: The first of the system's log keys.
 
     Raises:
-        CodecError: The state is too large.
+        CodecError: The state needs more than `MAX_CHUNKS` chunks.
     """
     data = state.encode()
     checksum = get_checksum(data, key)
@@ -112,7 +121,8 @@
     """Decodes a record of the `snapshots` stream.
 
     Raises:
-        CodecError: The bytes are no chunk.
+        CodecError: The bytes are not a chunk within the limits on its size and
+            its number.
     """
     if len(data) < 2 or data[0] != FORMAT_MAJOR:
         raise CodecError(
@@ -121,7 +131,7 @@
     try:
         chunk = _decoder.decode(data[2:])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise CodecError(f"A chunk does not decode: {error}.") from error
+        raise CodecError(f"The chunk can't be decoded: {error}.") from error
     if len(chunk.data) > CHUNK_BYTES:
         raise CodecError(
             f"A chunk of {len(chunk.data)} bytes is over {CHUNK_BYTES}."
@@ -135,10 +145,10 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """A whole snapshot, its checksum proved.
+    """A complete snapshot with a valid checksum.
 
     Attributes:
-        cursor: Offset of the first record that it does not cover.
+        cursor: Offset of the first record that the snapshot does not cover.
         data: The encoded state.
     """
 
@@ -146,10 +156,11 @@
     data: bytes
 
     def restore(self) -> ControlState:
-        """Makes the state.
+        """Decodes the state of the snapshot.
 
         Raises:
-            CodecError: It can't be restored here.
+            CodecError: The state can't be decoded by this process, or its
+                offset differs from `cursor`.
         """
         state = restore_state(self.data)
         if state.next_offset != self.cursor:
@@ -166,15 +177,16 @@
 
 
 class SnapshotShelf:
-    """Collects chunks and keeps the newest whole snapshots.
+    """Collects chunks and retains the newest complete snapshots.
 
     Args:
-        keys: The system's log keys; each is accepted, so that one can be
-            replaced.
+        keys: The system's log keys; a checksum under any of the keys is
+            accepted, so that a key can be replaced.
 
     Attributes:
-        kept: Whole snapshots, newest first, at most `SNAPSHOTS_KEPT`.
-        refused: Records that were no chunk, or whose whole did not prove.
+        kept: Complete snapshots, newest first, at most `SNAPSHOTS_KEPT`.
+        refused: Number of records that were not a valid chunk, or that
+            completed a snapshot with a wrong checksum.
     """
 
     def __init__(self, keys: Sequence[str] = ()) -> None:
@@ -186,7 +198,7 @@
         ] = collections.OrderedDict()
 
     def add(self, data: bytes) -> None:
-        """Takes a record of the `snapshots` stream, in any order."""
+        """Adds a record of the `snapshots` stream; any order is allowed."""
         try:
             chunk = decode_chunk(data)
         except CodecError as error:
@@ -194,7 +206,8 @@
             return
         if any(kept.cursor == chunk.cursor for kept in self.kept):
             return
-        # Two writers may write at once; the key keeps their chunks apart.
+        # Two writers may write concurrently. The key prevents chunks of
+        # different snapshots from being joined.
         key = (chunk.fencing, chunk.cursor, chunk.checksum, chunk.count)
         partial = self._partial.setdefault(key, _Partial(chunk.count))
         partial.pieces[chunk.index] = chunk.data
@@ -205,11 +218,18 @@
             self._partial.popitem(last=False)
 
     def get_cursor(self) -> Offset:
-        """Cursor of the newest whole snapshot; 0 where there is none."""
+        """Returns the cursor of the newest complete snapshot, or 0."""
         return self.kept[0].cursor if self.kept else Offset(0)
 
     def get_covering(self, first_offset: Offset) -> list[Snapshot]:
-        """Snapshots after which no record is missing, newest first."""
+        """Returns the snapshots after which no record is missing.
+
+        Args:
+            first_offset: Oldest offset that the `control` stream still has.
+
+        Returns:
+            Snapshots with a cursor at or after `first_offset`, newest first.
+        """
         return [kept for kept in self.kept if kept.cursor >= first_offset]
 
     def _finish(self, last: SnapshotChunk, partial: _Partial) -> None:
