--- a/src/lovagestage/control/gate.py
+++ b/src/lovagestage/control/gate.py
@@ -18,7 +18,7 @@
 )
 from lovagestage.types import FencingNumber, LeaseId
 
-FRESH_S = 1.0
+MAX_READ_S = 1.0
 """Longest duration, in seconds, of the log read that precedes an order.
 
 A longer read may have included a pause of the process, so that its result is
@@ -45,7 +45,7 @@
 
         Raises:
             GateNotReadyError: The log can't be read, the read took longer
-                than `FRESH_S`, or for the reason given at `check`.
+                than `MAX_READ_S`, or for the reason given at `check`.
             StaleFencingError: See `check`.
         """
         # A process that resumes after a pause finds an order in its socket
@@ -54,12 +54,12 @@
         # would load a version for an earlier holder. Reading the log after
         # the order has arrived shows every grant that precedes the order. A
         # pause during the read shows as a read that takes too long.
-        asked_s = time.monotonic()
+        started_s = time.monotonic()
         try:
             await self._control.read_to_end()
         except LogError as error:
             raise GateNotReadyError(lease, fencing) from error
-        if time.monotonic() - asked_s > FRESH_S:
+        if time.monotonic() - started_s > MAX_READ_S:
             raise GateNotReadyError(lease, fencing)
         self.check(lease, fencing)
 
--- a/src/lovagestage/control/leasing.py
+++ b/src/lovagestage/control/leasing.py
@@ -41,7 +41,7 @@
 """Fraction of the time to live after which the holder renews the lease."""
 
 STEPS_PER_TTL = 15
-FIRST_AT_ONCE = 1.5
+FIRST_STEP_CONTENDERS = 1.5
 RELEASE_TIMEOUT_S = 2.0
 
 
@@ -130,7 +130,10 @@
 
 
 def make_next_record(
-    view: LeaseView, now_s: float, change_id: ChangeId, turn_s: float = 0.0
+    view: LeaseView,
+    now_s: float,
+    change_id: ChangeId,
+    takeover_delay_s: float = 0.0,
 ) -> LeaseTake | LeaseRenew | None:
     """Makes the lease record that this process may append now.
 
@@ -138,8 +141,8 @@
         view: The lease as this process sees it.
         now_s: Monotonic time in seconds.
         change_id: Change id of the record.
-        turn_s: Seconds to wait after the lease has become free before taking
-            the lease.
+        takeover_delay_s: Seconds to wait after the lease has become free
+            before taking the lease.
 
     Returns:
         None if this process has to wait.
@@ -152,19 +155,21 @@
             change_id, view.lease, current.fencing, current.renewals
         )
     free_after_s = 0.0 if current.released else current.ttl_ms / 1000
-    if now_s - view.observed_s >= free_after_s + turn_s:
+    if now_s - view.observed_s >= free_after_s + takeover_delay_s:
         return _make_take(view, current.fencing, current.renewals, change_id)
     return None
 
 
-def get_turn_s(view: LeaseView, contenders: int, step_s: float) -> float:
+def get_takeover_delay_s(
+    view: LeaseView, contenders: int, step_s: float
+) -> float:
     """Returns how many seconds this process waits before taking a free lease.
 
     The delay is the logarithm of a uniform number, so few contenders have a
     short delay and most have a long one. Of any number of contenders, about
-    `FIRST_AT_ONCE` append within the first step. The other contenders read the
-    grant before their own delay is over (suppression timers of multicast
-    feedback, Nonnenmacher and Biersack 1999).
+    `FIRST_STEP_CONTENDERS` append within the first step. The other contenders
+    read the grant before their own delay is over (suppression timers of
+    multicast feedback, Nonnenmacher and Biersack 1999).
 
     Args:
         view: The lease as this process sees it.
@@ -176,9 +181,9 @@
         return 0.0
     text = f"{view.own.vm}\0{view.lease}\0{current.fencing}"
     text += f"\0{current.renewals}"
-    share = (xxhash.xxh3_64_intdigest(text.encode()) + 1) / 2**64
-    late = math.log(max(1.0, contenders * share))
-    return step_s * late / math.log(FIRST_AT_ONCE)
+    uniform = (xxhash.xxh3_64_intdigest(text.encode()) + 1) / 2**64
+    delay_steps = math.log(max(1.0, contenders * uniform))
+    return step_s * delay_steps / math.log(FIRST_STEP_CONTENDERS)
 
 
 def _make_take(
@@ -268,7 +273,7 @@
             _log.warning("lease_not_released", extra={"code": error.code})
 
     @mode.Service.task
-    async def _keep(self) -> None:
+    async def _maintain_lease(self) -> None:
         while not self.should_stop:
             if self._is_due():
                 await self._append_next()
@@ -277,19 +282,21 @@
     def _is_due(self) -> bool:
         if not (self._control.is_usable and self._control.caught_up):
             return False
-        held = self.is_held
+        is_held = self.is_held
         age_s = time.monotonic() - self._view.sent_s
-        return not held or age_s >= self._ttl_s * RENEW_RATIO
+        return not is_held or age_s >= self._ttl_s * RENEW_RATIO
 
     async def _append_next(self) -> None:
         self._observe()
         sent_s = time.monotonic()
-        turn_s = get_turn_s(
+        takeover_delay_s = get_takeover_delay_s(
             self._view,
             len(self._control.folded.members.members),
             self._ttl_s / STEPS_PER_TTL,
         )
-        record = make_next_record(self._view, sent_s, make_change_id(), turn_s)
+        record = make_next_record(
+            self._view, sent_s, make_change_id(), takeover_delay_s
+        )
         if record is None:
             return
         was_held = self.is_held
@@ -305,16 +312,16 @@
         if result.outcome is Outcome.ACCEPTED:
             self._view = confirm(self._view, sent_s)
             if not was_held:
-                self._log_taken()
+                self._log_lease_taken()
 
-    def _log_taken(self) -> None:
+    def _log_lease_taken(self) -> None:
         _log.info(
             "lease_taken",
             extra={"lease": self._view.lease, "fencing": self._view.fencing},
         )
 
     def _observe(self) -> None:
-        current = self._control.folded.leases.held.get(self._view.lease)
+        current = self._control.folded.leases.by_id.get(self._view.lease)
         self._view = observe(self._view, current, time.monotonic())
 
     def get_dump(self) -> dict[str, object]:
--- a/src/lovagestage/control/membership.py
+++ b/src/lovagestage/control/membership.py
@@ -28,15 +28,15 @@
 _log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.5
-MAX_CHECK_GAP_S = 1.5
-RANK_DELAY_S = 1.0
-MAX_RANKS = 8
+MAX_CHECK_DELAY_S = 1.5
+REMOVAL_RANK_DELAY_S = 1.0
+MAX_REMOVAL_RANKS = 8
 """Number of distinct delays that the entries wait before a removal.
 
 Two entries with the same delay may both append the same removal record.
 """
 APPEND_RETRY_S = 1.0
-LAST_HOLDER_SILENCE_S = 60.0
+LAST_HOLDER_TIMEOUT_S = 60.0
 """Inactivity timeout, in seconds, of an entry that may alone know claims.
 
 See `_may_hold_alone`. The timeout equals the time for which a sidecar remembers
@@ -52,8 +52,8 @@
         log: Client of the platform's log.
         peers: Connections to the other entries.
         own: Join record of this process.
-        silence_s: Inactivity timeout, in seconds, after which an entry is
-            removed.
+        inactivity_timeout_s: Seconds without an answer after which an entry
+            is removed.
 
     Attributes:
         own: Join record of this process; has a new incarnation after this
@@ -66,19 +66,19 @@
         log: Log,
         peers: LinkTable,
         own: MemberJoined,
-        silence_s: float,
+        inactivity_timeout_s: float,
     ) -> None:
         super().__init__()
         self.own = own
         self._control = control
         self._platform_log = log
         self._peers = peers
-        self._silence_s = silence_s
-        self._listed: set[VmId] | None = None
-        self._heard_s: dict[MemberId, float] = {}
-        self._checked_s = time.monotonic()
+        self._inactivity_timeout_s = inactivity_timeout_s
+        self._listed_vms: set[VmId] | None = None
+        self._last_answer_s: dict[MemberId, float] = {}
+        self._last_check_s = time.monotonic()
         self._members: set[VmId] = set()
-        self._removed_s = self._checked_s
+        self._removed_s = self._last_check_s
         self._append_after_s = 0.0
         self._has_joined = False
         control.subscribe(self._on_control)
@@ -98,7 +98,7 @@
         Args:
             vms: The VMs of the platform's latest list.
         """
-        self._listed = {vm.vm for vm in vms}
+        self._listed_vms = {vm.vm for vm in vms}
 
     def _on_control(self) -> None:
         members = set(self.view.members)
@@ -114,7 +114,7 @@
             )
 
     @mode.Service.task
-    async def _check_often(self) -> None:
+    async def _check_periodically(self) -> None:
         while not self.should_stop:
             await self.sleep(CHECK_INTERVAL_S)
             if self._control.caught_up and not self.should_stop:
@@ -122,13 +122,13 @@
 
     async def _check(self) -> None:
         now_s = time.monotonic()
-        if now_s - self._checked_s > MAX_CHECK_GAP_S:
+        if now_s - self._last_check_s > MAX_CHECK_DELAY_S:
             # This process was paused, so no entry seems to have answered, and
             # this process would remove entries that kept running. The
             # inactivity times are counted from zero again.
-            self._heard_s.clear()
+            self._last_answer_s.clear()
             self._removed_s = now_s
-        self._checked_s = now_s
+        self._last_check_s = now_s
         if not self.view.has(self.get_own_id()):
             await self._join(now_s)
             return
@@ -165,15 +165,17 @@
             for m in self.view.members.values()
             if m.vm != own.vm and self._peers.is_watched(m.vm)
         ]
-        silent = [m for m in others if self._is_silent(m, len(others), now_s)]
-        if len(others) > 2 and len(silent) * 2 > len(others):
+        inactive = [
+            m for m in others if self._is_inactive(m, len(others), now_s)
+        ]
+        if len(others) > 2 and len(inactive) * 2 > len(others):
             # This process has more likely lost its own network connection
             # than most other entries have failed.
-            _log.warning("most_members_silent", extra={"silent": len(silent)})
+            _log.warning("most_members_silent", extra={"silent": len(inactive)})
             return []
         removals = [
             MemberRemoved(m.vm, m.incarnation, not self._is_listed(m.vm))
-            for m in silent
+            for m in inactive
         ]
         paused = [
             MemberRemoved(vm, incarnation, ended=True)
@@ -182,24 +184,26 @@
         ]
         return removals + paused
 
-    def _is_silent(self, member: MemberId, others: int, now_s: float) -> bool:
+    def _is_inactive(self, member: MemberId, others: int, now_s: float) -> bool:
         link = self._peers.links.get(member.vm)
-        known_s = self._heard_s.setdefault(member, now_s)
+        last_answer_s = self._last_answer_s.setdefault(member, now_s)
         if link is not None:
             # A peer that has answered every request is not inactive, however
             # long ago its last answer came.
-            heard_s = now_s if link.asked_s is None else link.heard_s
-            self._heard_s[member] = known_s = max(known_s, heard_s)
+            answered_s = now_s if link.asked_s is None else link.heard_s
+            self._last_answer_s[member] = last_answer_s = max(
+                last_answer_s, answered_s
+            )
         # The entries wait for different delays, ordered by name. The first
         # entry appends the removal, and the others read it before they would.
         rank = sorted(self.view.members).index(self.own.vm)
-        delay_s = RANK_DELAY_S * min(rank % MAX_RANKS, others)
-        limit_s = self._silence_s
-        if self._may_hold_alone(member, known_s):
-            limit_s = max(limit_s, LAST_HOLDER_SILENCE_S)
-        return now_s - known_s > limit_s + delay_s
+        delay_s = REMOVAL_RANK_DELAY_S * min(rank % MAX_REMOVAL_RANKS, others)
+        timeout_s = self._inactivity_timeout_s
+        if self._may_hold_alone(member, last_answer_s):
+            timeout_s = max(timeout_s, LAST_HOLDER_TIMEOUT_S)
+        return now_s - last_answer_s > timeout_s + delay_s
 
-    def _may_hold_alone(self, member: MemberId, known_s: float) -> bool:
+    def _may_hold_alone(self, member: MemberId, last_answer_s: float) -> bool:
         """Whether an inactive entry may know claims that no other entry knows.
 
         An entry that has sent nothing since another member was removed may not
@@ -211,10 +215,10 @@
         link = self._peers.links.get(member.vm)
         if not self._is_listed(member.vm) or (link is not None and link.gone):
             return False
-        return known_s <= self._removed_s
+        return last_answer_s <= self._removed_s
 
     def _is_listed(self, vm: VmId) -> bool:
-        return self._listed is None or vm in self._listed
+        return self._listed_vms is None or vm in self._listed_vms
 
     async def _append(self, record: MemberRecord) -> None:
         # The records are idempotent. If the answer to an append is lost, the
--- a/src/lovagestage/control/peerstate.py
+++ b/src/lovagestage/control/peerstate.py
@@ -33,10 +33,10 @@
 
 _log = logging.getLogger(__name__)
 
-START_CHECK_S = 1.0
+FETCH_INTERVAL_S = 1.0
 COMPARE_INTERVAL_S = 10.0
-ASK_TIMEOUT_S = 2.0
-FETCH_LIMIT_S = 32.0
+QUERY_TIMEOUT_S = 2.0
+MAX_FETCH_TIMEOUT_S = 32.0
 """Longest timeout, in seconds, for the transfer of a peer's state.
 
 After a timeout, the next request waits twice as long, up to this limit. The
@@ -44,10 +44,10 @@
 each request starts the transfer from the beginning. The largest state that
 snapshots hold, 12 MB, takes 20 s at 5 Mbit/s.
 """
-MAX_ASKED = 5
+MAX_QUERIED_PEERS = 5
 
 
-def check_answer(answer: StateAnswer | StateOffer) -> ControlState:
+def decode_answer(answer: StateAnswer | StateOffer) -> ControlState:
     """Decodes the state that a peer sent and verifies the peer's statements.
 
     Args:
@@ -85,14 +85,14 @@
         if not answer.state:
             continue
         try:
-            return check_answer(answer)
+            return decode_answer(answer)
         except CodecError as error:
             _log.error("peer_state_refused", extra={"error": error.message})
     return None
 
 
 @dataclasses.dataclass(frozen=True)
-class _Offer:
+class _PeerAnswer:
     """A peer's answer about its state, and the connection it came through."""
 
     table: LinkTable
@@ -110,14 +110,14 @@
 
     def __init__(self, control: ControlReader, hub: Hub) -> None:
         self._control = control
-        hub.register_answer(StateQuestion, self._on_question)
-        hub.register_answer(StateOffer, self._on_offer)
+        hub.register_answer(StateQuestion, self._on_state_question)
+        hub.register_answer(StateOffer, self._on_state_offer)
 
-    async def _on_question(self, question: Message) -> Message:
+    async def _on_state_question(self, question: Message) -> Message:
         assert isinstance(question, StateQuestion)
         return self._make_answer(with_state=question.with_state)
 
-    async def _on_offer(self, offer: Message) -> Message:
+    async def _on_state_offer(self, offer: Message) -> Message:
         assert isinstance(offer, StateOffer)
         state = choose_newest([offer])
         if state is not None:
@@ -158,22 +158,22 @@
     ) -> None:
         super().__init__()
         self.mismatches = 0
-        self._fetch_timeout_s = ASK_TIMEOUT_S
+        self._fetch_timeout_s = QUERY_TIMEOUT_S
         self._control = control
         self._tables = tables
         self._upstreams = upstreams
 
     @mode.Service.task
-    async def _start_from_peers(self) -> None:
+    async def _exchange_states(self) -> None:
         while not self.should_stop:
-            await self.sleep(START_CHECK_S)
+            await self.sleep(FETCH_INTERVAL_S)
             if not self._control.is_usable:
                 await self.fetch()
             else:
-                await self._offer()
+                await self._offer_state()
 
     @mode.Service.task
-    async def _compare(self) -> None:
+    async def _compare_periodically(self) -> None:
         while not self.should_stop:
             await self.sleep(COMPARE_INTERVAL_S)
             if self._control.is_usable:
@@ -183,43 +183,49 @@
         """Asks some peers for their offset and installs the newest state.
 
         The peers first report their offsets, and then one peer at a time is
-        asked for its state. States of all peers at the same time would share
-        the link, and each transfer would take longer by that factor.
+        asked for its state. Concurrent transfers from all peers would share
+        the link, and each transfer would take correspondingly longer.
 
         Returns:
             Whether a newer state was installed.
         """
-        offers = await self._ask_some(MAX_ASKED)
-        offers.sort(key=lambda offer: offer.answer.next_offset, reverse=True)
-        for offer in offers:
-            if offer.answer.checksum and await self._fetch_from(offer):
+        peer_answers = await self._query_peers(MAX_QUERIED_PEERS)
+        peer_answers.sort(
+            key=lambda peer_answer: peer_answer.answer.next_offset, reverse=True
+        )
+        for peer_answer in peer_answers:
+            if peer_answer.answer.checksum and await self._fetch_from(
+                peer_answer
+            ):
                 return True
         return False
 
-    async def _fetch_from(self, offer: _Offer) -> bool:
-        answer = await offer.table.ask(
-            offer.vm, StateQuestion(with_state=True), self._fetch_timeout_s
+    async def _fetch_from(self, peer_answer: _PeerAnswer) -> bool:
+        answer = await peer_answer.table.ask(
+            peer_answer.vm,
+            StateQuestion(with_state=True),
+            self._fetch_timeout_s,
         )
         if not isinstance(answer, StateAnswer):
-            longer_s = min(FETCH_LIMIT_S, 2 * self._fetch_timeout_s)
+            next_timeout_s = min(MAX_FETCH_TIMEOUT_S, 2 * self._fetch_timeout_s)
             _log.warning(
                 "peer_state_late",
                 extra={
-                    "peer": offer.vm,
+                    "peer": peer_answer.vm,
                     "timeout_s": self._fetch_timeout_s,
-                    "next_s": longer_s,
+                    "next_s": next_timeout_s,
                 },
             )
-            self._fetch_timeout_s = longer_s
+            self._fetch_timeout_s = next_timeout_s
             return False
-        self._fetch_timeout_s = ASK_TIMEOUT_S
+        self._fetch_timeout_s = QUERY_TIMEOUT_S
         state = choose_newest([answer])
         return state is not None and self._control.install(state, whole=True)
 
     async def compare(self) -> None:
         """Compares the state hash with one peer's and logs a mismatch."""
-        for offer in await self._ask_some(1):
-            answer = offer.answer
+        for peer_answer in await self._query_peers(1):
+            answer = peer_answer.answer
             folded = self._control.folded
             same_offset = answer.next_offset == folded.next_offset
             if (
@@ -237,7 +243,7 @@
                     },
                 )
 
-    async def _ask_some(self, count: int) -> list[_Offer]:
+    async def _query_peers(self, count: int) -> list[_PeerAnswer]:
         """Asks some randomly chosen peers for their offset and hash.
 
         Args:
@@ -248,18 +254,18 @@
         question = StateQuestion(with_state=False)
         answers = await asyncio.gather(
             *(
-                table.ask(vm, question, ASK_TIMEOUT_S)
+                table.ask(vm, question, QUERY_TIMEOUT_S)
                 for table, vm in peers[:count]
             )
         )
         return [
-            _Offer(table, vm, answer)
+            _PeerAnswer(table, vm, answer)
             for (table, vm), answer in zip(peers[:count], answers, strict=True)
             if isinstance(answer, StateAnswer)
         ]
 
-    async def _offer(self) -> None:
-        for vm in self._get_empty_sidecars():
+    async def _offer_state(self) -> None:
+        for vm in self._get_sidecars_without_state():
             folded = self._control.folded
             assert self._upstreams is not None
             await self._upstreams.ask(
@@ -267,15 +273,15 @@
                 StateOffer(
                     folded.next_offset, folded.get_hash(), folded.encode()
                 ),
-                ASK_TIMEOUT_S,
+                QUERY_TIMEOUT_S,
             )
 
-    def _get_empty_sidecars(self) -> list[VmId]:
+    def _get_sidecars_without_state(self) -> list[VmId]:
         if self._upstreams is None or not self._control.folded.next_offset:
             return []
-        empty = []
+        without_state = []
         for vm in self._upstreams.get_live():
             heartbeat = self._upstreams.get_heartbeat(vm)
             if heartbeat is not None and heartbeat.control_offset == 0:
-                empty.append(vm)
-        return empty[:MAX_ASKED]
+                without_state.append(vm)
+        return without_state[:MAX_QUERIED_PEERS]
--- a/src/lovagestage/control/reader.py
+++ b/src/lovagestage/control/reader.py
@@ -77,7 +77,7 @@
         self.folded = ControlState(root_key)
         self.caught_up = False
         self.follow_state = FollowState.STARTING
-        self._whole = False
+        self._is_complete = False
         self._platform_log = log
         self._snapshots = snapshots
         self._subscribers: list[Callable[[], None]] = []
@@ -93,7 +93,8 @@
         be acted on for the same reason.
         """
         return (
-            self._whole and self.follow_state is not FollowState.BELOW_HORIZON
+            self._is_complete
+            and self.follow_state is not FollowState.BELOW_HORIZON
         )
 
     @property
@@ -130,8 +131,8 @@
             extra={"from": self.folded.next_offset, "to": state.next_offset},
         )
         self.folded = state
-        self._whole = self._whole or whole
-        self._publish()
+        self._is_complete = self._is_complete or whole
+        self._notify_subscribers()
         return True
 
     def get_dump(self) -> dict[str, object]:
@@ -149,7 +150,7 @@
             },
             "leases": {
                 name: {"holder": held.holder, "fencing": held.fencing}
-                for name, held in self.folded.leases.held.items()
+                for name, held in self.folded.leases.by_id.items()
             },
         }
 
@@ -166,7 +167,7 @@
             )
             if start == self.folded.next_offset:
                 self._apply(page)
-                self._publish()
+                self._notify_subscribers()
             if page.next_offset <= self.folded.next_offset:
                 return
 
@@ -213,7 +214,7 @@
         if start != self.folded.next_offset:
             return
         self._apply(page)
-        self._publish()
+        self._notify_subscribers()
         if not self.caught_up and start == self.folded.next_offset:
             # A log that is behind the folded state answers every read
             # immediately. Without a pause, each reader would poll it in a
@@ -238,7 +239,7 @@
             )
         self.caught_up = self.folded.next_offset == page.next_offset
         if self.caught_up:
-            self._whole = True
+            self._is_complete = True
             self.follow_state = FollowState.FOLLOWING
 
     def _on_read_failed(self, error: LogError) -> None:
@@ -247,7 +248,7 @@
             self.follow_state = FollowState.LOG_DOWN
         _log.warning("control_read_failed", extra={"code": error.code})
 
-    def _publish(self) -> None:
+    def _notify_subscribers(self) -> None:
         self._changed.set()
         self._changed.clear()
         for callback in self._subscribers:
--- a/src/lovagestage/control/rollout_driver.py
+++ b/src/lovagestage/control/rollout_driver.py
@@ -40,18 +40,18 @@
 
 _log = logging.getLogger(__name__)
 
-INTERVAL_S = 0.5
+DRIVE_INTERVAL_S = 0.5
 ORDER_TIMEOUT_S = 5.0
 APPEND_TIMEOUT_S = 5.0
-MAX_LOADS_AT_ONCE = 2
+MAX_CONCURRENT_LOADS = 2
 """Largest number of engines that load a version at the same time.
 
 More concurrent loads would reach the weight store's rate limit, and an engine
 that loads serves fewer requests.
 """
-THROTTLED_PAUSE_S = 2.0
-LOADING_TIMEOUT_S = 120.0
-_FINAL = (RolloutPhase.DONE, RolloutPhase.ROLLED_BACK)
+THROTTLE_PAUSE_S = 2.0
+LOAD_TIMEOUT_S = 120.0
+_FINAL_PHASES = (RolloutPhase.DONE, RolloutPhase.ROLLED_BACK)
 
 
 class Evidence(Protocol):
@@ -86,12 +86,12 @@
         self._writer = writer
         self._upstreams = upstreams
         self._evidence = evidence
-        self._seen_s: dict[tuple[RolloutKey, int], float] = {}
-        self._loading: dict[tuple[VmId, str], float] = {}
+        self._step_entered_s: dict[tuple[RolloutKey, int], float] = {}
+        self._load_started_s: dict[tuple[VmId, str], float] = {}
         self._pause_until_s = 0.0
 
     @mode.Service.task
-    async def _drive(self) -> None:
+    async def _drive_periodically(self) -> None:
         while not self.should_stop:
             rollouts = self._control.folded.rollouts.get_all()
             is_driver = self._lease.is_held and self._control.is_usable
@@ -99,22 +99,23 @@
             # it follows all upstreams. If it followed only its subset, a
             # version would count as loaded everywhere while most upstreams
             # lack it.
-            is_open = any(
-                rollout.progress.phase not in _FINAL for rollout in rollouts
+            has_unfinished = any(
+                rollout.progress.phase not in _FINAL_PHASES
+                for rollout in rollouts
             )
-            if self._upstreams.follow_all(is_driver and is_open):
+            if self._upstreams.follow_all(is_driver and has_unfinished):
                 for rollout in rollouts:
-                    await self._drive_one(rollout)
-            await self.sleep(INTERVAL_S)
+                    await self._drive_rollout(rollout)
+            await self.sleep(DRIVE_INTERVAL_S)
 
-    async def _drive_one(self, rollout: Rollout) -> None:
+    async def _drive_rollout(self, rollout: Rollout) -> None:
         try:
             if self._needs_loading(rollout):
                 await self._load_missing(rollout.spec.new)
-            seen = self._observe(rollout)
-            position = get_next_position(rollout.progress.position, seen)
+            observation = self._observe(rollout)
+            position = get_next_position(rollout.progress.position, observation)
             if position != rollout.progress.position:
-                await self._record(rollout.progress, position)
+                await self._append_progress(rollout.progress, position)
         except LovagestageError as error:
             _log.warning(
                 "rollout_not_moved",
@@ -133,11 +134,11 @@
         spec, progress = rollout.spec, rollout.progress
         views = self._get_engines()
         entered_s = self._get_entered_s(progress)
-        long_enough = time.monotonic() - entered_s >= spec.step_min_s
+        has_lasted = time.monotonic() - entered_s >= spec.step_min_s
         return Observation(
             loaded=bool(views) and not _get_missing(views, spec.new),
             old_loaded=any(spec.old in view.versions for view in views),
-            step_due=long_enough and self._evidence.may_step(rollout),
+            step_due=has_lasted and self._evidence.may_step(rollout),
             last_step=progress.step >= len(spec.steps) - 1,
             paused=spec.state is RolloutState.PAUSED,
             aborted=spec.state is RolloutState.ABORTED,
@@ -151,33 +152,38 @@
 
     def _get_entered_s(self, progress: Progress) -> float:
         key = (progress.key, progress.count)
-        if key not in self._seen_s:
-            self._seen_s = {
-                other: seen_s
-                for other, seen_s in self._seen_s.items()
+        if key not in self._step_entered_s:
+            self._step_entered_s = {
+                other: entered_s
+                for other, entered_s in self._step_entered_s.items()
                 if other[0] != progress.key
             }
-            self._seen_s[key] = time.monotonic()
-        return self._seen_s[key]
+            self._step_entered_s[key] = time.monotonic()
+        return self._step_entered_s[key]
 
     async def _load_missing(self, version: str) -> None:
         now_s = time.monotonic()
         missing = _get_missing(self._get_engines(), version)
-        self._loading = {
-            key: since_s
-            for key, since_s in self._loading.items()
+        self._load_started_s = {
+            key: started_s
+            for key, started_s in self._load_started_s.items()
             if (key[1] != version or key[0] in missing)
-            and now_s - since_s < LOADING_TIMEOUT_S
+            and now_s - started_s < LOAD_TIMEOUT_S
         }
         if now_s < self._pause_until_s:
             return
-        free = MAX_LOADS_AT_ONCE - len(self._loading)
-        waiting = [vm for vm in missing if (vm, version) not in self._loading]
+        free_slots = MAX_CONCURRENT_LOADS - len(self._load_started_s)
+        not_started = [
+            vm for vm in missing if (vm, version) not in self._load_started_s
+        ]
         await asyncio.gather(
-            *(self._order(vm, version) for vm in waiting[: max(0, free)])
+            *(
+                self._order_load(vm, version)
+                for vm in not_started[: max(0, free_slots)]
+            )
         )
 
-    async def _order(self, vm: VmId, version: str) -> None:
+    async def _order_load(self, vm: VmId, version: str) -> None:
         fencing = self._lease.get_fencing()
         answer = await self._upstreams.ask(
             vm, Order(ROLLOUT_LEASE, fencing, version), ORDER_TIMEOUT_S
@@ -185,11 +191,13 @@
         if not isinstance(answer, OrderResult):
             return
         if answer.state is OrderState.THROTTLED:
-            self._pause_until_s = time.monotonic() + THROTTLED_PAUSE_S
+            self._pause_until_s = time.monotonic() + THROTTLE_PAUSE_S
         elif answer.state in (OrderState.STARTED, OrderState.DONE):
-            self._loading[(vm, version)] = time.monotonic()
+            self._load_started_s[(vm, version)] = time.monotonic()
 
-    async def _record(self, progress: Progress, position: Position) -> None:
+    async def _append_progress(
+        self, progress: Progress, position: Position
+    ) -> None:
         record = RolloutProgress(
             make_change_id(),
             progress.key.service,
--- a/src/lovagestage/control/snapshotting.py
+++ b/src/lovagestage/control/snapshotting.py
@@ -20,7 +20,7 @@
 )
 from lovagestage.state.fold import ControlState
 from lovagestage.state.records import SNAPSHOT_STREAM
-from lovagestage.state.snapshots import SnapshotShelf, make_chunks
+from lovagestage.state.snapshots import SnapshotCollector, make_chunks
 from lovagestage.types import LeaseId, Offset
 
 _log = logging.getLogger(__name__)
@@ -55,12 +55,12 @@
         keys: The system's log keys; the first key signs snapshots.
 
     Attributes:
-        shelf: Collects the chunks that were read.
+        collector: Collects the chunks that were read.
         key: The log key that signs snapshots; empty if there is none.
     """
 
     def __init__(self, log: Log, keys: Sequence[str] = ()) -> None:
-        self.shelf = SnapshotShelf(keys)
+        self.collector = SnapshotCollector(keys)
         self.key = keys[0] if keys else ""
         self._platform_log = log
         self._next_offset = Offset(0)
@@ -82,7 +82,7 @@
                 self._next_offset = Offset(error.first_offset)
                 continue
             for offset, data in page.records:
-                self.shelf.add(data)
+                self.collector.add(data)
                 self._next_offset = Offset(offset + 1)
             if self._next_offset >= page.next_offset or not page.records:
                 return
@@ -100,7 +100,7 @@
             LogError: The log does not answer.
         """
         await self.read_to_end()
-        for snapshot in self.shelf.get_covering(first_offset):
+        for snapshot in self.collector.get_covering(first_offset):
             try:
                 return snapshot.restore()
             except CodecError as error:
@@ -135,11 +135,11 @@
         self._keeper = keeper
         self._policy = policy
         self._stream = SnapshotStream(log, keys)
-        self._seen = Offset(0)
-        self._seen_s = float("-inf")
+        self._newest_cursor = Offset(0)
+        self._newest_seen_s = float("-inf")
 
     @mode.Service.task
-    async def _write(self) -> None:
+    async def _write_periodically(self) -> None:
         while not self.should_stop:
             try:
                 await self._write_if_due()
@@ -151,25 +151,25 @@
         if not (self._keeper.is_held and self._control.caught_up):
             return
         await self._stream.read_to_end()
-        self._observe_newest()
+        self._update_newest_cursor()
         # Renewals of the snapshot lease are records of the `control` stream
         # as well. An idle system therefore has new records too, and each
         # snapshot has a cursor of its own.
-        records = self._control.folded.next_offset - self._seen
-        is_old = time.monotonic() - self._seen_s >= self._policy.every_s
+        records = self._control.folded.next_offset - self._newest_cursor
+        is_old = time.monotonic() - self._newest_seen_s >= self._policy.every_s
         if records >= self._policy.every_records or (records and is_old):
-            await self._write_one()
+            await self._write_snapshot()
 
-    def _observe_newest(self) -> None:
+    def _update_newest_cursor(self) -> None:
         # Only snapshots that are complete in the log count. If a holder fails
         # before it has written all chunks, its snapshot is incomplete, and
         # the next holder writes a snapshot immediately.
-        cursor = self._stream.shelf.get_cursor()
-        if cursor > self._seen:
-            self._seen = cursor
-            self._seen_s = time.monotonic()
+        cursor = self._stream.collector.get_cursor()
+        if cursor > self._newest_cursor:
+            self._newest_cursor = cursor
+            self._newest_seen_s = time.monotonic()
 
-    async def _write_one(self) -> None:
+    async def _write_snapshot(self) -> None:
         state = self._control.folded
         chunks = make_chunks(
             state, self._keeper.get_fencing(), key=self._stream.key
--- a/src/lovagestage/control/writer.py
+++ b/src/lovagestage/control/writer.py
@@ -22,7 +22,7 @@
 _log = logging.getLogger(__name__)
 
 DEFAULT_TIMEOUT_S = 20.0
-READ_BACK_S = 2.0
+CONFIRM_TIMEOUT_S = 2.0
 """Seconds to wait for a sent record in the fold before appending it again."""
 
 RETRY_S = 0.25
@@ -73,30 +73,32 @@
             ChangeUnknownError: The record may have been appended.
         """
         data = encode_record(record)
-        end_s = time.monotonic() + timeout_s
-        sent = False
+        deadline_s = time.monotonic() + timeout_s
+        may_be_appended = False
         while True:
             result = self._control.folded.get_result(record.change_id)
             if result is not None:
                 return result
-            left_s = end_s - time.monotonic()
-            if left_s <= 0:
-                raise _make_error(record.change_id, sent, timeout_s)
+            remaining_s = deadline_s - time.monotonic()
+            if remaining_s <= 0:
+                raise _make_timeout_error(
+                    record.change_id, may_be_appended, timeout_s
+                )
             try:
                 # The fold drops a record whose change id it has already seen,
                 # so an append that is retried after a lost answer has no
                 # second effect.
-                await self._append_once(data, left_s)
+                await self._append_once(data, remaining_s)
             except LogUnavailableError:
-                await asyncio.sleep(min(RETRY_S, left_s))
+                await asyncio.sleep(min(RETRY_S, remaining_s))
                 continue
             except LogAnswerLostError:
                 _log.warning(
                     "append_answer_lost",
                     extra={"change_id": record.change_id},
                 )
-            sent = True
-            await self._wait_folded(record.change_id, end_s)
+            may_be_appended = True
+            await self._wait_until_folded(record.change_id, deadline_s)
 
     async def _append_once(self, data: bytes, timeout_s: float) -> None:
         try:
@@ -108,21 +110,23 @@
                 f"The log did not answer an append in {timeout_s:.1f} s."
             ) from error
 
-    async def _wait_folded(self, change_id: ChangeId, end_s: float) -> None:
-        stop_s = min(end_s, time.monotonic() + READ_BACK_S)
+    async def _wait_until_folded(
+        self, change_id: ChangeId, deadline_s: float
+    ) -> None:
+        wait_until_s = min(deadline_s, time.monotonic() + CONFIRM_TIMEOUT_S)
         while self._control.folded.get_result(change_id) is None:
-            left_s = stop_s - time.monotonic()
-            if left_s <= 0:
+            remaining_s = wait_until_s - time.monotonic()
+            if remaining_s <= 0:
                 return
-            await self._control.wait_changed(left_s)
+            await self._control.wait_changed(remaining_s)
 
 
-def _make_error(
-    change_id: ChangeId, sent: bool, timeout_s: float
+def _make_timeout_error(
+    change_id: ChangeId, may_be_appended: bool, timeout_s: float
 ) -> LogUnavailableError | ChangeUnknownError:
-    if sent:
+    if may_be_appended:
         return ChangeUnknownError(change_id, timeout_s)
     return LogUnavailableError(
-        f"The log took no append for {timeout_s:.1f} s; change"
+        f"The log accepted no append for {timeout_s:.1f} s; change"
         f" {change_id!r} was not appended."
     )
--- a/src/lovagestage/state/documents.py
+++ b/src/lovagestage/state/documents.py
@@ -43,7 +43,7 @@
     rollout_revisions: dict[str, int]
 
 
-class _ServiceForm(msgspec.Struct, frozen=True, array_like=True):
+class _EncodedService(msgspec.Struct, frozen=True, array_like=True):
     service: ServiceId
     revision: int
     source: bytes
@@ -51,8 +51,8 @@
     rollout_revisions: dict[str, int]
 
 
-class _Form(msgspec.Struct, frozen=True, array_like=True):
-    services: list[_ServiceForm]
+class _EncodedState(msgspec.Struct, frozen=True, array_like=True):
+    services: list[_EncodedService]
     outcomes: list[OutcomeEntry]
 
 
@@ -68,7 +68,7 @@
     """
 
     name = "documents"
-    kinds: tuple[type[msgspec.Struct], ...] = (DocumentChange,)
+    record_types: tuple[type[msgspec.Struct], ...] = (DocumentChange,)
 
     def __init__(self, operators: Operators) -> None:
         self._operators = operators
@@ -83,7 +83,7 @@
         current = self.services.get(record.service)
         revision = current.revision if current else 0
         outcome = Outcome.ACCEPTED
-        document = _decode(record.document)
+        document = _decode_document(record.document)
         if document is None or document.service != record.service:
             outcome = Outcome.INVALID
         elif not self._may_edit(record, current, document):
@@ -121,17 +121,17 @@
     def encode(self) -> bytes:
         """Returns the canonical encoding: equal states give equal bytes."""
         services = [
-            _ServiceForm(
+            _EncodedService(
                 name,
-                held.revision,
-                held.source,
-                held.offset,
-                dict(sorted(held.rollout_revisions.items())),
+                service.revision,
+                service.source,
+                service.offset,
+                dict(sorted(service.rollout_revisions.items())),
             )
-            for name, held in sorted(self.services.items())
+            for name, service in sorted(self.services.items())
         ]
         return msgspec.msgpack.encode(
-            _Form(services, self.outcomes.get_entries())
+            _EncodedState(services, self.outcomes.get_entries())
         )
 
     def restore(self, data: bytes) -> None:
@@ -140,32 +140,34 @@
         Raises:
             msgspec.MsgspecError: The bytes are not an encoded state.
         """
-        form = msgspec.msgpack.decode(data, type=_Form)
+        encoded = msgspec.msgpack.decode(data, type=_EncodedState)
         self.services = {
-            held.service: ServiceInForce(
-                held.revision,
-                msgspec.json.decode(held.source, type=ServiceDocument),
-                held.source,
-                held.offset,
-                held.rollout_revisions,
+            entry.service: ServiceInForce(
+                entry.revision,
+                msgspec.json.decode(entry.source, type=ServiceDocument),
+                entry.source,
+                entry.offset,
+                entry.rollout_revisions,
             )
-            for held in form.services
+            for entry in encoded.services
         }
-        self.outcomes.restore(form.outcomes)
+        self.outcomes.restore(encoded.outcomes)
 
 
 def _get_rollout_revisions(
     current: ServiceInForce | None, document: ServiceDocument, revision: int
 ) -> dict[str, int]:
-    kept = {
+    unchanged = {
         model: current.rollout_revisions[model]
         for model, spec in document.rollouts.items()
         if current is not None and current.document.rollouts.get(model) == spec
     }
-    return {model: kept.get(model, revision) for model in document.rollouts}
+    return {
+        model: unchanged.get(model, revision) for model in document.rollouts
+    }
 
 
-def _decode(source: bytes) -> ServiceDocument | None:
+def _decode_document(source: bytes) -> ServiceDocument | None:
     try:
         return msgspec.json.decode(source, type=ServiceDocument)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/src/lovagestage/state/fold.py
+++ b/src/lovagestage/state/fold.py
@@ -4,7 +4,7 @@
 its base revision is therefore either accepted by every process or rejected by
 every process. This gives compare-and-set over a log that has no such operation.
 The state is a set of sub-states, each of which folds the record types that it
-names in `kinds`.
+names in `record_types`.
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
 
     Attributes:
         name: Name of the sub-state within snapshots.
-        kinds: Record types that the sub-state folds.
+        record_types: Record types that the sub-state folds.
         outcomes: Results of the changes that the sub-state applied.
     """
 
     name: str
-    kinds: tuple[type[msgspec.Struct], ...]
+    record_types: tuple[type[msgspec.Struct], ...]
     outcomes: OutcomeTable
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
@@ -63,10 +63,10 @@
         """
 
 
-class _StateForm(msgspec.Struct, frozen=True, array_like=True):
+class _EncodedControlState(msgspec.Struct, frozen=True, array_like=True):
     next_offset: Offset
     undecodable: int
-    parts: list[tuple[str, bytes]]
+    sub_states: list[tuple[str, bytes]]
 
 
 class ControlState:
@@ -93,15 +93,17 @@
         self.leases = Leases()
         self.rollouts = Rollouts(self.documents, self.leases)
         self.members = MemberView()
-        self._parts: tuple[SubState, ...] = (
+        self._sub_states: tuple[SubState, ...] = (
             self.operators,
             self.documents,
             self.leases,
             self.rollouts,
             self.members,
         )
-        self._part_by_kind = {
-            kind: part for part in self._parts for kind in part.kinds
+        self._sub_state_by_type = {
+            record_type: sub_state
+            for sub_state in self._sub_states
+            for record_type in sub_state.record_types
         }
         self._hash = ""
 
@@ -112,8 +114,8 @@
 
     def get_result(self, change_id: ChangeId) -> ChangeResult | None:
         """Returns the result of a change; None if it is not known here."""
-        for part in self._parts:
-            result = part.outcomes.get(change_id)
+        for sub_state in self._sub_states:
+            result = sub_state.outcomes.get(change_id)
             if result is not None:
                 return result
         return None
@@ -150,7 +152,7 @@
                 extra={"offset": offset, "error": error.message},
             )
             return
-        self._part_by_kind[type(record)].apply(offset, record)
+        self._sub_state_by_type[type(record)].apply(offset, record)
 
     def get_hash(self) -> str:
         """Returns the SHA-256 of the encoded state, in hex.
@@ -163,9 +165,12 @@
 
     def encode(self) -> bytes:
         """Returns the canonical encoding: equal states give equal bytes."""
-        parts = [(part.name, part.encode()) for part in self._parts]
+        sub_states = [
+            (sub_state.name, sub_state.encode())
+            for sub_state in self._sub_states
+        ]
         return msgspec.msgpack.encode(
-            _StateForm(self.next_offset, self.undecodable, parts)
+            _EncodedControlState(self.next_offset, self.undecodable, sub_states)
         )
 
 
@@ -182,17 +187,18 @@
     """
     state = ControlState()
     try:
-        form = msgspec.msgpack.decode(data, type=_StateForm)
-        parts = dict(form.parts)
-        for part in state._parts:
-            if part.name in parts:
-                part.restore(parts[part.name])
+        encoded = msgspec.msgpack.decode(data, type=_EncodedControlState)
+        sub_states = dict(encoded.sub_states)
+        for sub_state in state._sub_states:
+            if sub_state.name in sub_states:
+                sub_state.restore(sub_states[sub_state.name])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise CodecError(f"The state can't be decoded: {error}.") from error
-    state.next_offset = form.next_offset
-    state.undecodable = form.undecodable
+    state.next_offset = encoded.next_offset
+    state.undecodable = encoded.undecodable
     if state.encode() != data:
         raise CodecError(
-            f"The state at offset {form.next_offset} encodes differently here."
+            f"The state at offset {encoded.next_offset} is encoded differently"
+            " here."
         )
     return state
--- a/src/lovagestage/state/leases.py
+++ b/src/lovagestage/state/leases.py
@@ -55,7 +55,7 @@
     released: bool = False
 
 
-class _Form(msgspec.Struct, frozen=True, array_like=True):
+class _EncodedState(msgspec.Struct, frozen=True, array_like=True):
     leases: list[LeaseInForce]
     outcomes: list[OutcomeEntry]
 
@@ -64,20 +64,20 @@
     """Leases by name, with the results of recent lease records.
 
     Attributes:
-        held: Leases by name. Released leases stay in it, so that fencing
+        by_id: Leases by name. Released leases stay in it, so that fencing
             numbers never decrease.
         outcomes: Results of the latest lease records.
     """
 
     name = "leases"
-    kinds: tuple[type[msgspec.Struct], ...] = (
+    record_types: tuple[type[msgspec.Struct], ...] = (
         LeaseTake,
         LeaseRenew,
         LeaseRelease,
     )
 
     def __init__(self) -> None:
-        self.held: dict[LeaseId, LeaseInForce] = {}
+        self.by_id: dict[LeaseId, LeaseInForce] = {}
         self.outcomes = OutcomeTable(MAX_OUTCOMES)
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
@@ -85,16 +85,16 @@
         assert isinstance(record, LeaseTake | LeaseRenew | LeaseRelease)
         if record.change_id in self.outcomes:
             return
-        current = self.held.get(record.lease)
+        current = self.by_id.get(record.lease)
         fencing = current.fencing if current else NO_FENCING
         renewals = current.renewals if current else 0
         outcome = Outcome.CONFLICT
         if (record.fencing, record.renewals) == (fencing, renewals):
-            changed = _change(offset, record, current)
+            changed = _apply_to_lease(offset, record, current)
             if changed is not None:
                 outcome = Outcome.ACCEPTED
                 renewals = changed.renewals
-                self.held[record.lease] = changed
+                self.by_id[record.lease] = changed
         self.outcomes.add(
             record.change_id, ChangeResult(outcome, renewals, offset)
         )
@@ -105,14 +105,14 @@
         Returns:
             `NO_FENCING` if the lease was never granted.
         """
-        held = self.held.get(lease)
-        return held.fencing if held else NO_FENCING
+        current = self.by_id.get(lease)
+        return current.fencing if current else NO_FENCING
 
     def encode(self) -> bytes:
         """Returns the canonical encoding: equal states give equal bytes."""
         return msgspec.msgpack.encode(
-            _Form(
-                [held for _, held in sorted(self.held.items())],
+            _EncodedState(
+                [lease for _, lease in sorted(self.by_id.items())],
                 self.outcomes.get_entries(),
             )
         )
@@ -123,12 +123,12 @@
         Raises:
             msgspec.MsgspecError: The bytes are not an encoded state.
         """
-        form = msgspec.msgpack.decode(data, type=_Form)
-        self.held = {held.lease: held for held in form.leases}
-        self.outcomes.restore(form.outcomes)
+        encoded = msgspec.msgpack.decode(data, type=_EncodedState)
+        self.by_id = {lease.lease: lease for lease in encoded.leases}
+        self.outcomes.restore(encoded.outcomes)
 
 
-def _change(
+def _apply_to_lease(
     offset: Offset,
     record: LeaseTake | LeaseRenew | LeaseRelease,
     current: LeaseInForce | None,
--- a/src/lovagestage/state/members.py
+++ b/src/lovagestage/state/members.py
@@ -85,7 +85,7 @@
     is_first: bool
 
 
-class _Snapshot(msgspec.Struct):
+class _EncodedState(msgspec.Struct):
     epoch: Offset
     members: list[MemberJoined]
     may_be_paused: list[MemberId]
@@ -111,7 +111,10 @@
     """
 
     name = "members"
-    kinds: tuple[type[msgspec.Struct], ...] = (MemberJoined, MemberRemoved)
+    record_types: tuple[type[msgspec.Struct], ...] = (
+        MemberJoined,
+        MemberRemoved,
+    )
 
     def __init__(self, slots: int = SLOTS) -> None:
         self.epoch = Offset(-1)
@@ -134,7 +137,7 @@
     def encode(self) -> bytes:
         """Returns the encoded state for a snapshot."""
         return msgspec.msgpack.encode(
-            _Snapshot(
+            _EncodedState(
                 self.epoch,
                 list(self.members.values()),
                 [MemberId(v, i) for v, i in self.may_be_paused.items()],
@@ -144,18 +147,18 @@
 
     def restore(self, data: bytes) -> None:
         """Replaces this state by the encoded state of a snapshot."""
-        snapshot = msgspec.msgpack.decode(data, type=_Snapshot)
-        self.epoch = snapshot.epoch
-        self.members = {m.vm: m for m in snapshot.members}
+        encoded = msgspec.msgpack.decode(data, type=_EncodedState)
+        self.epoch = encoded.epoch
+        self.members = {m.vm: m for m in encoded.members}
         self.may_be_paused = {
-            m.vm: m.incarnation for m in snapshot.may_be_paused
+            m.vm: m.incarnation for m in encoded.may_be_paused
         }
-        self.periods = snapshot.periods
+        self.periods = encoded.periods
 
     def has(self, member: MemberId) -> bool:
         """Whether a process is a member under its own incarnation."""
-        known = self.members.get(member.vm)
-        return known is not None and known.incarnation == member.incarnation
+        current = self.members.get(member.vm)
+        return current is not None and current.incarnation == member.incarnation
 
     def has_certainly_ended(self, member: MemberId) -> bool:
         """Whether a process can never again grant or confirm a claim."""
@@ -174,8 +177,8 @@
         return periods[-1].holders if periods else ()
 
     def _join(self, record: MemberJoined) -> bool:
-        known = self.members.get(record.vm)
-        if known is not None and known.incarnation >= record.incarnation:
+        current = self.members.get(record.vm)
+        if current is not None and current.incarnation >= record.incarnation:
             return False
         self.members[record.vm] = record
         # A VM runs one entry process at a time, so the join of a later
@@ -223,8 +226,8 @@
     if not ranked:
         return ()
     owner, *others = ranked
-    distant = [m for m in others if m.zone != owner.zone] or others
-    chosen = [owner, *distant[:1]]
+    other_zone = [m for m in others if m.zone != owner.zone] or others
+    chosen = [owner, *other_zone[:1]]
     return tuple(MemberId(m.vm, m.incarnation) for m in chosen)
 
 
--- a/src/lovagestage/state/operators.py
+++ b/src/lovagestage/state/operators.py
@@ -30,7 +30,7 @@
 ANY_TEAM = "*"
 
 
-class _Form(msgspec.Struct, frozen=True, array_like=True):
+class _EncodedState(msgspec.Struct, frozen=True, array_like=True):
     root_key: str
     revision: int
     operators: list[OperatorSpec]
@@ -53,7 +53,7 @@
     """
 
     name = "operators"
-    kinds: tuple[type[msgspec.Struct], ...] = (OperatorsChange,)
+    record_types: tuple[type[msgspec.Struct], ...] = (OperatorsChange,)
 
     def __init__(self, root_key: str = "") -> None:
         self.revision = 0
@@ -93,7 +93,7 @@
             return False
         message = get_signed_bytes(change)
         return any(
-            _is_signed(key, message, change.signature)
+            _is_signature_valid(key, message, change.signature)
             for key in spec.public_keys
         )
 
@@ -101,7 +101,7 @@
         """Returns the canonical encoding: equal states give equal bytes."""
         operators = sorted(self.operators.values(), key=lambda s: s.name)
         return msgspec.msgpack.encode(
-            _Form(
+            _EncodedState(
                 self._root_key,
                 self.revision,
                 operators,
@@ -115,14 +115,14 @@
         Raises:
             msgspec.MsgspecError: The bytes are not an encoded state.
         """
-        form = msgspec.msgpack.decode(data, type=_Form)
-        self._root_key = form.root_key
-        self.revision = form.revision
-        self.operators = {spec.name: spec for spec in form.operators}
-        self.outcomes.restore(form.outcomes)
+        encoded = msgspec.msgpack.decode(data, type=_EncodedState)
+        self._root_key = encoded.root_key
+        self.revision = encoded.revision
+        self.operators = {spec.name: spec for spec in encoded.operators}
+        self.outcomes.restore(encoded.outcomes)
 
     def _is_signed_by_root(self, change: OperatorsChange) -> bool:
-        return bool(self._root_key) and _is_signed(
+        return bool(self._root_key) and _is_signature_valid(
             self._root_key, get_signed_bytes(change), change.signature
         )
 
@@ -151,7 +151,9 @@
     return msgspec.structs.replace(change, signature=signature)
 
 
-def _is_signed(public_key: str, message: bytes, signature: bytes) -> bool:
+def _is_signature_valid(
+    public_key: str, message: bytes, signature: bytes
+) -> bool:
     try:
         key = nacl.signing.VerifyKey(bytes.fromhex(public_key))
         key.verify(message, signature)
--- a/src/lovagestage/state/rollouts.py
+++ b/src/lovagestage/state/rollouts.py
@@ -77,7 +77,7 @@
         return Position(self.phase, self.step)
 
 
-class _Form(msgspec.Struct, frozen=True, array_like=True):
+class _EncodedState(msgspec.Struct, frozen=True, array_like=True):
     progress: list[Progress]
     outcomes: list[OutcomeEntry]
 
@@ -118,7 +118,10 @@
     """
 
     name = "rollouts"
-    kinds: tuple[type[msgspec.Struct], ...] = (RolloutProgress, RolloutStop)
+    record_types: tuple[type[msgspec.Struct], ...] = (
+        RolloutProgress,
+        RolloutStop,
+    )
 
     def __init__(self, documents: Documents, leases: Leases) -> None:
         self.outcomes = OutcomeTable(MAX_OUTCOMES)
@@ -128,19 +131,19 @@
 
     def get(self, service: ServiceId, model: str) -> Rollout | None:
         """Returns the roll-out in force of a model; None if it has none."""
-        held = self._documents.services.get(service)
-        spec = held.document.rollouts.get(model) if held else None
-        if held is None or spec is None:
+        in_force = self._documents.services.get(service)
+        spec = in_force.document.rollouts.get(model) if in_force else None
+        if in_force is None or spec is None:
             return None
-        key = RolloutKey(service, model, held.rollout_revisions[model])
+        key = RolloutKey(service, model, in_force.rollout_revisions[model])
         return Rollout(spec, self._progress.get(key, Progress(key)))
 
     def get_all(self) -> list[Rollout]:
         """Returns all roll-outs in force."""
         found = [
             self.get(service, model)
-            for service, held in self._documents.services.items()
-            for model in held.document.rollouts
+            for service, in_force in self._documents.services.items()
+            for model in in_force.document.rollouts
         ]
         return [rollout for rollout in found if rollout is not None]
 
@@ -156,10 +159,10 @@
             rollout is not None
             and rollout.progress.key.revision == record.revision
         ):
-            changed = self._change(rollout.progress, record)
+            changed = self._apply_to_progress(rollout.progress, record)
             if changed is not None:
                 outcome = Outcome.ACCEPTED
-                self._keep(changed)
+                self._store_progress(changed)
             count = (changed or rollout.progress).count
         self.outcomes.add(
             record.change_id, ChangeResult(outcome, count, offset)
@@ -169,7 +172,7 @@
         """Returns the canonical encoding: equal states give equal bytes."""
         progress = sorted(self._progress.values(), key=lambda p: p.key)
         return msgspec.msgpack.encode(
-            _Form(progress, self.outcomes.get_entries())
+            _EncodedState(progress, self.outcomes.get_entries())
         )
 
     def restore(self, data: bytes) -> None:
@@ -178,11 +181,13 @@
         Raises:
             msgspec.MsgspecError: The bytes are not an encoded state.
         """
-        form = msgspec.msgpack.decode(data, type=_Form)
-        self._progress = {progress.key: progress for progress in form.progress}
-        self.outcomes.restore(form.outcomes)
+        encoded = msgspec.msgpack.decode(data, type=_EncodedState)
+        self._progress = {
+            progress.key: progress for progress in encoded.progress
+        }
+        self.outcomes.restore(encoded.outcomes)
 
-    def _change(
+    def _apply_to_progress(
         self, progress: Progress, record: RolloutProgress | RolloutStop
     ) -> Progress | None:
         if isinstance(record, RolloutStop):
@@ -206,7 +211,7 @@
             count=progress.count + 1,
         )
 
-    def _keep(self, progress: Progress) -> None:
+    def _store_progress(self, progress: Progress) -> None:
         key = progress.key
         for other in list(self._progress):
             if (other.service, other.model) == (key.service, key.model):
--- a/src/lovagestage/state/snapshots.py
+++ b/src/lovagestage/state/snapshots.py
@@ -32,10 +32,10 @@
 chunk can claim by stating a large count.
 """
 
-MAX_PARTIAL = 4
+MAX_PARTIAL_SNAPSHOTS = 4
 """Largest number of incomplete snapshots in memory; the oldest is dropped."""
 
-SNAPSHOTS_KEPT = 2
+MAX_SNAPSHOTS = 2
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True):
@@ -170,13 +170,13 @@
         return state
 
 
-class _Partial:
+class _PartialSnapshot:
     def __init__(self, count: int) -> None:
         self.count = count
         self.pieces: dict[int, bytes] = {}
 
 
-class SnapshotShelf:
+class SnapshotCollector:
     """Collects chunks and retains the newest complete snapshots.
 
     Args:
@@ -184,17 +184,17 @@
             accepted, so that a key can be replaced.
 
     Attributes:
-        kept: Complete snapshots, newest first, at most `SNAPSHOTS_KEPT`.
+        snapshots: Complete snapshots, newest first, at most `MAX_SNAPSHOTS`.
         refused: Number of records that were not a valid chunk, or that
             completed a snapshot with a wrong checksum.
     """
 
     def __init__(self, keys: Sequence[str] = ()) -> None:
         self._keys = tuple(keys) or ("",)
-        self.kept: list[Snapshot] = []
+        self.snapshots: list[Snapshot] = []
         self.refused = 0
         self._partial: collections.OrderedDict[
-            tuple[FencingNumber, Offset, str, int], _Partial
+            tuple[FencingNumber, Offset, str, int], _PartialSnapshot
         ] = collections.OrderedDict()
 
     def add(self, data: bytes) -> None:
@@ -202,24 +202,24 @@
         try:
             chunk = decode_chunk(data)
         except CodecError as error:
-            self._refuse(error.message)
+            self._record_refusal(error.message)
             return
-        if any(kept.cursor == chunk.cursor for kept in self.kept):
+        if any(snapshot.cursor == chunk.cursor for snapshot in self.snapshots):
             return
         # Two writers may write concurrently. The key prevents chunks of
         # different snapshots from being joined.
         key = (chunk.fencing, chunk.cursor, chunk.checksum, chunk.count)
-        partial = self._partial.setdefault(key, _Partial(chunk.count))
+        partial = self._partial.setdefault(key, _PartialSnapshot(chunk.count))
         partial.pieces[chunk.index] = chunk.data
         if len(partial.pieces) == partial.count:
             del self._partial[key]
-            self._finish(chunk, partial)
-        while len(self._partial) > MAX_PARTIAL:
+            self._add_complete_snapshot(chunk, partial)
+        while len(self._partial) > MAX_PARTIAL_SNAPSHOTS:
             self._partial.popitem(last=False)
 
     def get_cursor(self) -> Offset:
         """Returns the cursor of the newest complete snapshot, or 0."""
-        return self.kept[0].cursor if self.kept else Offset(0)
+        return self.snapshots[0].cursor if self.snapshots else Offset(0)
 
     def get_covering(self, first_offset: Offset) -> list[Snapshot]:
         """Returns the snapshots after which no record is missing.
@@ -230,20 +230,28 @@
         Returns:
             Snapshots with a cursor at or after `first_offset`, newest first.
         """
-        return [kept for kept in self.kept if kept.cursor >= first_offset]
-
-    def _finish(self, last: SnapshotChunk, partial: _Partial) -> None:
+        return [
+            snapshot
+            for snapshot in self.snapshots
+            if snapshot.cursor >= first_offset
+        ]
+
+    def _add_complete_snapshot(
+        self, last: SnapshotChunk, partial: _PartialSnapshot
+    ) -> None:
         data = b"".join(partial.pieces[i] for i in range(partial.count))
         if not any(
             hmac.compare_digest(get_checksum(data, key), last.checksum)
             for key in self._keys
         ):
-            self._refuse(f"Snapshot at {last.cursor} has a wrong checksum.")
+            self._record_refusal(
+                f"Snapshot at {last.cursor} has a wrong checksum."
+            )
             return
-        self.kept.append(Snapshot(last.cursor, data))
-        self.kept.sort(key=lambda kept: kept.cursor, reverse=True)
-        del self.kept[SNAPSHOTS_KEPT:]
+        self.snapshots.append(Snapshot(last.cursor, data))
+        self.snapshots.sort(key=lambda snapshot: snapshot.cursor, reverse=True)
+        del self.snapshots[MAX_SNAPSHOTS:]
 
-    def _refuse(self, message: str) -> None:
+    def _record_refusal(self, message: str) -> None:
         self.refused += 1
         _log.error("snapshot_refused", extra={"error": message})
--- a/tests/control_log.py
+++ b/tests/control_log.py
@@ -1,4 +1,4 @@
-"""A log stand-in with readers and writers, for tests of the control log."""
+"""Log service for tests of the control log, with readers that use it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 class ControlLog:
-    """The stand-in, its faults, and readers that are stopped at the end."""
+    """A running log service, its faults, and the services started on it.
+
+    The started services are stopped when `serve_log` ends.
+    """
 
     def __init__(self, service, server, session, stack):
         self.faults = service.faults
@@ -28,8 +31,8 @@
         await self._stack.enter_async_context(service)
         return service
 
-    async def start_reader(self, **more) -> ControlReader:
-        return await self.start(ControlReader(self.log, **more))
+    async def start_reader(self, **options) -> ControlReader:
+        return await self.start(ControlReader(self.log, **options))
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_control_differential.py
+++ b/tests/test_control_differential.py
@@ -1,4 +1,4 @@
-"""The readers against a naive fold of the whole history in one place."""
+"""Compares the readers with a naive fold of the complete history."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lovagestage.exceptions import CodecError
 from lovagestage.state.fold import ControlState, Outcome, restore_state
 from lovagestage.state.records import decode_record, encode_record
-from lovagestage.state.snapshots import SnapshotShelf, make_chunks
+from lovagestage.state.snapshots import SnapshotCollector, make_chunks
 from tests.test_fold import make_change
 
 READERS = 3
@@ -24,8 +24,8 @@
 
 
 @dataclasses.dataclass
-class Naive:
-    """Rereads the whole history for every question, with plain dicts."""
+class NaiveFold:
+    """Reference fold that processes the complete history on each call."""
 
     history: list[bytes]
 
@@ -50,19 +50,19 @@
 
 
 class ControlLogMachine(RuleBasedStateMachine):
-    """Operators race over a log that expires; readers come and go.
+    """Operators append concurrently to a log that expires; readers restart.
 
-    Appends are repeated, arrive late and in another order than they were
-    sent in, and lose their answers: the machine keeps each sent record and
-    lets any of them land any number of times.
+    Appends may be retried, may arrive late or in another order than they were
+    sent in, and may lose their answers. The machine therefore retains each
+    sent record and may append any of them any number of times.
     """
 
     def __init__(self):
         super().__init__()
-        self.naive = Naive([])
+        self.naive = NaiveFold([])
         self.first_offset = 0
         self.readers = [ControlState() for _ in range(READERS)]
-        self.shelf = SnapshotShelf()
+        self.collector = SnapshotCollector()
         self.sent = []
 
     @rule(
@@ -71,10 +71,10 @@
         lands=st.integers(0, 2),
     )
     def send(self, service, reader, lands):
-        """An operator edits what one reader shows."""
+        """An operator edits the document that one reader has in force."""
         held = self.readers[reader].services.get(service)
         number = len(self.sent)
-        change = move_change(
+        change = replace_service(
             make_change(
                 f"c{number}", held.revision if held else 0, f"{number}"
             ),
@@ -86,7 +86,7 @@
     @precondition(lambda self: self.sent)
     @rule(data=st.data())
     def land_late(self, data):
-        """A record sent before lands now, for the first time or again."""
+        """The log appends an earlier sent record, possibly once more."""
         self.naive.history.append(data.draw(st.sampled_from(self.sent)))
 
     @rule()
@@ -95,10 +95,13 @@
 
     @rule(reader=st.integers(0, READERS - 1), count=st.integers(1, 4))
     def read(self, reader, count):
-        """One reader reads on, or installs a snapshot below the horizon."""
+        """A reader reads the next records, or installs a snapshot.
+
+        It needs a snapshot if its next records have expired.
+        """
         state = self.readers[reader]
         if state.next_offset < self.first_offset:
-            covering = self.shelf.get_covering(self.first_offset)
+            covering = self.collector.get_covering(self.first_offset)
             if covering:
                 self.readers[reader] = covering[0].restore()
             return
@@ -107,13 +110,13 @@
 
     @rule(reader=st.integers(0, READERS - 1), start=st.integers(0, 5))
     def write_snapshot(self, reader, start):
-        """Writes a snapshot; with `start` not 0, only its later chunks."""
+        """Writes a snapshot; if `start` is not 0, only its later chunks."""
         for chunk in make_chunks(self.readers[reader], 0, 300)[start:]:
-            self.shelf.add(chunk)
+            self.collector.add(chunk)
 
     @rule(source=st.integers(0, READERS - 1), to=st.integers(0, READERS - 1))
     def replace_from_peer(self, source, to):
-        """A process is replaced and starts from a peer's state."""
+        """A process is replaced, and the new one starts from a peer's state."""
         self.readers[to] = restore_state(self.readers[source].encode())
 
     @rule(reader=st.integers(0, READERS - 1))
@@ -129,7 +132,7 @@
     def readers_agree_with_the_naive_fold(self):
         for state in self.readers:
             prefix = self.naive.history[: state.next_offset]
-            revisions, accepted = Naive(prefix).fold()
+            revisions, accepted = NaiveFold(prefix).fold()
             in_force = {n: held.revision for n, held in state.services.items()}
             assert in_force == revisions
             for change_id, (service, revision, document) in accepted.items():
@@ -147,7 +150,7 @@
             assert known == state.get_hash()
 
 
-def move_change(change, service):
+def replace_service(change, service):
     document = change.document.replace(b'"s"', b'"%s"' % service.encode())
     return type(change)(
         change.change_id, service, change.base, change.author, document
--- a/tests/test_control_experiments.py
+++ b/tests/test_control_experiments.py
@@ -1,4 +1,4 @@
-"""The experiments of the control log, at small sizes."""
+"""Runs the experiments about the control log at small sizes."""
 
 from __future__ import annotations
 
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""The fold of the `control` stream."""
+"""Tests of the fold of the `control` stream."""
 
 from __future__ import annotations
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: every interleaving on small bounds, and the real task."""
+"""Tests of leases: all interleavings within bounds, and the lease task."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
     cursor: int = 0
     pending: object = None
     sent_s: int = 0
-    landed: int = 0
+    appended_count: int = 0
     sends: int = 0
 
 
 @dataclasses.dataclass(frozen=True)
-class World:
+class SystemState:
     now: int
     log: tuple
     processes: tuple
@@ -64,66 +64,72 @@
     return _folds[log]
 
 
-def step_process(world: World, process: Process, bounds: Bounds):
-    """All that one process may do next, with the log after it."""
+def step_process(state: SystemState, process: Process, bounds: Bounds):
+    """Yields each possible next step of one process, with the log after it."""
     replace = dataclasses.replace
-    log = world.log
+    log = state.log
     if process.cursor < len(log):
-        yield read(world, process), log
+        yield read(state, process), log
     if process.pending is None:
         change_id = f"{process.view.own.vm}{process.sends}"
-        record = leasing.make_next_record(process.view, world.now, change_id)
+        record = leasing.make_next_record(process.view, state.now, change_id)
         if record is not None and process.sends < bounds.sends:
-            sent = replace(process, pending=record, sent_s=world.now)
+            sent = replace(process, pending=record, sent_s=state.now)
             yield replace(sent, sends=process.sends + 1), log
     else:
-        if process.landed < 2 and len(log) < bounds.records:
-            landed = replace(process, landed=process.landed + 1)
-            yield landed, (*log, process.pending)
-        yield replace(process, pending=None, landed=0, sent_s=0), log
+        if process.appended_count < 2 and len(log) < bounds.records:
+            appended = replace(
+                process, appended_count=process.appended_count + 1
+            )
+            yield appended, (*log, process.pending)
+        yield replace(process, pending=None, appended_count=0, sent_s=0), log
 
 
-def read(world: World, process: Process) -> Process:
+def read(state: SystemState, process: Process) -> Process:
     cursor = process.cursor + 1
-    leases = fold(world.log[:cursor])
-    view = leasing.observe(process.view, leases.held.get("l"), world.now)
+    leases = fold(state.log[:cursor])
+    view = leasing.observe(process.view, leases.by_id.get("l"), state.now)
     process = dataclasses.replace(process, cursor=cursor, view=view)
     pending = process.pending
-    if pending is None or world.log[cursor - 1] != pending:
+    if pending is None or state.log[cursor - 1] != pending:
         return process
     result = leases.outcomes.get(pending.change_id)
     if result.outcome is Outcome.ACCEPTED:
         view = leasing.confirm(view, process.sent_s)
     return dataclasses.replace(
-        process, view=view, pending=None, landed=0, sent_s=0
+        process, view=view, pending=None, appended_count=0, sent_s=0
     )
 
 
-def step(world: World, bounds: Bounds):
-    if world.now < bounds.ticks:
-        yield dataclasses.replace(world, now=world.now + 1)
-    for index, process in enumerate(world.processes):
-        for changed, log in step_process(world, process, bounds):
-            processes = list(world.processes)
+def step(state: SystemState, bounds: Bounds):
+    if state.now < bounds.ticks:
+        yield dataclasses.replace(state, now=state.now + 1)
+    for index, process in enumerate(state.processes):
+        for changed, log in step_process(state, process, bounds):
+            processes = list(state.processes)
             processes[index] = changed
-            yield World(world.now, log, tuple(processes))
+            yield SystemState(state.now, log, tuple(processes))
+
 
+def check_holders(state: SystemState) -> int:
+    """Asserts that at most one process may act, under the newest grant.
 
-def check(world: World) -> int:
-    """At most one process may act, and only under the newest grant."""
-    numbers = [
-        leasing.get_held_fencing(process.view, world.now)
-        for process in world.processes
+    Returns:
+        Number of processes that may act.
+    """
+    fencing_numbers = [
+        leasing.get_held_fencing(process.view, state.now)
+        for process in state.processes
     ]
-    acting = [number for number in numbers if number is not None]
-    assert len(acting) <= 1, world
-    for number in acting:
-        assert number == fold(world.log).get_fencing("l"), world
-    return len(acting)
+    held_numbers = [number for number in fencing_numbers if number is not None]
+    assert len(held_numbers) <= 1, state
+    for number in held_numbers:
+        assert number == fold(state.log).get_fencing("l"), state
+    return len(held_numbers)
 
 
-def make_world(*, granted: bool) -> World:
-    world = World(
+def make_initial_state(*, granted: bool) -> SystemState:
+    state = SystemState(
         0,
         (),
         tuple(
@@ -132,12 +138,12 @@
         ),
     )
     if not granted:
-        return world
-    holder, contender = world.processes
+        return state
+    holder, contender = state.processes
     take = leasing.make_next_record(holder.view, 0, "first")
-    world = World(0, (take,), ())
-    holder = read(world, dataclasses.replace(holder, pending=take))
-    return World(0, (take,), (holder, read(world, contender)))
+    state = SystemState(0, (take,), ())
+    holder = read(state, dataclasses.replace(holder, pending=take))
+    return SystemState(0, (take,), (holder, read(state, contender)))
 
 
 @pytest.mark.parametrize(
@@ -145,26 +151,27 @@
     [(False, Bounds(3, 2, 1), 8564), (True, Bounds(5, 4, 1), 39980)],
 )
 def test_no_two_holders_in_any_interleaving(granted, bounds, states):
-    """Bounds: 2 processes, time to live 2 ticks.
+    """Checks all states within bounds: 2 processes, time to live 2 ticks.
 
-    From an empty log: 3 ticks, 2 records, 1 send each. From a grant that
-    both have read: 5 ticks, 4 records, 1 send each. Each process may at any
-    tick read one record, send what the rules allow, have it appended once,
-    twice or never, and stand still for any number of ticks.
+    From an empty log: 3 ticks, 2 records, 1 send per process. From a grant
+    that both processes have read: 5 ticks, 4 records, 1 send per process. At
+    any tick a process may read one record, send the record that the rules
+    allow, have it appended once, twice or never, and pause for any number of
+    ticks.
     """
-    first = make_world(granted=granted)
+    first = make_initial_state(granted=granted)
     seen = {first}
     queue = deque(seen)
-    held = 0
+    held_count = 0
     while queue:
-        world = queue.popleft()
-        held += check(world)
-        for after in step(world, bounds):
-            if after not in seen:
-                seen.add(after)
-                queue.append(after)
+        state = queue.popleft()
+        held_count += check_holders(state)
+        for successor in step(state, bounds):
+            if successor not in seen:
+                seen.add(successor)
+                queue.append(successor)
     assert len(seen) == states
-    assert held > 100
+    assert held_count > 100
 
 
 async def start_keepers(served, count=2):
@@ -180,9 +187,10 @@
 
 
 async def test_lease_is_taken_over_when_its_holder_is_paused(monkeypatch):
-    # The holder's process stands still past its lease and goes on as if it
-    # still had it. Its own clock tells it no; another has taken the lease
-    # under a higher number, and a gate refuses the paused holder's order.
+    # Guards against orders of a holder that was paused until its lease
+    # expired. Its own clock shows that the lease has expired. Another process
+    # has taken the lease under a higher fencing number, and the gate rejects
+    # the order of the earlier holder.
     async with serve_log() as served:
         (old, _), (new, reader) = await start_keepers(served)
         stale = old.get_fencing()
@@ -225,8 +233,9 @@
 
 
 async def test_gate_that_has_read_nothing_takes_no_order():
-    # A sidecar that has just started knows no grant. Were it to let the
-    # first number through, a paused holder's order would be carried out.
+    # A sidecar that has just started knows no grant. If its gate accepted the
+    # first fencing number, the order of an earlier holder that was paused
+    # would be carried out.
     async with serve_log() as served:
         reader = ControlReader(served.log)
         with pytest.raises(GateNotReadyError):
@@ -238,9 +247,9 @@
 
 
 async def test_gate_that_has_lost_the_log_takes_no_order(monkeypatch):
-    # The log is down for the sidecar alone. Another process has taken the
-    # lease since; the gate can't know, and the paused holder's order with
-    # the number that was right before must not get through.
+    # The log is unavailable to the sidecar only. Another process may have
+    # taken the lease meanwhile without the gate's knowledge, so the gate must
+    # reject an order with the last fencing number that it has read.
     monkeypatch.setattr(control, "READ_WAIT_S", 0.1)
     async with serve_log() as served:
         (keeper, reader), _ = await start_keepers(served)
@@ -255,22 +264,23 @@
 
 @pytest.mark.parametrize("contenders", [1, 2, 20, 390])
 def test_few_contenders_append_when_a_lease_lapses(contenders):
-    # Operators would see the log's append budget used up, and other writers
-    # refused. A holder dies; every entry sees the lease lapse in the same
-    # second and would append a take, of which one can win.
+    # Guards against exhausting the log's append budget, so that other writers
+    # are refused. When a holder fails, every entry sees the lease expire in
+    # the same second. Without delays, each would append a take, of which only
+    # one can be accepted.
     appended, waited_s = [], []
     for fencing in range(50):
         current = LeaseInForce("l", "dead", 1, fencing, 7, 15_000)
-        turns_s = sorted(
-            leasing.get_turn_s(
+        delays_s = sorted(
+            leasing.get_takeover_delay_s(
                 leasing.LeaseView("l", Hello(f"entry-{n}", 1), 15_000, current),
                 contenders,
                 1.0,
             )
             for n in range(contenders)
         )
-        waited_s.append(turns_s[0])
-        appended.append(sum(t <= turns_s[0] + 1.0 for t in turns_s))
+        waited_s.append(delays_s[0])
+        appended.append(sum(t <= delays_s[0] + 1.0 for t in delays_s))
     assert sum(appended) / len(appended) < 4
     assert sum(waited_s) / len(waited_s) < 2
     assert max(waited_s) < 15
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' signatures and roles, as the fold checks them."""
+"""Tests of the checks of operators' signatures and teams in the fold."""
 
 from __future__ import annotations
 
@@ -78,8 +78,8 @@
 def test_document_of_another_team_cannot_be_taken_over():
     state = make_state()
     assert apply(state, make_change("a", 0, "vault")) is Outcome.ACCEPTED
-    stolen = make_change("b", 1, "toys", "ben", BEN)
-    assert apply(state, stolen) is Outcome.FORBIDDEN
+    takeover = make_change("b", 1, "toys", "ben", BEN)
+    assert apply(state, takeover) is Outcome.FORBIDDEN
     assert state.services["s"].document.team == "vault"
 
 
--- a/tests/test_peerstate.py
+++ b/tests/test_peerstate.py
@@ -1,4 +1,4 @@
-"""State from peers while the log is down."""
+"""Tests of fetching the control state from peers while the log is down."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from lovagestage.control.reader import ControlReader
 from lovagestage.messages.envelope import StateAnswer, StateQuestion
 from tests.control_log import serve_log, wait_for
-from tests.test_snapshots import fill, make_state
+from tests.test_snapshots import append_changes, make_state
 
 
 class DirectHub:
-    """Answers at once what a real hub would answer over a connection."""
+    """Hub that calls the registered answerers without a connection."""
 
     def __init__(self):
         self.answerers = {}
@@ -34,7 +34,7 @@
 
 
 class DirectTable:
-    """Asks responders without a connection; None is one that is silent."""
+    """Link table that calls the hubs directly; a hub of None never answers."""
 
     def __init__(self, hubs):
         self.links = dict(enumerate(hubs))
@@ -73,25 +73,26 @@
 
 
 async def test_cold_process_starts_from_its_peers_and_never_goes_back():
-    # The log is down and a VM has been replaced. Its process asks: one peer
-    # is silent, one has started as well, one lags, one is ahead. It takes
-    # the latest state, and keeps it when later only the lagging one is left.
+    # The log is down and a VM has been replaced. Its process asks its peers:
+    # one does not answer, one has no state either, one is behind, one is
+    # ahead. The process installs the newest state, and does not replace it
+    # when only the peer that is behind is left.
     async with serve_log() as served:
         served.faults.outage = True
-        cold = await served.start_reader()
+        starting = await served.start_reader()
         lagging = make_peer(await make_control(served.log, 2))
         ahead = make_peer(await make_control(served.log, 5))
         empty = make_peer(ControlReader(served.log))
         hubs = [None, empty, lagging, ahead]
-        assert not cold.services
-        assert await PeerState(cold, [DirectTable(hubs)]).fetch()
-        assert cold.services["s"].revision == 5
-        assert not await PeerState(cold, [DirectTable([lagging])]).fetch()
-        assert cold.services["s"].revision == 5
+        assert not starting.services
+        assert await PeerState(starting, [DirectTable(hubs)]).fetch()
+        assert starting.services["s"].revision == 5
+        assert not await PeerState(starting, [DirectTable([lagging])]).fetch()
+        assert starting.services["s"].revision == 5
 
 
-class NarrowTable(DirectTable):
-    """Brings whole states one after the other, each in the same time."""
+class SlowLinkTable(DirectTable):
+    """Link table whose link transfers one state at a time, in constant time."""
 
     TRANSFER_S = 0.35
 
@@ -113,53 +114,53 @@
 
 
 async def test_state_that_takes_long_is_fetched(monkeypatch):
-    # Guards against a process that asks for a large state, gives it up and
-    # asks anew, for as long as the log is down.
-    monkeypatch.setattr(peerstate, "ASK_TIMEOUT_S", 0.1)
+    # Guards against a process that requests a large state, times out and
+    # requests it again for as long as the log is down.
+    monkeypatch.setattr(peerstate, "QUERY_TIMEOUT_S", 0.1)
     async with serve_log() as served:
         served.faults.outage = True
-        cold = await served.start_reader()
+        starting = await served.start_reader()
         peers = [make_peer(await make_control(served.log, 5)) for _ in "abc"]
-        table = NarrowTable(peers)
-        state = PeerState(cold, [table])
+        table = SlowLinkTable(peers)
+        state = PeerState(starting, [table])
         async with asyncio.timeout(5.0):
             while not await state.fetch():
                 await asyncio.sleep(0.01)
-        assert cold.services["s"].revision == 5
+        assert starting.services["s"].revision == 5
 
 
 async def test_one_peer_sends_its_state_where_several_have_it():
-    # Guards against five copies of a state that share one narrow link.
+    # Guards against several copies of a state sharing one slow link.
     async with serve_log() as served:
         served.faults.outage = True
-        cold = await served.start_reader()
+        starting = await served.start_reader()
         peers = [make_peer(await make_control(served.log, 5)) for _ in "abc"]
-        table = NarrowTable(peers)
-        assert await PeerState(cold, [table]).fetch()
+        table = SlowLinkTable(peers)
+        assert await PeerState(starting, [table]).fetch()
         assert table.transfers == 1
 
 
 async def test_installed_state_goes_on_from_the_log_when_it_returns():
     async with serve_log() as served:
-        await fill(served, 6)
+        await append_changes(served, 6)
         reference = await served.start_reader()
         await wait_for(lambda: reference.is_usable)
         served.faults.outage = True
-        cold = await served.start_reader()
+        starting = await served.start_reader()
         table = DirectTable([make_peer(reference)])
-        assert await PeerState(cold, [table]).fetch()
+        assert await PeerState(starting, [table]).fetch()
         served.faults.outage = False
-        await fill(served, 1, start=6)
-        await wait_for(lambda: cold.folded.next_offset == 7)
+        await append_changes(served, 1, start=6)
+        await wait_for(lambda: starting.folded.next_offset == 7)
         await wait_for(lambda: reference.folded.next_offset == 7)
-        assert cold.folded.get_hash() == reference.folded.get_hash()
+        assert starting.folded.get_hash() == reference.folded.get_hash()
 
 
 async def test_log_with_fewer_records_than_were_read_reverts_nothing(caplog):
-    # The log comes back without its last records, and would hand out their
-    # offsets again. What is in force stays, and the operator is told.
+    # The log restarts without its last records and would assign their offsets
+    # again. The documents in force stay, and an error is logged.
     async with serve_log() as served:
-        await fill(served, 2)
+        await append_changes(served, 2)
         control = await make_control(served.log, 5)
         await served.start(control)
         await wait_for(lambda: "log_behind_state" in caplog.messages)
@@ -196,8 +197,9 @@
 
 
 def test_fleet_starts_new_processes_while_the_log_is_down():
-    # Every sidecar and an entry are replaced during an outage of the log.
-    # They start from the entries that are left, and requests go on.
+    # All sidecars are replaced and an entry is added during an outage of the
+    # log. They fetch the state from the remaining entries, and requests are
+    # served.
     with Fleet(SHAPES["thin"]) as fleet:
         call("POST", f"{fleet.children['log'].url}/_faults", b'{"outage":true}')
         for index in range(fleet.shape.engines):
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -1,4 +1,4 @@
-"""Roll-outs through real processes: interrupted, aborted, resumed."""
+"""Tests of roll-outs in real processes: interrupted, aborted and resumed."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 def rollout_fleet():
     fleet = Fleet(SHAPE, ("--load-ms", "400"))
     fleet.entry_options["lease_ttl_s"] = 2.0
-    # No requests are sent here, so no ratings would ever come: without a
-    # rater time alone moves a roll-out on.
+    # These tests send no requests, so there would be no ratings. Without a
+    # rater, a roll-out advances by time alone.
     fleet.has_rater = False
     with fleet:
         yield fleet
@@ -70,7 +70,7 @@
 
 
 def read_moves(fleet) -> list[tuple[str, int]]:
-    """Phase and step of each recorded move, in the log's order."""
+    """Reads the phase and step of each recorded move, in the log's order."""
     url = f"{fleet.children['log'].url}/v1/streams/control/records"
     page = json.loads(call("GET", f"{url}?from=0&limit=1000"))
     records = [
@@ -94,16 +94,15 @@
 
     async def read() -> str:
         async with open_client(parse_file(path, OperatorSettings)) as client:
-            return client.control.folded.leases.held["rollout"].holder
+            return client.control.folded.leases.by_id["rollout"].holder
 
     return asyncio.run(read())
 
 
 def test_rollout_outlives_the_kill_of_its_driver(rollout_fleet, capsys):
-    # An operator starts a roll-out. The entry that drives it is killed while
-    # engines load. Another entry takes the lease, reads how far it was from
-    # the log and goes on: each engine has loaded the version once, and the
-    # roll-out ends.
+    # The entry that drives a roll-out is killed while engines load. Another
+    # entry takes the lease, reads the progress from the log and continues.
+    # Each engine loads the version exactly once, and the roll-out completes.
     fleet = rollout_fleet
     publish(fleet, 1)
     wait_for_phase(fleet, capsys, "loading", "stepping")
@@ -113,9 +112,10 @@
 
 
 def test_rollout_waits_out_a_log_outage(rollout_fleet, capsys):
-    # The log goes away in the middle, for longer than a step takes. Nothing
-    # is recorded meanwhile, since the lease can't be renewed; once it is back
-    # the roll-out goes on from the recorded step and skips or repeats none.
+    # The log is unavailable during a roll-out, for longer than a step takes.
+    # No move is recorded meanwhile, since the lease can't be renewed. After
+    # the log recovers, the roll-out continues from the recorded step and
+    # neither skips nor repeats a step.
     fleet = rollout_fleet
     publish(fleet, 1, step_min_s=3.0)
     wait_for_phase(fleet, capsys, "stepping")
@@ -141,9 +141,9 @@
 
 
 def test_throttled_weight_store_delays_the_rollout_only(rollout_fleet, capsys):
-    # The weight store refuses while other users have its rate. Engines answer
-    # the order with a refusal that started nothing; the driver comes back
-    # later, and no engine is left without the version.
+    # The weight store refuses loads while other users exhaust its rate limit.
+    # Engines reject the order without starting a load. The driver orders the
+    # load again later, and no engine stays without the version.
     fleet = rollout_fleet
     fleet.set_fault("weights", throttle=True)
     publish(fleet, 1)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs: the chart, the fold of their progress, and real processes."""
+"""Tests of the state chart of roll-outs and of the fold of their progress."""
 
 from __future__ import annotations
 
@@ -129,9 +129,10 @@
 
 
 def test_move_of_a_paused_holder_loses_for_every_reader():
-    # One entry holds the roll-out lease, decides the next step and is paused
-    # before it appends. Another takes the lease over and stops nothing yet.
-    # The first wakes up and appends: its number is old, so the share stays.
+    # The holder of the roll-out lease decides on the next step and is paused
+    # before it appends the move. Another entry takes the lease. The first
+    # entry resumes and appends the move under its old fencing number, which
+    # the fold rejects, so the share does not change.
     state = make_state()
     assert apply(state, make_move(0, "stepping")) is Outcome.ACCEPTED
     late = make_move(1, "stepping", 2)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Session tokens and the decisions about them."""
+"""Tests of session tokens and of the decisions about sessions."""
 
 from __future__ import annotations
 
@@ -71,8 +71,8 @@
 
 
 def test_other_spelling_of_the_signature_is_refused():
-    # Base64 spells the same bytes in several ways. None but the one that was
-    # given out is a session's token.
+    # Base64 has several spellings of the same bytes. Only the spelling that
+    # the signer issued is accepted as the session's token.
     signer = sessions.SessionSigner(["key"])
     refused = 0
     for number in range(40):
@@ -95,8 +95,8 @@
     other = data.draw(st.characters(codec="utf-8"))
     forged = token[:place] + other + token[place + 1 :]
     hypothesis.assume(forged != token)
-    # The last character of base64 carries unused bits: a change of only
-    # these decodes to the same signature, and so to the same session.
+    # The last character of the base64 text has unused bits. A change of only
+    # these bits decodes to the same signature and so to the same session.
     hypothesis.assume(place != len(token) - 1)
     with pytest.raises(SessionInvalidError):
         signer.read_token(forged)
@@ -190,9 +190,9 @@
 def test_session_runs_on_its_version_or_visibly_not(
     states, on_withdraw, name, allowed
 ):
-    # Over every document: a request of a session either runs on the version
-    # of the session, which is then neither withdrawn nor forbidden, or is
-    # refused as not run, or moves where the document says so.
+    # For every document, a session's request either runs on the session's
+    # version, which is then neither withdrawn nor forbidden, or is refused
+    # as not run, or moves to another version if the document allows it.
     document = make_document(states, on_withdraw, allowed or ["none"])
     granted = bool({"large", "large@1"} & set(allowed))
     withdrawn = states[0] is VersionState.WITHDRAWN
--- a/tests/test_sidecar_check.py
+++ b/tests/test_sidecar_check.py
@@ -1,4 +1,4 @@
-"""The sidecar's last check of a version, against an entry that lags."""
+"""Tests of the sidecar's version check and of its view of the engine."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Recorder:
-    """Stands in for the run table and for the listener."""
+    """Replaces the run table and the listener, and records their calls."""
 
     gate = types.SimpleNamespace(incarnation=1)
 
@@ -55,8 +55,9 @@
     ],
 )
 def test_sidecar_decides_by_its_own_document(state, in_session, seen):
+    # Guards against running a withdrawn version for an entry that is behind.
     # The entry still has the document in which the version was active and
-    # dispatches to it; the sidecar has read the later one.
+    # dispatches to the version. The sidecar has read the later document.
     document = make_document((state, VersionState.ACTIVE, VersionState.ACTIVE))
     control = types.SimpleNamespace(
         services={"vault": ServiceInForce(2, document, b"", 0, {})}
@@ -79,7 +80,7 @@
 
 
 class FlakyEngine:
-    """An engine whose state can be read or not."""
+    """Engine whose load can't be read while `fails` is set."""
 
     def __init__(self):
         self.fails = False
@@ -94,14 +95,17 @@
 
 
 async def test_one_failed_reading_does_not_hide_an_engine(monkeypatch):
-    # A connection to the engine closes just as its state is read; requests go
-    # on to be served. Were the versions forgotten at once, entries would
-    # answer 503 until the next reading, where the other upstream is leaving.
+    # The connection to the engine closes while its load is read, although
+    # the engine still serves requests. If the sidecar dropped the versions
+    # immediately, entries would answer 503 until the next successful read
+    # when the other upstream is leaving.
     monkeypatch.setattr("lovagestage.execution.sidecar.ENGINE_LOST_S", 0.2)
     engine, hub = FlakyEngine(), Hub()
     hub.set_listener(Recorder())
-    role = SidecarSettings("http://unused", max_running=1)
-    sidecar = Sidecar(None, role, None, engine, Recorder(), None, hub)
+    sidecar_settings = SidecarSettings("http://unused", max_running=1)
+    sidecar = Sidecar(
+        None, sidecar_settings, None, engine, Recorder(), None, hub
+    )
     sidecar._send_heartbeats = lambda: None
     await sidecar._refresh_load()
     engine.fails = True
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: the shelf alone, and readers below the horizon."""
+"""Tests of the snapshot collector and of readers whose records have expired."""
 
 from __future__ import annotations
 
@@ -25,7 +25,11 @@
     decode_record,
     encode_record,
 )
-from lovagestage.state.snapshots import SnapshotShelf, decode_chunk, make_chunks
+from lovagestage.state.snapshots import (
+    SnapshotCollector,
+    decode_chunk,
+    make_chunks,
+)
 from tests.control_log import serve_log, wait_for
 from tests.test_fold import fold, make_change
 
@@ -34,11 +38,11 @@
     return fold(*(make_change(f"c{n}", n) for n in range(records)))
 
 
-def shelve(chunks) -> SnapshotShelf:
-    shelf = SnapshotShelf()
+def collect(chunks) -> SnapshotCollector:
+    collector = SnapshotCollector()
     for chunk in chunks:
-        shelf.add(chunk)
-    return shelf
+        collector.add(chunk)
+    return collector
 
 
 def corrupt(chunk: bytes) -> bytes:
@@ -48,8 +52,9 @@
 def test_every_order_of_two_writers_chunks_gives_whole_snapshots_only():
     """Bounds: 2 writers, 3 chunks each, all 720 orders and their 5,040 cuts.
 
-    At every cut the shelf keeps exactly the snapshots whose chunks are all
-    there, whatever has come between them.
+    After each chunk of every order, the collector retains exactly the
+    snapshots all of whose chunks it has received, whatever chunks were
+    received between them.
     """
     states = [make_state(1), make_state(2)]
     chunks = []
@@ -58,13 +63,17 @@
         chunks += [(number, c) for c in make_chunks(state, number, size)]
     assert len(chunks) == 6
     for order in itertools.permutations(chunks):
-        shelf = SnapshotShelf()
-        seen = [0, 0]
+        collector = SnapshotCollector()
+        received_counts = [0, 0]
         for number, chunk in order:
-            shelf.add(chunk)
-            seen[number] += 1
-            whole = [n + 1 for n in (1, 0) if seen[n] == 3]
-            assert [kept.cursor for kept in shelf.kept] == whole
+            collector.add(chunk)
+            received_counts[number] += 1
+            complete_cursors = [
+                n + 1 for n in (1, 0) if received_counts[n] == 3
+            ]
+            assert [
+                snapshot.cursor for snapshot in collector.snapshots
+            ] == complete_cursors
 
 
 @pytest.mark.parametrize(
@@ -80,40 +89,41 @@
 def test_damaged_snapshot_leaves_the_one_before(damage, refused):
     older = make_chunks(make_state(1), 0)
     newer = make_chunks(make_state(2), 1, 100)
-    shelf = shelve([*older, *damage(newer)])
-    assert [kept.cursor for kept in shelf.kept] == [1]
-    assert shelf.refused == refused
+    collector = collect([*older, *damage(newer)])
+    assert [snapshot.cursor for snapshot in collector.snapshots] == [1]
+    assert collector.refused == refused
 
 
 @pytest.mark.parametrize("forged_key", ["", "another"])
 def test_forged_snapshot_is_refused(forged_key):
-    # Someone who can append to the log, but has no key of the system, writes
-    # a whole snapshot of a later state with a root key of their own. Readers
-    # keep the one that the system signed.
-    shelf = SnapshotShelf(["new-key", "old-key"])
+    # Someone who can append to the log, but has no log key of the system,
+    # writes a complete snapshot of a later state, which could contain a root
+    # key of their own. Readers reject it and retain the snapshot that the
+    # system signed.
+    collector = SnapshotCollector(["new-key", "old-key"])
     for chunk in make_chunks(make_state(1), 0, key="old-key"):
-        shelf.add(chunk)
+        collector.add(chunk)
     forged = fold(*(make_change(f"c{n}", n) for n in range(9)))
     for chunk in make_chunks(forged, 1, key=forged_key):
-        shelf.add(chunk)
-    assert [kept.cursor for kept in shelf.kept] == [1]
-    assert shelf.refused == 1
+        collector.add(chunk)
+    assert [snapshot.cursor for snapshot in collector.snapshots] == [1]
+    assert collector.refused == 1
 
 
 def test_late_snapshot_does_not_replace_newer_ones():
     chunks = [make_chunks(make_state(n), 0)[0] for n in (2, 3, 1)]
-    assert [kept.cursor for kept in shelve(chunks).kept] == [3, 2]
+    assert [snapshot.cursor for snapshot in collect(chunks).snapshots] == [3, 2]
 
 
 def test_snapshot_that_covers_too_little_is_not_offered():
-    shelf = shelve(make_chunks(make_state(2), 0))
-    assert shelf.get_covering(3) == []
-    assert shelf.get_covering(2)[0].restore().next_offset == 2
+    collector = collect(make_chunks(make_state(2), 0))
+    assert collector.get_covering(3) == []
+    assert collector.get_covering(2)[0].restore().next_offset == 2
 
 
 def test_unfinished_snapshots_are_bounded():
-    firsts = [make_chunks(make_state(n), 0, 100)[0] for n in range(1, 12)]
-    assert len(shelve(firsts)._partial) == 4
+    first_chunks = [make_chunks(make_state(n), 0, 100)[0] for n in range(1, 12)]
+    assert len(collect(first_chunks)._partial) == 4
 
 
 MUTABLE = [
@@ -144,21 +154,22 @@
         except CodecError as error:
             assert error.message
     fold(data)
-    shelve([data])
+    collect([data])
 
 
-async def fill(served, count: int, start: int = 0):
+async def append_changes(served, count: int, start: int = 0):
     for number in range(start, start + count):
         data = encode_record(make_change(f"c{number}", number, f"t{number}"))
         await served.log.append("control", data)
 
 
 async def test_reader_below_the_horizon_fails_closed_without_a_snapshot():
-    # Everything that a new process would read has expired. It must not take
-    # the records that are left for the whole history: revision 1 of a later
-    # change would be made from nothing. It serves no document at all.
+    # The first records have expired before a new process reads the log. The
+    # process must not fold the remaining records as if they were the complete
+    # history, because a later change would then count as revision 1. The
+    # process serves no document at all.
     async with serve_log(retain_records=4) as served:
-        await fill(served, 9)
+        await append_changes(served, 9)
         reader = await served.start_reader(snapshots=SnapshotStream(served.log))
         await wait_for(lambda: reader.follow_state is FollowState.BELOW_HORIZON)
         assert (reader.services, reader.folded.next_offset) == ({}, 0)
@@ -166,9 +177,10 @@
 
 @pytest.mark.parametrize("cursor", [4, 5, 7])
 async def test_reader_installs_a_snapshot_only_where_it_covers(cursor):
-    # The log has offsets 5 to 8. A snapshot at 4 leaves record 4 missing.
+    # The log still has offsets 5 to 8. After a snapshot with cursor 4, record
+    # 4 would be missing.
     async with serve_log(retain_records=4) as served:
-        await fill(served, 9)
+        await append_changes(served, 9)
         state = fold(*(make_change(f"c{n}", n, f"t{n}") for n in range(cursor)))
         for chunk in make_chunks(state, 0):
             await served.log.append(SNAPSHOT_STREAM, chunk)
@@ -184,9 +196,10 @@
 
 
 async def test_snapshots_outlive_the_horizon_and_their_writer():
-    # Two processes write snapshots in turn as the lease moves; one's are cut
-    # off halfway. A process that starts when all early records have expired
-    # folds to the same hash as one that has read them all.
+    # Two processes write snapshots in turn as the lease changes its holder,
+    # and one snapshot is incomplete. A process that starts after the early
+    # records have expired folds to the same hash as a process that has read
+    # all of them.
     policy = SnapshotPolicy(every_records=20, every_s=60.0)
     async with serve_log(retain_records=60) as served:
         readers, writers, keepers = [], [], []
@@ -204,26 +217,28 @@
             writer = SnapshotWriter(served.log, reader, keeper, policy)
             writers.append(await served.start(writer))
         await wait_for(lambda: any(keeper.is_held for keeper in keepers))
-        await fill(served, 40)
-        torn = make_chunks(readers[0].folded, 0, 500)[:-1]
-        for chunk in random.Random(1).sample(torn, len(torn)):
+        await append_changes(served, 40)
+        incomplete = make_chunks(readers[0].folded, 0, 500)[:-1]
+        for chunk in random.Random(1).sample(incomplete, len(incomplete)):
             await served.log.append(SNAPSHOT_STREAM, chunk)
         holder = 0 if keepers[0].is_held else 1
         for writer in writers:
             await writer._write_if_due()
         await keepers[holder].stop()
         await wait_for(lambda: keepers[1 - holder].is_held)
-        await fill(served, 40, start=40)
+        await append_changes(served, 40, start=40)
         await writers[1 - holder]._write_if_due()
-        await fill(served, 30, start=80)
-        late = await served.start_reader(snapshots=SnapshotStream(served.log))
-        await wait_for(lambda: late.is_usable)
+        await append_changes(served, 30, start=80)
+        late_reader = await served.start_reader(
+            snapshots=SnapshotStream(served.log)
+        )
+        await wait_for(lambda: late_reader.is_usable)
         await wait_for(
             lambda: (
-                late.folded.next_offset
+                late_reader.folded.next_offset
                 == readers[1 - holder].folded.next_offset
-                and late.folded.get_hash()
+                and late_reader.folded.get_hash()
                 == readers[1 - holder].folded.get_hash()
             )
         )
-        assert late.services["s"].revision == 110
+        assert late_reader.services["s"].revision == 110
--- a/tests/test_stale_orders.py
+++ b/tests/test_stale_orders.py
@@ -1,4 +1,4 @@
-"""Orders of a lease's earlier holder, beside engines that take any."""
+"""Test of orders from an earlier lease holder to engines that accept any."""
 
 from __future__ import annotations
 
@@ -30,9 +30,10 @@
 def test_order_of_an_earlier_holder_reaches_no_engine():
     # The sidecars are paused when the holder of the roll-out lease sends its
     # orders, and then the holder is paused too. Another entry takes the lease.
-    # The sidecars go on and find the earlier orders in their sockets before
-    # they have read of the new grant, and the engines would take any order.
-    # The earlier holder goes on last. Only the new holder's orders may count.
+    # The sidecars resume and find the earlier orders in their sockets before
+    # they have read the new grant, and the engines would accept any order. The
+    # earlier holder resumes last. Only the new holder's orders may reach the
+    # engines.
     fleet = Fleet(SHAPE, ("--load-ms", "400", "--fencing", "ignore"))
     fleet.entry_options["lease_ttl_s"] = 2.0
     with fleet:
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -1,4 +1,4 @@
-"""Appends whose result is learned through the fold."""
+"""Tests of appends whose result the writer reads back through the fold."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 async def test_lost_answer_is_read_back_and_applied_once():
-    # The operator's append takes effect and its answer is lost. The writer
-    # finds the record in the fold and reports it as accepted; nothing is
-    # appended twice in force, and the same change id gives the same result.
+    # The operator's append takes effect, but its answer is lost. The writer
+    # finds the record in the fold and reports it as accepted. The change is
+    # applied only once, and the same change id gives the same result.
     async with serve_log() as served:
         reader = await served.start_reader()
         writer = ControlWriter(served.log, reader)
@@ -66,8 +66,9 @@
 
 
 async def test_stalled_append_is_unknown_with_its_change_id(monkeypatch):
-    # The log takes the call and says nothing. The caller may not be told
-    # "not appended"; it gets the id, with which it asks again later.
+    # The log accepts the call and never answers. The error must not say "not
+    # appended". It contains the change id, with which the caller can append
+    # again later.
     monkeypatch.setattr(http_calls, "SHORT_CALL_TIMEOUT_S", 1.0)
     async with serve_log() as served:
         writer = ControlWriter(served.log, await served.start_reader())
