--- a/src/lovagestage/control/peerstate.py
+++ b/src/lovagestage/control/peerstate.py
@@ -1,9 +1,9 @@
-"""State from peers while the log is down, and comparison of state hashes.
+"""Control state from peers while the log is down, and hash comparison.
 
-A process that starts while the log is down asks its peers and installs the
-state with the highest offset. Connections are authenticated by CURVE keys;
-the checksum guards against a damaged answer, and a state is installed only
-where it is newer than the own one.
+A process that starts while the log is down asks its peers for their state and
+installs the valid state with the highest offset. Connections are authenticated
+by CURVE keys. The checksum guards against a damaged answer. A state is
+installed only if it is newer than the process's own state.
 """
 
 from __future__ import annotations
@@ -33,22 +33,29 @@
 
 _log = logging.getLogger(__name__)
 
-START_CHECK_S = 1.0
+FETCH_INTERVAL_S = 1.0
 COMPARE_INTERVAL_S = 10.0
-ASK_TIMEOUT_S = 2.0
-FETCH_LIMIT_S = 32.0
-"""A state that has not come within the first limit is waited for twice as long
-the next time, up to this: how long it takes depends on size and link, and
-each question begins its transfer anew. The largest that snapshots hold, 12 MB,
-takes 20 s at 5 Mbit/s."""
-MAX_ASKED = 5
+QUERY_TIMEOUT_S = 2.0
+MAX_FETCH_TIMEOUT_S = 32.0
+"""Longest timeout, in seconds, for the transfer of a peer's state.
+
+After a timeout, the next request waits twice as long, up to this limit. The
+duration of a transfer depends on the size of the state and on the link, and
+each request starts the transfer from the beginning. The largest state that
+snapshots hold, 12 MB, takes 20 s at 5 Mbit/s.
+"""
+MAX_QUERIED_PEERS = 5
+
 
+def decode_answer(answer: StateAnswer | StateOffer) -> ControlState:
+    """Decodes the state that a peer sent and verifies the peer's statements.
 
-def check_answer(answer: StateAnswer | StateOffer) -> ControlState:
-    """Makes the state that a peer sent.
+    Args:
+        answer: The peer's message with an encoded state.
 
     Raises:
-        CodecError: Its bytes or its offset are not what the peer says.
+        CodecError: The bytes do not decode, or the checksum or the offset
+            differs from the one that the peer states.
     """
     checksum = hashlib.sha256(answer.state).hexdigest()
     if checksum != answer.checksum:
@@ -66,20 +73,27 @@
 def choose_newest(
     answers: Sequence[StateAnswer | StateOffer],
 ) -> ControlState | None:
-    """The state with the highest offset among those that prove right."""
+    """Returns the valid state with the highest offset.
+
+    Args:
+        answers: Messages of peers; those without a state are skipped.
+
+    Returns:
+        None if no message holds a valid state.
+    """
     for answer in sorted(answers, key=lambda a: a.next_offset, reverse=True):
         if not answer.state:
             continue
         try:
-            return check_answer(answer)
+            return decode_answer(answer)
         except CodecError as error:
             _log.error("peer_state_refused", extra={"error": error.message})
     return None
 
 
 @dataclasses.dataclass(frozen=True)
-class _Offer:
-    """What a peer says of its state."""
+class _PeerAnswer:
+    """A peer's answer about its state, and the connection it came through."""
 
     table: LinkTable
     vm: VmId
@@ -87,23 +101,23 @@
 
 
 class StateResponder:
-    """Answers peers' questions and takes their offers.
+    """Answers peers' state requests and installs the states that they offer.
 
     Args:
-        control: The folded state.
-        hub: Brings the questions.
+        control: Reader that holds the folded control state.
+        hub: Message hub that delivers the requests.
     """
 
     def __init__(self, control: ControlReader, hub: Hub) -> None:
         self._control = control
-        hub.register_answer(StateQuestion, self._on_question)
-        hub.register_answer(StateOffer, self._on_offer)
+        hub.register_answer(StateQuestion, self._on_state_question)
+        hub.register_answer(StateOffer, self._on_state_offer)
 
-    async def _on_question(self, question: Message) -> Message:
+    async def _on_state_question(self, question: Message) -> Message:
         assert isinstance(question, StateQuestion)
         return self._make_answer(with_state=question.with_state)
 
-    async def _on_offer(self, offer: Message) -> Message:
+    async def _on_state_offer(self, offer: Message) -> Message:
         assert isinstance(offer, StateOffer)
         state = choose_newest([offer])
         if state is not None:
@@ -112,8 +126,9 @@
 
     def _make_answer(self, *, with_state: bool) -> StateAnswer:
         folded = self._control.folded
-        # A state that is still being read is old; handing it on would bring
-        # back, elsewhere, what has been withdrawn since.
+        # A state is out of date while the log is still being read. Sending
+        # such a state would bring withdrawn versions back into force at the
+        # process that installs it.
         if not self._control.is_usable:
             return StateAnswer(folded.next_offset, "", b"")
         state = folded.encode() if with_state else b""
@@ -121,16 +136,18 @@
 
 
 class PeerState(mode.Service):
-    """Gets state from peers at a cold start and compares hashes later.
+    """Fetches the state from peers at a cold start and compares hashes later.
 
     Attributes:
-        mismatches: Peers found with another hash at the same offset.
+        mismatches: Number of comparisons in which a peer had another hash at
+            the same offset.
 
     Args:
-        control: The folded state.
+        control: Reader that holds the folded control state.
         tables: Connections to peers.
-        upstreams: Sidecars, which hold no connection to ask through: they
-            are offered the state where their heartbeat shows none.
+        upstreams: Connections to the sidecars. A sidecar has no connection to
+            an entry and can't ask for the state, so this process offers the
+            state to sidecars whose heartbeat shows that they have none.
     """
 
     def __init__(
@@ -141,64 +158,74 @@
     ) -> None:
         super().__init__()
         self.mismatches = 0
-        self._fetch_timeout_s = ASK_TIMEOUT_S
+        self._fetch_timeout_s = QUERY_TIMEOUT_S
         self._control = control
         self._tables = tables
         self._upstreams = upstreams
 
     @mode.Service.task
-    async def _start_from_peers(self) -> None:
+    async def _exchange_states(self) -> None:
         while not self.should_stop:
-            await self.sleep(START_CHECK_S)
+            await self.sleep(FETCH_INTERVAL_S)
             if not self._control.is_usable:
                 await self.fetch()
             else:
-                await self._offer()
+                await self._offer_state()
 
     @mode.Service.task
-    async def _compare(self) -> None:
+    async def _compare_periodically(self) -> None:
         while not self.should_stop:
             await self.sleep(COMPARE_INTERVAL_S)
             if self._control.is_usable:
                 await self.compare()
 
     async def fetch(self) -> bool:
-        """Asks some peers and installs the newest state they have.
+        """Asks some peers for their offset and installs the newest state.
+
+        The peers first report their offsets, and then one peer at a time is
+        asked for its state. Concurrent transfers from all peers would share
+        the link, and each transfer would take correspondingly longer.
 
-        They tell first how far they are, and one sends its state: those of
-        all would share the link and each take that much longer.
+        Returns:
+            Whether a newer state was installed.
         """
-        offers = await self._ask_some(MAX_ASKED)
-        offers.sort(key=lambda offer: offer.answer.next_offset, reverse=True)
-        for offer in offers:
-            if offer.answer.checksum and await self._fetch_from(offer):
+        peer_answers = await self._query_peers(MAX_QUERIED_PEERS)
+        peer_answers.sort(
+            key=lambda peer_answer: peer_answer.answer.next_offset, reverse=True
+        )
+        for peer_answer in peer_answers:
+            if peer_answer.answer.checksum and await self._fetch_from(
+                peer_answer
+            ):
                 return True
         return False
 
-    async def _fetch_from(self, offer: _Offer) -> bool:
-        answer = await offer.table.ask(
-            offer.vm, StateQuestion(with_state=True), self._fetch_timeout_s
+    async def _fetch_from(self, peer_answer: _PeerAnswer) -> bool:
+        answer = await peer_answer.table.ask(
+            peer_answer.vm,
+            StateQuestion(with_state=True),
+            self._fetch_timeout_s,
         )
         if not isinstance(answer, StateAnswer):
-            longer_s = min(FETCH_LIMIT_S, 2 * self._fetch_timeout_s)
+            next_timeout_s = min(MAX_FETCH_TIMEOUT_S, 2 * self._fetch_timeout_s)
             _log.warning(
                 "peer_state_late",
                 extra={
-                    "peer": offer.vm,
+                    "peer": peer_answer.vm,
                     "timeout_s": self._fetch_timeout_s,
-                    "next_s": longer_s,
+                    "next_s": next_timeout_s,
                 },
             )
-            self._fetch_timeout_s = longer_s
+            self._fetch_timeout_s = next_timeout_s
             return False
-        self._fetch_timeout_s = ASK_TIMEOUT_S
+        self._fetch_timeout_s = QUERY_TIMEOUT_S
         state = choose_newest([answer])
         return state is not None and self._control.install(state, whole=True)
 
     async def compare(self) -> None:
-        """Compares hashes with a peer; a mismatch is logged as an error."""
-        for offer in await self._ask_some(1):
-            answer = offer.answer
+        """Compares the state hash with one peer's and logs a mismatch."""
+        for peer_answer in await self._query_peers(1):
+            answer = peer_answer.answer
             folded = self._control.folded
             same_offset = answer.next_offset == folded.next_offset
             if (
@@ -216,25 +243,29 @@
                     },
                 )
 
-    async def _ask_some(self, count: int) -> list[_Offer]:
-        """Asks some peers how far they are."""
+    async def _query_peers(self, count: int) -> list[_PeerAnswer]:
+        """Asks some randomly chosen peers for their offset and hash.
+
+        Args:
+            count: Largest number of peers to ask.
+        """
         peers = [(table, vm) for table in self._tables for vm in table.links]
         random.shuffle(peers)
         question = StateQuestion(with_state=False)
         answers = await asyncio.gather(
             *(
-                table.ask(vm, question, ASK_TIMEOUT_S)
+                table.ask(vm, question, QUERY_TIMEOUT_S)
                 for table, vm in peers[:count]
             )
         )
         return [
-            _Offer(table, vm, answer)
+            _PeerAnswer(table, vm, answer)
             for (table, vm), answer in zip(peers[:count], answers, strict=True)
             if isinstance(answer, StateAnswer)
         ]
 
-    async def _offer(self) -> None:
-        for vm in self._get_empty_sidecars():
+    async def _offer_state(self) -> None:
+        for vm in self._get_sidecars_without_state():
             folded = self._control.folded
             assert self._upstreams is not None
             await self._upstreams.ask(
@@ -242,15 +273,15 @@
                 StateOffer(
                     folded.next_offset, folded.get_hash(), folded.encode()
                 ),
-                ASK_TIMEOUT_S,
+                QUERY_TIMEOUT_S,
             )
 
-    def _get_empty_sidecars(self) -> list[VmId]:
+    def _get_sidecars_without_state(self) -> list[VmId]:
         if self._upstreams is None or not self._control.folded.next_offset:
             return []
-        empty = []
+        without_state = []
         for vm in self._upstreams.get_live():
             heartbeat = self._upstreams.get_heartbeat(vm)
             if heartbeat is not None and heartbeat.control_offset == 0:
-                empty.append(vm)
-        return empty[:MAX_ASKED]
+                without_state.append(vm)
+        return without_state[:MAX_QUERIED_PEERS]
--- a/src/lovagestage/control/writer.py
+++ b/src/lovagestage/control/writer.py
@@ -1,4 +1,4 @@
-"""Appends to the `control` stream and learns what became of it."""
+"""Appends records to the `control` stream and reads back their outcome."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
 _log = logging.getLogger(__name__)
 
 DEFAULT_TIMEOUT_S = 20.0
-READ_BACK_S = 2.0
-"""How long a record is looked for before it is appended again."""
+CONFIRM_TIMEOUT_S = 2.0
+"""Seconds to wait for a sent record in the fold before appending it again."""
 
 RETRY_S = 0.25
 
 
 class RecordWriter(Protocol):
-    """What parts that write to the log need."""
+    """Interface through which components append records to the log."""
 
     async def append(
         self, record: Record, timeout_s: float = DEFAULT_TIMEOUT_S
     ) -> ChangeResult:
-        """See `ControlWriter.append`."""
+        """Appends a record; see `ControlWriter.append`."""
 
 
 def make_change_id() -> ChangeId:
-    """A change id that no other writer chooses."""
+    """Makes a change id that no other writer chooses."""
     return ChangeId(uuid.uuid4().hex)
 
 
 class ControlWriter:
-    """Appends records; safe to call with the same change id again.
+    """Appends records; a retry with the same change id has no second effect.
 
     Args:
-        log: The platform's log.
-        control: The reader through whose fold results are learned.
+        log: Client of the platform's log.
+        control: Reader whose folded state shows the outcome of each change.
     """
 
     def __init__(self, log: Log, control: ControlReader) -> None:
@@ -57,41 +57,48 @@
     async def append(
         self, record: Record, timeout_s: float = DEFAULT_TIMEOUT_S
     ) -> ChangeResult:
-        """Appends a record until its result is known.
+        """Appends a record, and retries until its result is known.
 
         Args:
-            record: Its `change_id` names the change.
-            timeout_s: Longest time that is spent.
+            record: The record; its `change_id` identifies the change.
+            timeout_s: Longest duration of the call, in seconds.
+
+        Returns:
+            The result of the change as the fold decided it.
 
         Raises:
-            CodecError: The record is too large; it was not appended.
-            LogUnavailableError: It was certainly not appended by this call.
-            ChangeUnknownError: It may have been appended.
+            CodecError: The record is too large and was not appended.
+            LogUnavailableError: This call certainly did not append the
+                record.
+            ChangeUnknownError: The record may have been appended.
         """
         data = encode_record(record)
-        end_s = time.monotonic() + timeout_s
-        sent = False
+        deadline_s = time.monotonic() + timeout_s
+        may_be_appended = False
         while True:
             result = self._control.folded.get_result(record.change_id)
             if result is not None:
                 return result
-            left_s = end_s - time.monotonic()
-            if left_s <= 0:
-                raise _make_error(record.change_id, sent, timeout_s)
+            remaining_s = deadline_s - time.monotonic()
+            if remaining_s <= 0:
+                raise _make_timeout_error(
+                    record.change_id, may_be_appended, timeout_s
+                )
             try:
-                # The fold drops a record whose change id it has seen, so
-                # appending again after a lost answer changes nothing twice.
-                await self._append_once(data, left_s)
+                # The fold drops a record whose change id it has already seen,
+                # so an append that is retried after a lost answer has no
+                # second effect.
+                await self._append_once(data, remaining_s)
             except LogUnavailableError:
-                await asyncio.sleep(min(RETRY_S, left_s))
+                await asyncio.sleep(min(RETRY_S, remaining_s))
                 continue
             except LogAnswerLostError:
                 _log.warning(
                     "append_answer_lost",
                     extra={"change_id": record.change_id},
                 )
-            sent = True
-            await self._wait_folded(record.change_id, end_s)
+            may_be_appended = True
+            await self._wait_until_folded(record.change_id, deadline_s)
 
     async def _append_once(self, data: bytes, timeout_s: float) -> None:
         try:
@@ -103,21 +110,23 @@
                 f"The log did not answer an append in {timeout_s:.1f} s."
             ) from error
 
-    async def _wait_folded(self, change_id: ChangeId, end_s: float) -> None:
-        stop_s = min(end_s, time.monotonic() + READ_BACK_S)
+    async def _wait_until_folded(
+        self, change_id: ChangeId, deadline_s: float
+    ) -> None:
+        wait_until_s = min(deadline_s, time.monotonic() + CONFIRM_TIMEOUT_S)
         while self._control.folded.get_result(change_id) is None:
-            left_s = stop_s - time.monotonic()
-            if left_s <= 0:
+            remaining_s = wait_until_s - time.monotonic()
+            if remaining_s <= 0:
                 return
-            await self._control.wait_changed(left_s)
+            await self._control.wait_changed(remaining_s)
 
 
-def _make_error(
-    change_id: ChangeId, sent: bool, timeout_s: float
+def _make_timeout_error(
+    change_id: ChangeId, may_be_appended: bool, timeout_s: float
 ) -> LogUnavailableError | ChangeUnknownError:
-    if sent:
+    if may_be_appended:
         return ChangeUnknownError(change_id, timeout_s)
     return LogUnavailableError(
-        f"The log took no append for {timeout_s:.1f} s; change"
+        f"The log accepted no append for {timeout_s:.1f} s; change"
         f" {change_id!r} was not appended."
     )
--- a/src/lovagestage/state/documents.py
+++ b/src/lovagestage/state/documents.py
@@ -18,19 +18,22 @@
 from lovagestage.types import Offset, ServiceId
 
 MAX_OUTCOMES = 4096
-"""Change outcomes remembered; at 1,600 changes a day, two and a half days."""
+"""Number of change outcomes that are remembered.
+
+At 1,600 changes a day, the outcomes cover two and a half days.
+"""
 
 
 @dataclasses.dataclass(frozen=True)
 class ServiceInForce:
-    """A service's document with its revision.
+    """A service's document in force, with its revision.
 
     Attributes:
-        revision: Counts the accepted changes of the service.
-        document: The document, decoded.
-        source: The bytes that the operator appended.
-        offset: Offset of the record that brought it in force.
-        rollout_revisions: Revision that last changed each model's roll-out.
+        revision: Number of accepted changes of the service's document.
+        document: The decoded document.
+        source: The document's bytes as the operator appended them.
+        offset: Log offset of the record that put the document in force.
+        rollout_revisions: Revision that last changed the roll-out, by model.
     """
 
     revision: int
@@ -40,7 +43,7 @@
     rollout_revisions: dict[str, int]
 
 
-class _ServiceForm(msgspec.Struct, frozen=True, array_like=True):
+class _EncodedService(msgspec.Struct, frozen=True, array_like=True):
     service: ServiceId
     revision: int
     source: bytes
@@ -48,21 +51,24 @@
     rollout_revisions: dict[str, int]
 
 
-class _Form(msgspec.Struct, frozen=True, array_like=True):
-    services: list[_ServiceForm]
+class _EncodedState(msgspec.Struct, frozen=True, array_like=True):
+    services: list[_EncodedService]
     outcomes: list[OutcomeEntry]
 
 
 class Documents:
-    """Documents in force by service, with the results of changes.
+    """Documents in force by service, with the results of recent changes.
+
+    Args:
+        operators: Operators in force, who decide which changes are permitted.
 
     Attributes:
-        services: Documents in force.
+        services: Documents in force, by service.
         outcomes: Results of the latest changes.
     """
 
     name = "documents"
-    kinds: tuple[type[msgspec.Struct], ...] = (DocumentChange,)
+    record_types: tuple[type[msgspec.Struct], ...] = (DocumentChange,)
 
     def __init__(self, operators: Operators) -> None:
         self._operators = operators
@@ -70,14 +76,14 @@
         self.outcomes = OutcomeTable(MAX_OUTCOMES)
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
-        """Applies a change where it may, and its base is in force."""
+        """Applies a change if its author may edit and its base is in force."""
         assert isinstance(record, DocumentChange)
         if record.change_id in self.outcomes:
             return
         current = self.services.get(record.service)
         revision = current.revision if current else 0
         outcome = Outcome.ACCEPTED
-        document = _decode(record.document)
+        document = _decode_document(record.document)
         if document is None or document.service != record.service:
             outcome = Outcome.INVALID
         elif not self._may_edit(record, current, document):
@@ -104,61 +110,64 @@
         current: ServiceInForce | None,
         document: ServiceDocument,
     ) -> bool:
-        # Both teams must agree to a hand-over: an operator who named its own
-        # team as the owner of another's document would otherwise take it.
+        # The author needs the right to edit for both teams if a change names
+        # another team as the owner. Otherwise an operator could take over
+        # another team's document by naming their own team as its owner.
         teams = {document.team}
         if current is not None:
             teams.add(current.document.team)
         return all(self._operators.may_edit(record, team) for team in teams)
 
     def encode(self) -> bytes:
-        """Canonical encoding: equal states give equal bytes."""
+        """Returns the canonical encoding: equal states give equal bytes."""
         services = [
-            _ServiceForm(
+            _EncodedService(
                 name,
-                held.revision,
-                held.source,
-                held.offset,
-                dict(sorted(held.rollout_revisions.items())),
+                service.revision,
+                service.source,
+                service.offset,
+                dict(sorted(service.rollout_revisions.items())),
             )
-            for name, held in sorted(self.services.items())
+            for name, service in sorted(self.services.items())
         ]
         return msgspec.msgpack.encode(
-            _Form(services, self.outcomes.get_entries())
+            _EncodedState(services, self.outcomes.get_entries())
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by an encoded one.
+        """Replaces this state by an encoded one.
 
         Raises:
-            msgspec.MsgspecError: The bytes are no encoded state.
+            msgspec.MsgspecError: The bytes are not an encoded state.
         """
-        form = msgspec.msgpack.decode(data, type=_Form)
+        encoded = msgspec.msgpack.decode(data, type=_EncodedState)
         self.services = {
-            held.service: ServiceInForce(
-                held.revision,
-                msgspec.json.decode(held.source, type=ServiceDocument),
-                held.source,
-                held.offset,
-                held.rollout_revisions,
+            entry.service: ServiceInForce(
+                entry.revision,
+                msgspec.json.decode(entry.source, type=ServiceDocument),
+                entry.source,
+                entry.offset,
+                entry.rollout_revisions,
             )
-            for held in form.services
+            for entry in encoded.services
         }
-        self.outcomes.restore(form.outcomes)
+        self.outcomes.restore(encoded.outcomes)
 
 
 def _get_rollout_revisions(
     current: ServiceInForce | None, document: ServiceDocument, revision: int
 ) -> dict[str, int]:
-    kept = {
+    unchanged = {
         model: current.rollout_revisions[model]
         for model, spec in document.rollouts.items()
         if current is not None and current.document.rollouts.get(model) == spec
     }
-    return {model: kept.get(model, revision) for model in document.rollouts}
+    return {
+        model: unchanged.get(model, revision) for model in document.rollouts
+    }
 
 
-def _decode(source: bytes) -> ServiceDocument | None:
+def _decode_document(source: bytes) -> ServiceDocument | None:
     try:
         return msgspec.json.decode(source, type=ServiceDocument)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/src/lovagestage/state/rollouts.py
+++ b/src/lovagestage/state/rollouts.py
@@ -1,10 +1,10 @@
 """Progress of roll-outs, folded from the log.
 
-A roll-out is named by service, model and the revision of the document that
-last changed it, so an operator's edit always starts one afresh. Only the
-holder of the roll-out lease moves it on. Stopping it needs no lease: any
-process may say so, it can't be taken back, and it lasts until the operator
-edits the roll-out.
+A roll-out is identified by service, model and the revision of the document that
+last changed the roll-out, so an operator's edit always starts a new roll-out.
+Only the holder of the roll-out lease moves a roll-out forward. A stop needs no
+lease: any process may append it. A stop can't be reverted and lasts until the
+operator edits the roll-out.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
 
 
 class RolloutKey(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Names one roll-out.
+    """Identifies a roll-out.
 
     Attributes:
-        service: The service.
-        model: The model.
+        service: Name of the service.
+        model: Name of the model.
         revision: Revision of the document that last changed the roll-out.
     """
 
@@ -53,14 +53,16 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True):
-    """How far a roll-out is.
+    """Progress of a roll-out.
 
     Attributes:
-        key: The roll-out.
-        count: Number of moves; the next move names it as its base.
-        phase: Its phase.
+        key: Identifies the roll-out.
+        count: Number of moves and stops; the next move names this number as
+            its base.
+        phase: Phase of the roll-out.
         step: Index into the document's steps.
-        stop_reason: Why it was stopped; empty where it was not.
+        stop_reason: Reason for which the roll-out was stopped; empty if it
+            was not stopped.
     """
 
     key: RolloutKey
@@ -71,29 +73,29 @@
 
     @property
     def position(self) -> Position:
-        """Phase and step."""
+        """Phase and step of the roll-out."""
         return Position(self.phase, self.step)
 
 
-class _Form(msgspec.Struct, frozen=True, array_like=True):
+class _EncodedState(msgspec.Struct, frozen=True, array_like=True):
     progress: list[Progress]
     outcomes: list[OutcomeEntry]
 
 
 @dataclasses.dataclass(frozen=True)
 class Rollout:
-    """A roll-out in force: what the operator wants and how far it is.
+    """A roll-out in force: the operator's specification and the progress.
 
     Attributes:
-        spec: The document's part.
-        progress: How far it is.
+        spec: Specification of the roll-out in the document in force.
+        progress: Progress of the roll-out.
     """
 
     spec: RolloutSpec
     progress: Progress
 
     def get_share(self) -> float:
-        """Share of the model's new requests that the new version gets."""
+        """Returns the new version's share, from 0 to 1, of new requests."""
         progress = self.progress
         if progress.stop_reason or self.spec.state is RolloutState.ABORTED:
             return 0.0
@@ -108,15 +110,18 @@
     """Progress of the roll-outs of all services.
 
     Args:
-        documents: Documents in force; folded before this part.
-        leases: Leases; folded before this part.
+        documents: Documents in force, of the same control state.
+        leases: Leases, of the same control state.
 
     Attributes:
-        outcomes: Results of the latest records.
+        outcomes: Results of the latest roll-out records.
     """
 
     name = "rollouts"
-    kinds: tuple[type[msgspec.Struct], ...] = (RolloutProgress, RolloutStop)
+    record_types: tuple[type[msgspec.Struct], ...] = (
+        RolloutProgress,
+        RolloutStop,
+    )
 
     def __init__(self, documents: Documents, leases: Leases) -> None:
         self.outcomes = OutcomeTable(MAX_OUTCOMES)
@@ -125,25 +130,25 @@
         self._progress: dict[RolloutKey, Progress] = {}
 
     def get(self, service: ServiceId, model: str) -> Rollout | None:
-        """The roll-out in force of a model."""
-        held = self._documents.services.get(service)
-        spec = held.document.rollouts.get(model) if held else None
-        if held is None or spec is None:
+        """Returns the roll-out in force of a model; None if it has none."""
+        in_force = self._documents.services.get(service)
+        spec = in_force.document.rollouts.get(model) if in_force else None
+        if in_force is None or spec is None:
             return None
-        key = RolloutKey(service, model, held.rollout_revisions[model])
+        key = RolloutKey(service, model, in_force.rollout_revisions[model])
         return Rollout(spec, self._progress.get(key, Progress(key)))
 
     def get_all(self) -> list[Rollout]:
-        """All roll-outs in force."""
+        """Returns all roll-outs in force."""
         found = [
             self.get(service, model)
-            for service, held in self._documents.services.items()
-            for model in held.document.rollouts
+            for service, in_force in self._documents.services.items()
+            for model in in_force.document.rollouts
         ]
         return [rollout for rollout in found if rollout is not None]
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
-        """Applies a move or a stop where the roll-out is still in force."""
+        """Applies a move or a stop if its roll-out is still in force."""
         assert isinstance(record, RolloutProgress | RolloutStop)
         if record.change_id in self.outcomes:
             return
@@ -154,33 +159,35 @@
             rollout is not None
             and rollout.progress.key.revision == record.revision
         ):
-            changed = self._change(rollout.progress, record)
+            changed = self._apply_to_progress(rollout.progress, record)
             if changed is not None:
                 outcome = Outcome.ACCEPTED
-                self._keep(changed)
+                self._store_progress(changed)
             count = (changed or rollout.progress).count
         self.outcomes.add(
             record.change_id, ChangeResult(outcome, count, offset)
         )
 
     def encode(self) -> bytes:
-        """Canonical encoding: equal states give equal bytes."""
+        """Returns the canonical encoding: equal states give equal bytes."""
         progress = sorted(self._progress.values(), key=lambda p: p.key)
         return msgspec.msgpack.encode(
-            _Form(progress, self.outcomes.get_entries())
+            _EncodedState(progress, self.outcomes.get_entries())
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by an encoded one.
+        """Replaces this state by an encoded one.
 
         Raises:
-            msgspec.MsgspecError: The bytes are no encoded state.
+            msgspec.MsgspecError: The bytes are not an encoded state.
         """
-        form = msgspec.msgpack.decode(data, type=_Form)
-        self._progress = {progress.key: progress for progress in form.progress}
-        self.outcomes.restore(form.outcomes)
+        encoded = msgspec.msgpack.decode(data, type=_EncodedState)
+        self._progress = {
+            progress.key: progress for progress in encoded.progress
+        }
+        self.outcomes.restore(encoded.outcomes)
 
-    def _change(
+    def _apply_to_progress(
         self, progress: Progress, record: RolloutProgress | RolloutStop
     ) -> Progress | None:
         if isinstance(record, RolloutStop):
@@ -189,9 +196,10 @@
             return msgspec.structs.replace(
                 progress, stop_reason=record.reason, count=progress.count + 1
             )
-        # The lease's number is compared in the fold and not only at the
-        # writer: a holder that was paused past its lease may append what it
-        # decided before, and that must lose for every reader.
+        # The fencing number is compared in the fold and not only by the
+        # writer. A holder that was paused until its lease expired may append
+        # a move that it decided on before, and every reader must reject that
+        # move.
         if record.fencing != self._leases.get_fencing(ROLLOUT_LEASE):
             return None
         if record.base != progress.count:
@@ -203,7 +211,7 @@
             count=progress.count + 1,
         )
 
-    def _keep(self, progress: Progress) -> None:
+    def _store_progress(self, progress: Progress) -> None:
         key = progress.key
         for other in list(self._progress):
             if (other.service, other.model) == (key.service, key.model):
