--- a/src/lovagestage/adapters/__init__.py
+++ b/src/lovagestage/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Everything outside, behind protocols."""
+"""Adapters to services outside the system, behind protocols."""
--- a/src/lovagestage/adapters/http1.py
+++ b/src/lovagestage/adapters/http1.py
@@ -1,8 +1,9 @@
 """HTTP/1.1 over asyncio, with h11 as the parser.
 
-A router must know more of a connection than a general client tells: whether
-any byte of a request was sent, whether bytes follow a whole answer, and
-whether an answer without a length ended with a close or with a reset.
+A router must know more about a connection than a general HTTP client reports:
+whether any byte of a request was sent, whether bytes follow a complete
+response, and whether a response without a length ended with a close or with a
+reset.
 """
 
 from __future__ import annotations
@@ -19,19 +20,23 @@
 Headers = list[tuple[bytes, bytes]]
 
 READ_LIMIT_BYTES = 256 * 1024
-"""Reading stops while this much waits in memory; bounds what a fast sender
-can make a process hold for one connection."""
+"""Unread bytes of a connection above which the process stops reading from its
+socket. Without this limit a fast sender could fill the process's memory."""
 MAX_HEAD_BYTES = 64 * 1024
-"""Longest head of an answer; the largest that common servers allow."""
+"""Maximum size of a response head; the largest that common servers allow."""
 USER_TIMEOUT_MS = 1_000
-"""Unacknowledged bytes may stay out this long. A dark VM or a cut link sends
-no reset: without it a request to one would hang until its deadline. Five
-times the smallest retransmission time-out, so a few lost packets pass."""
+"""Longest time that sent bytes may stay unacknowledged (TCP user timeout). An
+unreachable VM or a cut link sends no reset, so without this timeout a request
+would hang until its deadline. The value is five times the smallest
+retransmission timeout, so a few lost packets are tolerated."""
 KEEPALIVE_IDLE_S = 2
+"""Inactivity after which the kernel sends the first TCP keep-alive probe."""
 KEEPALIVE_INTERVAL_S = 1
+"""Time between TCP keep-alive probes."""
 KEEPALIVE_PROBES = 2
-"""Probes find a silent peer 4 s after its last packet where nothing is sent
-and only an answer is awaited."""
+"""Number of unanswered TCP keep-alive probes that end the connection. The
+probes detect an unreachable peer 4 s after its last packet while nothing is
+sent and the process only waits for a response."""
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -48,10 +53,11 @@
 
 
 class Channel(asyncio.Protocol):
-    """Bytes of one TCP connection, as a task reads and writes them.
+    """A TCP connection whose bytes a task reads and writes.
 
     Attributes:
-        lost: Completed when the peer has closed or reset the connection.
+        lost: Future that completes when the peer has closed or reset the
+            connection.
     """
 
     def __init__(self) -> None:
@@ -60,117 +66,120 @@
         )
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
-        self._ended = False
-        self._reset = False
-        self._reader: asyncio.Future[None] | None = None
-        self._paused = False
+        self._is_ended = False
+        self._is_reset = False
+        self._read_waiter: asyncio.Future[None] | None = None
+        self._reading_paused = False
         self._writable = asyncio.Event()
         self._writable.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport; called by asyncio."""
+        """Stores the transport; asyncio calls it."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes; called by asyncio."""
+        """Buffers the received bytes; asyncio calls it."""
         self._buffer += data
         if len(self._buffer) > READ_LIMIT_BYTES and self._transport:
             self._transport.pause_reading()
-            self._paused = True
-        self._wake()
+            self._reading_paused = True
+        self._wake_reader()
 
     def eof_received(self) -> bool:
-        """Notes the peer's orderly close; called by asyncio."""
-        self._end()
+        """Records that the peer closed the connection; asyncio calls it."""
+        self._mark_ended()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Notes the end of the connection; called by asyncio."""
-        if not self._ended and error is not None:
-            self._reset = True
+        """Records the end of the connection; asyncio calls it."""
+        if not self._is_ended and error is not None:
+            self._is_reset = True
         self._writable.set()
-        self._end()
+        self._mark_ended()
 
     def pause_writing(self) -> None:
-        """Notes a slow peer; called by asyncio."""
+        """Records that the write buffer is full; asyncio calls it."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Notes that the peer reads again; called by asyncio."""
+        """Records that the write buffer has space again; asyncio calls it."""
         self._writable.set()
 
     @property
     def is_open(self) -> bool:
-        """Whether neither end has closed it."""
+        """Whether neither side has closed the connection."""
         transport = self._transport
-        return not (self._ended or transport is None or transport.is_closing())
+        return not (
+            self._is_ended or transport is None or transport.is_closing()
+        )
 
     @property
     def has_input(self) -> bool:
-        """Whether bytes wait that nobody has read."""
+        """Whether received bytes have not been read yet."""
         return bool(self._buffer)
 
     @property
-    def has_output(self) -> bool:
-        """Whether bytes wait that the peer has not taken."""
+    def has_unsent_output(self) -> bool:
+        """Whether written bytes have not been sent to the peer yet."""
         return bool(self._transport and self._transport.get_write_buffer_size())
 
     def get_peer(self) -> str:
-        """Address of the other end."""
+        """Returns the `IP:PORT` of the peer."""
         assert self._transport is not None
         name = self._transport.get_extra_info("peername") or ("", 0)
         return f"{name[0]}:{name[1]}"
 
     async def receive(self) -> bytes:
-        """Reads what is there, waiting for at least one byte.
+        """Reads all received bytes; waits until there is at least one.
 
         Returns:
-            The bytes; empty after an orderly close.
+            The bytes; empty after the peer has closed the connection.
 
         Raises:
             ConnectionLostError: The connection was reset.
         """
         while not self._buffer:
-            if self._reset:
+            if self._is_reset:
                 raise ConnectionLostError("The connection was reset.")
-            if self._ended:
+            if self._is_ended:
                 return b""
-            self._reader = asyncio.get_running_loop().create_future()
+            self._read_waiter = asyncio.get_running_loop().create_future()
             try:
-                await self._reader
+                await self._read_waiter
             finally:
-                self._reader = None
+                self._read_waiter = None
         data = bytes(self._buffer)
         self._buffer.clear()
-        if self._paused and self._transport and not self._ended:
+        if self._reading_paused and self._transport and not self._is_ended:
             self._transport.resume_reading()
-            self._paused = False
+            self._reading_paused = False
         return data
 
     def write(self, data: bytes) -> None:
-        """Sends bytes; those to a closed connection are dropped.
+        """Sends bytes; drops them if the connection is closed.
 
-        The reader of such a connection learns of the close itself.
+        No error is raised, because the reader of a closed connection detects
+        the close itself.
         """
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     async def drain(self) -> None:
-        """Waits until the peer has room."""
+        """Waits until the write buffer has space."""
         await self._writable.wait()
 
     def close(self) -> None:
-        """Closes after what was written is sent."""
+        """Closes the connection after all written bytes were sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Closes at once."""
+        """Closes the connection immediately; drops unsent bytes."""
         if self._transport is not None:
             self._transport.abort()
 
-    def limit_silence(self) -> None:
-        """Lets the kernel end the connection where the peer is gone."""
+    def set_tcp_timeouts(self) -> None:
+        """Sets the TCP timeouts by which the kernel detects a lost peer."""
         assert self._transport is not None
         sock = self._transport.get_extra_info("socket")
         if sock is None:
@@ -182,23 +191,27 @@
         sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
         sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
-    def _end(self) -> None:
-        self._ended = True
+    def _mark_ended(self) -> None:
+        self._is_ended = True
         if not self.lost.done():
             self.lost.set_result(None)
-        self._wake()
+        self._wake_reader()
 
-    def _wake(self) -> None:
-        if self._reader is not None and not self._reader.done():
-            self._reader.set_result(None)
+    def _wake_reader(self) -> None:
+        if self._read_waiter is not None and not self._read_waiter.done():
+            self._read_waiter.set_result(None)
 
 
 async def open_channel(address: str, timeout_s: float) -> Channel:
-    """Connects to `IP:PORT`.
+    """Opens a TCP connection to `IP:PORT`.
+
+    Args:
+        address: `IP:PORT` of the server.
+        timeout_s: Longest time in seconds that the connection set-up may take.
 
     Raises:
-        ConnectionLostError: Refused, unreachable or timed out; nothing of a
-            request can have been sent.
+        ConnectionLostError: The connection was refused, timed out or could not
+            be opened otherwise; no byte of a request can have been sent.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
@@ -209,17 +222,17 @@
         raise ConnectionLostError(
             f"{address}: {type(error).__name__}."
         ) from error
-    channel.limit_silence()
+    channel.set_tcp_timeouts()
     return channel
 
 
 class ClientConnection:
-    """The side of a connection that asks.
+    """Client side of an HTTP/1.1 connection.
 
     Attributes:
-        channel: Its bytes.
-        idle_since_s: Loop time at which it was last used.
-        uses: Requests sent on it.
+        channel: The TCP connection.
+        idle_since_s: Loop time at which the connection was last used.
+        uses: Number of requests sent on the connection.
     """
 
     def __init__(self, channel: Channel) -> None:
@@ -234,10 +247,10 @@
     def send(
         self, method: bytes, target: bytes, headers: Headers, body: bytes
     ) -> None:
-        """Sends a whole request.
+        """Sends a complete request.
 
         Raises:
-            WrongMessageError: It is no request of HTTP/1.1.
+            WrongMessageError: The request is not valid HTTP/1.1.
         """
         self.uses += 1
         parser = self._parser
@@ -254,11 +267,12 @@
         self.channel.write(data)
 
     async def receive_head(self) -> h11.Response:
-        """Reads the head of the answer.
+        """Reads the head of the response.
 
         Raises:
-            ConnectionLostError: The connection ended before it.
-            WrongMessageError: The bytes are no answer.
+            ConnectionLostError: The connection ended before the head was
+                complete.
+            WrongMessageError: The received bytes are not a valid response.
         """
         while True:
             event = await self._receive()
@@ -268,11 +282,15 @@
                 raise ConnectionLostError("Closed before an answer.")
 
     async def receive_part(self) -> bytes | None:
-        """Reads a part of the body; None after the whole of it.
+        """Reads a part of the response body.
+
+        Returns:
+            The bytes of the part; None after the end of the body.
 
         Raises:
-            ConnectionLostError: It ended before the whole body.
-            WrongMessageError: The bytes are no answer.
+            ConnectionLostError: The connection ended before the body was
+                complete.
+            WrongMessageError: The received bytes are not a valid response.
         """
         event = await self._receive()
         if isinstance(event, h11.Data):
@@ -282,10 +300,11 @@
         raise ConnectionLostError("Closed within an answer.")
 
     def skip_answer(self) -> None:
-        """Prepares to read the next answer in place of the last one.
+        """Discards the last response and prepares to read the next one.
 
-        For a late second answer to an earlier request: the real one follows
-        it on the same connection.
+        Used when the last response was a late second response to an earlier
+        request: the response to the current request follows on the same
+        connection.
         """
         trailing, _ = self._parser.trailing_data
         assert self._head is not None
@@ -298,14 +317,23 @@
             self._parser.receive_data(trailing)
 
     def make_reusable(self) -> bool:
-        """Readies the connection for another request, where that is safe.
+        """Prepares the connection for another request, if that is safe.
+
+        Reuse is unsafe if bytes follow a complete response, since they belong
+        to no request. It is also unsafe if a part of the request body is still
+        unsent, since the peer would parse that part as the next request.
 
-        Bytes after a whole answer belong to no request, and a request body
-        that the peer has not read would be taken for the next request.
+        Returns:
+            Whether the connection can be reused.
         """
         channel, parser = self.channel, self._parser
         trailing, is_closed = parser.trailing_data
-        if trailing or is_closed or channel.has_input or channel.has_output:
+        if (
+            trailing
+            or is_closed
+            or channel.has_input
+            or channel.has_unsent_output
+        ):
             return False
         if not channel.is_open:
             return False
@@ -315,7 +343,7 @@
         return True
 
     def abort(self) -> None:
-        """Ends the connection, which also ends the peer's work on it."""
+        """Closes the connection, which also stops the peer's work on it."""
         self.channel.abort()
 
     async def _receive(self) -> object:
@@ -334,24 +362,29 @@
 
 
 def remove_hop_by_hop(headers: Sequence[tuple[bytes, bytes]]) -> Headers:
-    """Drops headers that concern one connection only.
+    """Returns the headers without those that apply to one connection only.
 
     Args:
-        headers: Names as received, in any case.
+        headers: Pairs of name and value, with names in any letter case.
     """
-    named = {
+    connection_headers = {
         token.strip().lower()
         for name, value in headers
         if name.lower() == b"connection"
         for token in value.split(b",")
     }
-    # A sender may not name the message's own framing as its connection's.
-    dropped = HOP_BY_HOP | (named - {b"content-length", b"host"})
-    return [(n, v) for n, v in headers if n.lower() not in dropped]
+    # The `Connection` header must not remove the headers `Content-Length` and
+    # `Host`, which belong to the message and not to the connection.
+    dropped = HOP_BY_HOP | (connection_headers - {b"content-length", b"host"})
+    return [
+        (header_name, header_value)
+        for header_name, header_value in headers
+        if header_name.lower() not in dropped
+    ]
 
 
 def get_raw_headers(
     event: h11.Request | h11.Response,
 ) -> list[tuple[bytes, bytes]]:
-    """Headers of a message with names spelled as received."""
+    """Returns the headers of a message with names spelled as received."""
     return list(event.headers.raw_items())
--- a/src/lovagestage/adapters/http_engine.py
+++ b/src/lovagestage/adapters/http_engine.py
@@ -1,4 +1,4 @@
-"""An OpenAI-compatible engine over HTTP."""
+"""Client of an OpenAI-compatible model engine over HTTP."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import aiohttp
 import msgspec
 
-from lovagestage.adapters.http_calls import SHORT_CALL, STREAM
+from lovagestage.adapters.http_calls import SHORT_TIMEOUT, STREAM_TIMEOUT
 from lovagestage.adapters.protocols import EngineLoad
 from lovagestage.exceptions import EngineError, EngineRefusedError
 from lovagestage.messages.envelope import OrderState
@@ -37,7 +37,12 @@
 
 
 class HttpEngine:
-    """An OpenAI-compatible engine over HTTP."""
+    """Client of an OpenAI-compatible model engine over HTTP.
+
+    Args:
+        session: HTTP client of the process.
+        url: Base URL of the engine.
+    """
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self._session = session
@@ -56,9 +61,9 @@
             f"{self._url}/v1/chat/completions",
             data=body,
             headers=headers,
-            timeout=STREAM,
+            timeout=STREAM_TIMEOUT,
         )
-        async for block in self._get_blocks(request):
+        async for block in self._read_blocks(request):
             yield block
 
     async def resume(
@@ -68,26 +73,29 @@
         request = self._session.get(
             f"{self._url}/v1/streams/{request_id}",
             params={"from_seq": str(from_seq)},
-            timeout=STREAM,
+            timeout=STREAM_TIMEOUT,
         )
-        async for block in self._get_blocks(request):
+        async for block in self._read_blocks(request):
             yield block
 
     async def cancel(self, request_id: RequestId) -> None:
         """See `Engine.cancel`."""
         try:
             async with self._session.delete(
-                f"{self._url}/v1/streams/{request_id}", timeout=SHORT_CALL
+                f"{self._url}/v1/streams/{request_id}", timeout=SHORT_TIMEOUT
             ):
                 pass
         except (TimeoutError, aiohttp.ClientError):
-            # The engine ends the request itself when its batch gets to it;
-            # the tokens it spends until then are the only loss.
+            # A lost cancellation is harmless: the engine ends the request
+            # itself when its batch gets to it. Only the tokens that it
+            # generates until then are wasted.
             return
 
     async def get_load(self) -> EngineLoad:
         """See `Engine.get_load`."""
-        form = msgspec.json.decode(await self._get("/load"), type=_LoadForm)
+        form = msgspec.json.decode(
+            await self._get_body("/load"), type=_LoadForm
+        )
         return EngineLoad(
             form.running,
             form.waiting,
@@ -99,7 +107,7 @@
     async def get_versions(self) -> list[str]:
         """See `Engine.get_versions`."""
         form = msgspec.json.decode(
-            await self._get("/v1/models"), type=_ModelsForm
+            await self._get_body("/v1/models"), type=_ModelsForm
         )
         return [model.id for model in form.data]
 
@@ -114,7 +122,7 @@
         }
         try:
             async with self._session.post(
-                f"{self._url}/orders", json=body, timeout=SHORT_CALL
+                f"{self._url}/orders", json=body, timeout=SHORT_TIMEOUT
             ) as response:
                 return _ORDER_STATES.get(response.status, OrderState.REFUSED)
         except (TimeoutError, aiohttp.ClientError) as error:
@@ -123,10 +131,10 @@
                 RunState.UNKNOWN,
             ) from error
 
-    async def _get(self, path: str) -> bytes:
+    async def _get_body(self, path: str) -> bytes:
         try:
             async with self._session.get(
-                f"{self._url}{path}", timeout=SHORT_CALL
+                f"{self._url}{path}", timeout=SHORT_TIMEOUT
             ) as response:
                 response.raise_for_status()
                 return await response.read()
@@ -136,13 +144,13 @@
                 RunState.UNKNOWN,
             ) from error
 
-    async def _get_blocks(
+    async def _read_blocks(
         self, request: aiohttp.client._RequestContextManager
     ) -> AsyncIterator[bytes]:
-        sent = False
+        response_started = False
         try:
             async with request as response:
-                sent = True
+                response_started = True
                 if response.status in (404, 429, 503):
                     raise EngineRefusedError(
                         f"The engine refused with {response.status}."
@@ -159,25 +167,33 @@
                 f"The engine can't be reached: {error}."
             ) from error
         except (TimeoutError, aiohttp.ClientError) as error:
-            state = "while it answered" if sent else "before it answered"
+            stage = (
+                "while it answered"
+                if response_started
+                else "before it answered"
+            )
             raise EngineError(
-                f"The engine was lost {state}: {error!r}.", RunState.UNKNOWN
+                f"The engine was lost {stage}: {error!r}.", RunState.UNKNOWN
             ) from error
 
 
 async def _split_events(
     content: aiohttp.StreamReader,
 ) -> AsyncIterator[bytes]:
-    """Yields whole server-sent events, as many as have arrived together."""
-    rest = b""
+    """Yields blocks of complete server-sent events.
+
+    Each block holds all events that had been received completely when the
+    data was read.
+    """
+    incomplete = b""
     while True:
         data = await content.readany()
         if not data:
             return
-        data = rest + data
+        data = incomplete + data
         end = data.rfind(b"\n\n")
         if end < 0:
-            rest = data
+            incomplete = data
             continue
-        rest = data[end + 2 :]
+        incomplete = data[end + 2 :]
         yield data[: end + 2]
--- a/src/lovagestage/adapters/http_log.py
+++ b/src/lovagestage/adapters/http_log.py
@@ -1,4 +1,4 @@
-"""The log over HTTP."""
+"""Client of the platform's append-only log over HTTP."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import msgspec
 
 from lovagestage.adapters.http_calls import (
-    SHORT_CALL,
-    UNREADABLE,
+    READ_ERRORS,
+    SHORT_TIMEOUT,
     make_read_timeout,
 )
 from lovagestage.adapters.protocols import LogPage
@@ -41,11 +41,11 @@
 
 
 class HttpLog:
-    """The log over HTTP.
+    """Client of the platform's append-only log over HTTP.
 
     Args:
         session: HTTP client of the process.
-        url: Base URL.
+        url: Base URL of the log.
     """
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
@@ -56,7 +56,7 @@
         """See `Log.append`."""
         try:
             async with self._session.post(
-                self._get_url(stream), data=data, timeout=SHORT_CALL
+                self._get_url(stream), data=data, timeout=SHORT_TIMEOUT
             ) as response:
                 body = await response.read()
                 if response.status in (429, 503):
@@ -72,7 +72,7 @@
                 )
         except aiohttp.ClientConnectorError as error:
             raise LogUnavailableError(f"The log is down: {error}.") from error
-        except UNREADABLE as error:
+        except READ_ERRORS as error:
             raise LogAnswerLostError(
                 f"The log's answer is lost: {error!r}."
             ) from error
@@ -100,7 +100,7 @@
                         f"The log answered {response.status} to a read."
                     )
                 return _make_page(msgspec.json.decode(body, type=_PageForm))
-        except UNREADABLE as error:
+        except READ_ERRORS as error:
             raise LogUnavailableError(f"The log is down: {error!r}.") from error
 
     def _get_url(self, stream: str) -> str:
--- a/src/lovagestage/adapters/http_plain_service.py
+++ b/src/lovagestage/adapters/http_plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP."""
+"""Client of a plain service over HTTP."""
 
 from __future__ import annotations
 
@@ -15,20 +15,22 @@
 from lovagestage.messages.calls import Header, PlainAnswer, PlainCall
 from lovagestage.types import RequestId, RunState
 
-_CALL = aiohttp.ClientTimeout(
+_CALL_TIMEOUT = aiohttp.ClientTimeout(
     total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=None
 )
-"""The run's deadline ends a call: see `runs`."""
+"""Timeout of a call, which limits only the connection set-up: the deadline of
+the run ends the call, see `runs`."""
 _AUTO_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 
 class _SendOnce:
-    """Keeps aiohttp from sending one request twice.
+    """Prevents aiohttp from sending a request twice.
 
-    When a connection breaks before the answer, aiohttp by itself sends GET,
-    PUT, DELETE and their like again, so a PUT on a route that may not be
-    repeated would run twice. The middleware runs before each connection is
-    made; ending the second pass there leaves the first as the only one.
+    When a connection breaks before the answer, aiohttp by itself retries GET,
+    PUT, DELETE and other idempotent methods, so a PUT on a route that may not
+    be retried would run twice. The middleware runs before each connection is
+    made; raising an error on the second pass means that the request is sent
+    only once.
     """
 
     def __init__(self) -> None:
@@ -46,14 +48,14 @@
 
 
 class HttpPlainService:
-    """A plain service over HTTP.
+    """Client of a plain service over HTTP.
 
     Args:
-        session: HTTP client; it must make a new connection for each call. A
-            kept one that the service has just closed would make a call that
-            never ran look as if it might have run.
-        url: Base URL.
-        max_answer_bytes: Larger answers are refused.
+        session: HTTP client; it must open a new connection for each call. On a
+            kept-alive connection that the service has just closed, a call
+            that never ran would look as if it might have run.
+        url: Base URL of the service.
+        max_answer_bytes: Maximum size of an answer; larger ones are refused.
     """
 
     def __init__(
@@ -79,12 +81,12 @@
                 skip_auto_headers=_AUTO_HEADERS,
                 allow_redirects=False,
                 auto_decompress=False,
-                timeout=_CALL,
+                timeout=_CALL_TIMEOUT,
                 middlewares=(_SendOnce(),),
             ) as response:
                 return PlainAnswer(
                     response.status,
-                    _get_headers(response),
+                    _make_headers(response),
                     await self._read_content(response),
                 )
         except aiohttp.ClientConnectorError as error:
@@ -107,7 +109,7 @@
                 _, writer = await asyncio.open_connection(
                     self._url.host, self._url.port
                 )
-        except OSError:  # A TimeoutError is one too.
+        except OSError:  # TimeoutError is a subclass of OSError.
             return False
         writer.close()
         return True
@@ -125,7 +127,7 @@
         return bytes(content)
 
 
-def _get_headers(response: aiohttp.ClientResponse) -> list[Header]:
+def _make_headers(response: aiohttp.ClientResponse) -> list[Header]:
     return make_answer_headers(
         Header(str(name), value) for name, value in response.headers.items()
     )
--- a/src/lovagestage/adapters/http_rater.py
+++ b/src/lovagestage/adapters/http_rater.py
@@ -1,4 +1,4 @@
-"""The rater over HTTP."""
+"""Client of the answer rater over HTTP."""
 
 from __future__ import annotations
 
@@ -6,15 +6,20 @@
 import msgspec
 
 from lovagestage.adapters.http_calls import (
-    SHORT_CALL,
-    UNREADABLE,
+    READ_ERRORS,
+    SHORT_TIMEOUT,
     make_read_timeout,
 )
 from lovagestage.adapters.protocols import RatedAnswer, RaterError, RatingPage
 
 
 class HttpRater:
-    """The rater over HTTP."""
+    """Client of the answer rater over HTTP.
+
+    Args:
+        session: HTTP client of the process.
+        url: Base URL of the rater.
+    """
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self._session = session
@@ -32,11 +37,13 @@
         }
         try:
             async with self._session.post(
-                self._url, json=body, timeout=SHORT_CALL
+                self._url, json=body, timeout=SHORT_TIMEOUT
             ) as response:
                 response.raise_for_status()
         except (TimeoutError, aiohttp.ClientError) as error:
-            raise RaterError(f"The rater took no answer: {error!r}.") from error
+            raise RaterError(
+                f"The rater did not accept an answer: {error!r}."
+            ) from error
 
     async def read(self, start: int) -> RatingPage:
         """See `Rater.read`."""
@@ -50,5 +57,5 @@
                 return msgspec.json.decode(
                     await response.read(), type=RatingPage
                 )
-        except UNREADABLE as error:
+        except READ_ERRORS as error:
             raise RaterError(f"No ratings can be read: {error!r}.") from error
--- a/src/lovagestage/adapters/http_vm_list.py
+++ b/src/lovagestage/adapters/http_vm_list.py
@@ -1,11 +1,11 @@
-"""The list of VMs over HTTP."""
+"""Client of the platform's list of VMs over HTTP."""
 
 from __future__ import annotations
 
 import aiohttp
 import msgspec
 
-from lovagestage.adapters.http_calls import UNREADABLE, make_read_timeout
+from lovagestage.adapters.http_calls import READ_ERRORS, make_read_timeout
 from lovagestage.adapters.protocols import Vm, VmListError
 from lovagestage.types import Role, VmId, VmState, ZoneId
 
@@ -23,7 +23,12 @@
 
 
 class HttpVmList:
-    """The list of VMs over HTTP."""
+    """Client of the platform's list of VMs over HTTP.
+
+    Args:
+        session: HTTP client of the process.
+        url: Base URL of the service that has the list.
+    """
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self._session = session
@@ -37,7 +42,7 @@
             ) as response:
                 response.raise_for_status()
                 form = msgspec.json.decode(await response.read(), type=_VmsForm)
-        except UNREADABLE as error:
+        except READ_ERRORS as error:
             raise VmListError(
                 f"The list of VMs can't be read: {error!r}."
             ) from error
--- a/src/lovagestage/adapters/protocols.py
+++ b/src/lovagestage/adapters/protocols.py
@@ -1,8 +1,8 @@
-"""Everything outside of the system, behind protocols.
+"""Protocols of the services outside the system that the package calls.
 
-The modules `http_*` hold the adapters that speak HTTP; `docs/PLATFORM.md`
-gives its form. Nothing else in the package speaks to anything outside, but
-for `metrics`, which sends to statsd.
+The modules `http_*` hold the adapters, which use HTTP; `docs/PLATFORM.md`
+describes the format of their calls. No other part of the package communicates
+with services outside the system, except `metrics`, which sends to statsd.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class LogPage:
-    """Records read from the log.
+    """Records that one call has read from the log.
 
     Attributes:
-        first_offset: Oldest offset that the log still has.
-        next_offset: Offset that the next append will get.
-        records: Pairs of offset and bytes, ascending.
+        first_offset: Oldest offset that the log still holds.
+        next_offset: Offset that the next appended record will get.
+        records: Pairs of offset and bytes, in ascending order of the offset.
     """
 
     first_offset: Offset
@@ -47,21 +47,30 @@
     """The platform's append-only log."""
 
     async def append(self, stream: str, data: bytes) -> Offset:
-        """Appends one record.
+        """Appends one record to a stream of the log.
+
+        Returns:
+            The record's offset.
 
         Raises:
-            LogUnavailableError: It was certainly not appended.
-            LogAnswerLostError: It may have been appended.
+            LogUnavailableError: The record was certainly not appended.
+            LogAnswerLostError: The record may have been appended.
         """
 
     async def read(
         self, stream: str, start: Offset, limit: int, wait_s: float
     ) -> LogPage:
-        """Reads from `start`, waiting up to `wait_s` for a first record.
+        """Reads at most `limit` records of a stream, from offset `start` on.
+
+        Args:
+            stream: Name of the stream.
+            start: Offset of the first record.
+            limit: Maximum number of records.
+            wait_s: Longest time in seconds to wait for a first record.
 
         Raises:
-            LogUnavailableError: The log does not answer.
-            BelowHorizonError: `start` has expired.
+            LogUnavailableError: The log does not answer, or refused the read.
+            BelowHorizonError: The record at `start` has expired.
         """
 
 
@@ -70,11 +79,11 @@
     """A VM as the platform lists it.
 
     Attributes:
-        vm: Name.
-        role: Role of the system's process on it.
-        zone: Availability zone.
-        state: Live or leaving.
-        bus: `HOST:PORT` of the process's listener.
+        vm: Name of the VM.
+        role: Role of the system's process on the VM.
+        zone: Availability zone of the VM.
+        state: Whether the VM is live or leaving.
+        bus: `HOST:PORT` of the listener of the VM's process.
     """
 
     vm: VmId
@@ -88,10 +97,10 @@
     """The platform's list of VMs."""
 
     async def get_vms(self) -> list[Vm]:
-        """Reads the list.
+        """Reads the list of VMs.
 
         Raises:
-            VmListError: It can't be read.
+            VmListError: The list can't be read.
         """
 
 
@@ -103,14 +112,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineLoad:
-    """Load that an engine reports, some time late.
+    """Load that an engine reports, with some delay.
 
     Attributes:
-        running: Requests in the batch.
-        waiting: Requests in the queue.
-        max_batch: Most requests in the batch.
+        running: Number of requests in the batch.
+        waiting: Number of requests in the queue.
+        max_batch: Maximum number of requests in the batch.
         kv_used_ratio: Share of the KV cache in use, from 0 to 1.
-        token_interval_ms: Time between tokens of a stream.
+        token_interval_ms: Time between two tokens of a stream, in ms.
     """
 
     running: int
@@ -121,34 +130,40 @@
 
 
 class Engine(Protocol):
-    """The model engine beside a sidecar."""
+    """The model engine on the VM of a sidecar."""
 
     def run(
         self, request_id: RequestId, priority: int, body: bytes
     ) -> AsyncIterator[bytes]:
-        """Runs a streamed request; yields blocks of whole events.
+        """Runs a streamed request; yields blocks of complete events.
 
         Raises:
-            EngineRefusedError: The engine did not run it.
-            EngineError: It failed, with what is known of its run.
+            EngineRefusedError: The engine did not run the request.
+            EngineError: The request failed; `run` says whether the engine is
+                known to have run it.
         """
 
     def resume(
         self, request_id: RequestId, from_seq: int
     ) -> AsyncIterator[bytes]:
-        """Yields the events of a running stream again, from `from_seq`."""
+        """Yields the events of a running stream again, from `from_seq` on."""
 
     async def cancel(self, request_id: RequestId) -> None:
-        """Cancels a request; nothing happens where it is unknown."""
+        """Cancels a request; has no effect if the engine doesn't know it."""
 
     async def get_load(self) -> EngineLoad:
-        """Reads the reported load."""
+        """Reads the load that the engine reports."""
 
     async def order(self, version: str, fencing: FencingNumber) -> OrderState:
-        """Orders it to load `MODEL@VERSION`; loading takes a while.
+        """Orders the engine to load a version, which takes some time.
+
+        Args:
+            version: The version as `MODEL@VERSION`.
+            fencing: Fencing number of the lease under which the order is sent.
 
         Raises:
-            EngineError: It did not answer; it may have taken the order.
+            EngineError: The engine did not answer; it may have accepted the
+                order.
         """
 
     async def get_versions(self) -> list[str]:
@@ -157,14 +172,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class RatedAnswer:
-    """An answer to be rated.
+    """An answer that the rater is to score.
 
     Attributes:
-        request_id: The request.
-        version: Version that answered.
-        class_name: Request class.
+        request_id: Id of the request.
+        version: Model version that generated the answer.
+        class_name: Name of the request class.
         prompt: The request's messages as JSON.
-        text: The answer.
+        text: Text of the answer.
     """
 
     request_id: RequestId
@@ -175,17 +190,17 @@
 
 
 class Rating(msgspec.Struct, frozen=True):
-    """A rating; `score` lies between 0 and 1."""
+    """The rating of an answer; `score` lies between 0 and 1."""
 
     request_id: RequestId
     score: float
 
 
 class RatingPage(msgspec.Struct, frozen=True):
-    """Ratings read from the rater.
+    """Ratings that one call has read from the rater.
 
     Attributes:
-        next: Number to read on from.
+        next: Number of the rating at which the next read starts.
         ratings: Ratings, in the order in which they were made.
     """
 
@@ -194,13 +209,13 @@
 
 
 class Rater(Protocol):
-    """The platform's rater, which scores a sample of the answers, late."""
+    """The platform's rater, which scores a sample of answers with a delay."""
 
     async def post(self, answer: RatedAnswer) -> None:
-        """Hands an answer over.
+        """Sends an answer to the rater.
 
         Raises:
-            RaterError: It may not have been taken.
+            RaterError: The rater may not have accepted the answer.
         """
 
     async def read(self, start: int) -> RatingPage:
@@ -219,20 +234,23 @@
 
 @runtime_checkable
 class PlainService(Protocol):
-    """The plain service beside a sidecar."""
+    """The plain service on the VM of a sidecar."""
 
     async def call(
         self, call: PlainCall, headers: Sequence[Header]
     ) -> PlainAnswer:
-        """Makes one call, once; any status is an answer.
+        """Sends a call to the service at most once.
+
+        A response with any HTTP status counts as an answer.
 
         Raises:
-            EngineRefusedError: It certainly did not reach the service.
-            EngineError: There is no whole answer, with what is known.
+            EngineRefusedError: The call certainly did not reach the service.
+            EngineError: There is no complete answer; `run` says whether the
+                service is known to have run the call.
         """
 
     async def cancel(self, request_id: RequestId) -> None:
-        """Does nothing: what a plain service has begun is not taken back."""
+        """Does nothing: a call that a plain service has begun is not undone."""
 
     async def is_up(self) -> bool:
-        """Whether it takes connections."""
+        """Returns whether the service accepts TCP connections."""
--- a/src/lovagestage/api/__init__.py
+++ b/src/lovagestage/api/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP for callers, and the process that serves it."""
+"""The callers' HTTP API, and the entry process that serves it."""
--- a/src/lovagestage/api/authentication.py
+++ b/src/lovagestage/api/authentication.py
@@ -1,4 +1,4 @@
-"""Which workspace a caller's API key belongs to."""
+"""Finds the workspace that a caller's API key belongs to."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Caller:
-    """Who asks, by its API key.
+    """The sender of a request, as its API key identifies it.
 
     Attributes:
-        workspace: The workspace.
-        document: The document in force that names it.
+        workspace: The workspace that the API key belongs to.
+        document: The service document in force that lists the API key.
     """
 
     workspace: WorkspaceId
@@ -33,21 +33,21 @@
 
 
 class Authenticator:
-    """Finds callers by their API keys.
+    """Identifies callers by their API keys.
 
     Args:
-        control: Configuration in force.
-        trials: Knows which versions are stopped.
+        control: Reader of the configuration in force.
+        trials: Roll-outs, which remove stopped versions from documents.
     """
 
     def __init__(self, control: ControlReader, trials: Trials) -> None:
         self._control = control
         self._trials = trials
         self._index: dict[str, Caller] = {}
-        self._indexed: tuple[ControlState, Offset] | None = None
+        self._indexed_state: tuple[ControlState, Offset] | None = None
 
     def get_caller(self, request: web.Request) -> Caller:
-        """Finds who sent a request.
+        """Identifies the caller that sent a request.
 
         Raises:
             NotReadyError: No configuration is in force.
@@ -59,20 +59,24 @@
             )
         header = request.headers.get("Authorization", "")
         digest = get_key_digest(header.removeprefix(_BEARER))
-        owner = self._get_index().get(digest)
-        if owner is None:
+        caller = self._get_index().get(digest)
+        if caller is None:
             raise WrongKeyError("The API key belongs to no workspace.")
-        get_progress(request).workspace = owner.workspace
-        document = self._trials.get_document(owner.document)
-        return dataclasses.replace(owner, document=document)
+        get_progress(request).workspace = caller.workspace
+        document = self._trials.get_document(caller.document)
+        return dataclasses.replace(caller, document=document)
 
     def _get_index(self) -> dict[str, Caller]:
-        """Owners by key digest, made anew where records have come."""
+        """Returns the callers by key digest.
+
+        The index is built again after new records of the configuration were
+        applied.
+        """
         folded = self._control.folded
         current = (folded, folded.next_offset)
-        if self._indexed != current:
+        if self._indexed_state != current:
             self._index = _make_index(self._control.services)
-            self._indexed = current
+            self._indexed_state = current
         return self._index
 
 
@@ -82,8 +86,8 @@
     index: dict[str, Caller] = {}
     for service in services.values():
         for name, workspace in service.document.workspaces.items():
-            owner = Caller(name, service.document)
+            caller = Caller(name, service.document)
             for digest in workspace.key_digests:
-                # The first service that names a key keeps it.
-                index.setdefault(digest, owner)
+                # A key that several services list belongs to the first one.
+                index.setdefault(digest, caller)
     return index
--- a/src/lovagestage/api/callers.py
+++ b/src/lovagestage/api/callers.py
@@ -27,20 +27,23 @@
 from lovagestage.telemetry.measurement import HEALTH_PATH, Meter
 
 MAX_START_S = 10.0
-"""An upstream not heard by then keeps the entry from serving no longer."""
+"""Time in seconds after the start at which the entry becomes ready even if
+some upstream has sent no heartbeat. Without this limit one unreachable upstream
+would prevent the entry from serving."""
 
 
 class CallerApi:
-    """Handlers of the callers' API.
+    """Request handlers of the callers' API.
 
     Args:
         settings: Limits of the API.
-        control: Configuration in force.
+        control: Reader of the configuration in force.
         upstreams: Connections to sidecars.
-        authenticator: Finds callers by their keys.
+        authenticator: Identifies callers by their API keys.
         chat: Answers chat completion requests.
         plain: Answers calls to plain services.
-        refusals: Makes refusals of requests with a key true.
+        refusals: Corrects the run state in refusals of requests that carry an
+            idempotency key.
         meter: Measures requests.
     """
 
@@ -64,7 +67,7 @@
         self._refusals = refusals
         self._meter = meter
         self._started_at_s = time.monotonic()
-        self._ready = False
+        self._was_ready = False
         self.leaving = False
         self.open_requests = 0
         self.idle = asyncio.Event()
@@ -88,8 +91,8 @@
     ) -> None:
         del request
         if self.leaving:
-            # A balancer that keeps connections open would go on sending
-            # requests on them until the process ends and cuts one off.
+            # A balancer that keeps connections open would continue to send
+            # requests on them until the process ends and aborts one of them.
             response.headers["Connection"] = "close"
             response.force_close()
 
@@ -129,14 +132,15 @@
         return web.Response(text="ok")
 
     def _is_ready(self) -> bool:
-        # Readiness is not taken back: were it to follow the upstreams, one
-        # fault common to all entries would empty the balancer.
-        if not self._ready and self._control.services:
+        # Once ready, the entry stays ready. If readiness depended on the
+        # upstreams all the time, a fault that all entries share would remove
+        # every entry from the balancer.
+        if not self._was_ready and self._control.services:
             waited_s = time.monotonic() - self._started_at_s
-            self._ready = (
-                self._upstreams.has_heard_all() or waited_s > MAX_START_S
+            self._was_ready = (
+                self._upstreams.has_versions_of_all() or waited_s > MAX_START_S
             )
-        return self._ready
+        return self._was_ready
 
     async def _get_models(self, request: web.Request) -> web.Response:
         caller = self._authenticator.get_caller(request)
--- a/src/lovagestage/api/chat_admission.py
+++ b/src/lovagestage/api/chat_admission.py
@@ -1,4 +1,4 @@
-"""Admits a chat completion request: its class, deadline and version."""
+"""Admits chat completion requests: sets their class, deadline and version."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 
 
 class ChatAdmission:
-    """Makes the request that is run from what the caller sent.
+    """Builds the request to run from the caller's HTTP request.
 
     Args:
-        trials: Assigns requests to plans and roll-outs.
-        signer: Reads the tokens of sessions.
-        default_deadline_s: Deadline of requests that come without one.
+        trials: Assigns requests to cascade plans and roll-outs.
+        signer: Verifies and decodes session tokens.
+        default_deadline_s: Deadline in seconds of requests that state none.
     """
 
     def __init__(
@@ -60,10 +60,10 @@
     def admit(
         self, request: web.Request, caller: Caller, form: ChatForm, body: bytes
     ) -> Request:
-        """Chooses the version and sets the deadline of a request.
+        """Chooses the version of a request and sets its deadline.
 
         Raises:
-            RequestRefusedError: It can't be admitted.
+            RequestRefusedError: The request can't be admitted.
         """
         class_name = get_class_name(request, form)
         spec = _get_class(class_name, caller.document)
@@ -72,7 +72,7 @@
         )
         deadline_s = deadline_s or self._default_deadline_s
         session = self._read_session(request, caller, form)
-        choice = self._choose_planned(
+        choice = self._choose_from_plan(
             session, form.model, caller, class_name, len(body)
         ) or self._choose(session, form.model, caller, spec)
         return Request(
@@ -92,7 +92,7 @@
             deferrable=spec.deferrable,
         )
 
-    def _choose_planned(
+    def _choose_from_plan(
         self,
         session: Session | None,
         name: str,
@@ -118,11 +118,11 @@
         caller: Caller,
         spec: ClassSpec,
     ) -> Choice:
-        resolved = resolve_session_version(session, name, caller, spec)
-        if is_pinned(session, resolved):
-            return Choice(resolved)
+        resolved_version = resolve_session_version(session, name, caller, spec)
+        if is_pinned(session, resolved_version):
+            return Choice(resolved_version)
         return self._trials.choose(
-            name, resolved, caller.document, caller.workspace
+            name, resolved_version, caller.document, caller.workspace
         )
 
     def _read_session(
@@ -138,16 +138,16 @@
 
 
 def resolve_version(name: str, caller: Caller, spec: ClassSpec) -> ModelVersion:
-    """Finds the version that a request gets.
+    """Finds the version that runs a request.
 
     Args:
-        name: A service, a model or `MODEL@VERSION`.
-        caller: Who asks.
-        spec: The request's class.
+        name: Name of a service, of a model, or `MODEL@VERSION`.
+        caller: Sender of the request.
+        spec: Specification of the request's class.
 
     Raises:
-        UnknownModelError: The name is none of these.
-        ModelNotAllowedError: The workspace may not use it.
+        UnknownModelError: No service, model or version has the name.
+        ModelNotAllowedError: The workspace may not use the named version.
     """
     allowed = get_open_versions(caller.document, caller.workspace)
     if name == caller.document.service:
@@ -162,9 +162,9 @@
     if chosen is not None:
         return chosen
     known = {
-        part
+        known_name
         for version in caller.document.versions
-        for part in (version.name, version.name.partition("@")[0])
+        for known_name in (version.name, version.name.partition("@")[0])
     }
     if name not in known and name != caller.document.service:
         raise UnknownModelError(f"There is no model {name!r}.")
@@ -176,7 +176,13 @@
 def resolve_session_version(
     session: Session | None, name: str, caller: Caller, spec: ClassSpec
 ) -> ModelVersion:
-    """Finds the version of a request that may come with a session.
+    """Finds the version of a request that may belong to a session.
+
+    Args:
+        session: The request's session; None if it has none.
+        name: Name of a service, of a model, or `MODEL@VERSION`.
+        caller: Sender of the request.
+        spec: Specification of the request's class.
 
     Raises:
         RequestRefusedError: See `resolve_version` and `resolve_model`.
--- a/src/lovagestage/api/chat_answers.py
+++ b/src/lovagestage/api/chat_answers.py
@@ -1,4 +1,4 @@
-"""Answers to chat completion requests: plain or streamed, and billed."""
+"""Sends answers to chat completion requests, in one body or as a stream."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 class ChatAnswers:
-    """Writes answers to callers.
+    """Writes answers to callers and bills them.
 
     Args:
-        billing: Takes the bills.
-        signer: Makes the tokens of sessions.
+        billing: Receives the bills.
+        signer: Creates the session tokens.
     """
 
     def __init__(self, billing: BillingService, signer: SessionSigner) -> None:
@@ -66,15 +66,15 @@
 
     async def answer_plain(
         self,
-        parts: AsyncIterator[bytes],
+        chunks: AsyncIterator[bytes],
         caller: Caller,
         admitted: Request,
         result: Result,
     ) -> web.Response:
-        """Answers in one body, and bills it."""
-        body = b"".join([part async for part in parts])
-        billed = _get_billed(admitted, result)
-        await self._billing.add(make_bill(billed, result, time.time()))
+        """Sends the answer in one body, and bills it."""
+        body = b"".join([chunk async for chunk in chunks])
+        billed_request = _make_billed_request(admitted, result)
+        await self._billing.add(make_bill(billed_request, result, time.time()))
         return web.Response(
             body=body,
             content_type="application/json",
@@ -85,16 +85,16 @@
     async def answer_stream(
         self,
         request: web.Request,
-        parts: AsyncIterator[bytes],
+        chunks: AsyncIterator[bytes],
         caller: Caller,
         admitted: Request,
         result: Result,
     ) -> web.StreamResponse:
-        """Answers chunk by chunk, and bills what was sent."""
+        """Sends the answer chunk by chunk, and bills what was sent."""
         try:
-            # The first chunk is awaited before the status is sent, so that a
-            # request refused before it has an error status of its own.
-            first = await anext(parts, b"")
+            # The status is sent only after the first chunk was received, so
+            # that a request refused before it gets an error status.
+            first_chunk = await anext(chunks, b"")
             measurement = get_measurement(request)
             measurement.add_first_chunk()
             response = web.StreamResponse(
@@ -103,26 +103,28 @@
             )
             response.content_type = "text/event-stream"
             await response.prepare(request)
-            billed = _get_billed(admitted, result)
-            stream = BilledStream(billed, result, self._billing)
-            await _write_parts(response, first, parts, stream, measurement)
+            billed_request = _make_billed_request(admitted, result)
+            stream = BilledStream(billed_request, result, self._billing)
+            await _write_chunks(
+                response, first_chunk, chunks, stream, measurement
+            )
         finally:
-            await parts.aclose()  # type: ignore[attr-defined]
+            await chunks.aclose()  # type: ignore[attr-defined]
         await response.write_eof()
         return response
 
 
-async def _write_parts(
+async def _write_chunks(
     response: web.StreamResponse,
-    first: bytes,
-    parts: AsyncIterator[bytes],
+    first_chunk: bytes,
+    chunks: AsyncIterator[bytes],
     stream: BilledStream,
     measurement: Measurement,
 ) -> None:
     try:
-        await response.write(stream.add(first))
-        async for part in parts:
-            await response.write(stream.add(part))
+        await response.write(stream.add(first_chunk))
+        async for chunk in chunks:
+            await response.write(stream.add(chunk))
         await response.write(await stream.end(time.time()))
     except RequestRefusedError as error:
         measurement.add_refusal(error.code)
@@ -133,9 +135,9 @@
         raise
 
 
-def _get_billed(admitted: Request, result: Result) -> Request:
-    # A request that joined another's run bills it under that one's id, so
-    # that the two bills are one.
+def _make_billed_request(admitted: Request, result: Result) -> Request:
+    # A request that joined the run of another request is billed under the id
+    # of that request, so that the run is billed only once.
     request_id = result.request_id or admitted.request_id
     return dataclasses.replace(admitted, request_id=request_id)
 
--- a/src/lovagestage/api/chat_api.py
+++ b/src/lovagestage/api/chat_api.py
@@ -1,4 +1,4 @@
-"""Runs chat completion requests, from the body to the answer."""
+"""Handles chat completion requests, from the request body to the answer."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
 
     Args:
         admission: Admits requests.
-        answers: Writes their answers.
+        answers: Writes the answers.
         dispatcher: Runs requests.
-        keyed: Runs requests that have a key.
-        escalation: Runs requests that may run twice.
-        trials: Watches the answers.
-        billing: Reserves room for bills.
-        limits: Charges workspaces.
-        deferrals: Holds deferrable requests.
+        keyed: Runs requests that have an idempotency key.
+        escalation: Runs requests whose answer may be escalated to a further
+            model.
+        trials: Reports the outcome of answers to roll-outs and plans.
+        billing: Reserves space for bills.
+        limits: Charges the token limits of workspaces.
+        deferrals: Delays deferrable requests until they have a slot.
     """
 
     def __init__(
@@ -62,33 +63,33 @@
     async def answer(
         self, request: web.Request, body: bytes, caller: Caller
     ) -> web.StreamResponse:
-        """Runs a request and answers it.
+        """Runs a request and sends its answer.
 
         Raises:
-            RequestRefusedError: It is refused.
+            RequestRefusedError: The request is refused.
         """
         get_progress(request).body = body
         form = parse_form(body)
         admitted = self._admission.admit(request, caller, form, body)
         result = Result(admitted.version)
-        most = form.most_tokens
+        max_tokens = form.token_limit
         keyed = HEADER_KEY in request.headers
-        parts = self._deferrals.run(
+        chunks = self._deferrals.run(
             admitted,
-            most,
+            max_tokens,
             keyed,
             lambda: self._run(request, admitted, result),
         )
-        charge = self._limits.charge(admitted, result, most, keyed)
+        charge = self._limits.charge(admitted, result, max_tokens, keyed)
         try:
             with self._billing.reserve(), charge:
                 get_progress(request).is_claiming = True
                 if form.stream:
                     return await self._answers.answer_stream(
-                        request, parts, caller, admitted, result
+                        request, chunks, caller, admitted, result
                     )
                 return await self._answers.answer_plain(
-                    parts, caller, admitted, result
+                    chunks, caller, admitted, result
                 )
         finally:
             get_measurement(request).add_attempts(result.attempts)
@@ -98,9 +99,9 @@
     ) -> AsyncIterator[bytes]:
         key = request.headers.get(HEADER_KEY)
         if key is not None:
-            parts = self._keyed.run(admitted, key, result)
+            chunks = self._keyed.run(admitted, key, result)
         elif may_run_twice(admitted):
-            parts = self._escalation.run(admitted, result)
+            chunks = self._escalation.run(admitted, result)
         else:
-            parts = self._dispatcher.run(admitted, result)
-        return self._trials.watch(admitted, result, parts)
+            chunks = self._dispatcher.run(admitted, result)
+        return self._trials.watch(admitted, result, chunks)
--- a/src/lovagestage/api/chat_form.py
+++ b/src/lovagestage/api/chat_form.py
@@ -1,4 +1,4 @@
-"""What routing reads of a chat completion request."""
+"""Parses the fields of a chat completion request that routing needs."""
 
 from __future__ import annotations
 
@@ -12,16 +12,18 @@
 
 
 class ChatForm(msgspec.Struct):
-    """The part of a chat completion request that routing looks at.
+    """The fields of a chat completion request that routing needs.
 
     Attributes:
-        model: A service, a model or `MODEL@VERSION`.
-        messages: At least one.
-        stream: Whether the caller reads chunks.
-        metadata: `request_class`, `session` and `deadline_s` may be given
-            here.
-        max_tokens: Most tokens of the answer.
-        max_completion_tokens: The same by its newer name.
+        model: Name of a service, of a model, or `MODEL@VERSION`.
+        messages: Messages of the conversation, at least one.
+        stream: Whether the answer is to be streamed in chunks.
+        metadata: May hold the keys `request_class`, `session` and
+            `deadline_s`.
+        max_tokens: Maximum number of tokens of the answer, under the older
+            name of the field.
+        max_completion_tokens: Maximum number of tokens of the answer, under
+            the newer name of the field.
     """
 
     model: str
@@ -32,8 +34,8 @@
     max_completion_tokens: int | None = None
 
     @property
-    def most_tokens(self) -> int | None:
-        """Most tokens of the answer; None where the caller sets no limit."""
+    def token_limit(self) -> int | None:
+        """Maximum tokens of the answer; None if the caller sets no limit."""
         return self.max_completion_tokens or self.max_tokens
 
 
@@ -41,10 +43,11 @@
 
 
 def parse_form(body: bytes) -> ChatForm:
-    """Parses the body of a request.
+    """Parses the body of a chat completion request.
 
     Raises:
-        MalformedRequestError: It is no chat completion request.
+        MalformedRequestError: The body is no chat completion request, or has
+            no message.
     """
     try:
         form = _decoder.decode(body)
@@ -58,7 +61,10 @@
 
 
 def get_class_name(request: web.Request, form: ChatForm) -> str:
-    """The request class that the header or else the body names."""
+    """Returns the request class from the header, or else from the body.
+
+    A request that names no class gets the default class.
+    """
     metadata = form.metadata or {}
     return request.headers.get(
         HEADER_CLASS, metadata.get("request_class", DEFAULT_CLASS)
--- a/src/lovagestage/api/entry.py
+++ b/src/lovagestage/api/entry.py
@@ -1,4 +1,4 @@
-"""The process that callers reach through the platform's balancer."""
+"""The entry process, which callers reach through the platform's balancer."""
 
 from __future__ import annotations
 
@@ -44,26 +44,27 @@
 _log = logging.getLogger(__name__)
 
 BALANCER_NOTICE_S = 1.5
-"""Time for the balancer to see that the entry is leaving."""
+"""Time in seconds that the balancer gets to see that the entry is leaving,
+before the entry waits for its open requests."""
 
 
 class Entry(mode.Service):
-    """Serves callers.
+    """Main service of an entry process, which serves callers.
 
     Args:
         settings: Settings of the process.
-        role: The part for this role.
-        control: Configuration in force.
+        role: Settings of the role `entry`.
+        control: Reader of the configuration in force.
         upstreams: Connections to sidecars.
         peers: Connections to the other entries.
         dispatcher: Runs requests.
-        hub: Hands over what arrives at the listener.
-        billing: Takes the bills.
-        keys: Request keys.
-        trials: Roll-outs.
-        limits: Charges workspaces.
-        deferrals: Holds deferrable requests.
-        metrics: What is measured.
+        hub: Dispatches messages from the process's listener.
+        billing: Receives the bills.
+        keys: Claims of idempotency keys.
+        trials: Roll-outs and cascade plans.
+        limits: Charges the token limits of workspaces.
+        deferrals: Delays deferrable requests until they have a slot.
+        metrics: Metrics of the process.
     """
 
     def __init__(
@@ -145,7 +146,7 @@
         await self._runner.cleanup()
 
     async def drain(self) -> None:
-        """Leaves the balancer and waits for open requests."""
+        """Reports to the balancer as leaving and waits for open requests."""
         self._api.leaving = True
         _log.info("drain_started", extra={"open": self._api.open_requests})
         self._deferrals.release()
--- a/src/lovagestage/api/error_answers.py
+++ b/src/lovagestage/api/error_answers.py
@@ -1,4 +1,4 @@
-"""HTTP answers of refusals, in the standard form."""
+"""HTTP responses of refused requests, in the OpenAI error format."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def make_error_body(error: RequestRefusedError) -> dict[str, object]:
-    """Builds the standard error body."""
+    """Builds the error body in the OpenAI format, with the run state."""
     return {
         "error": {
             "message": error.message,
@@ -22,13 +22,13 @@
 
 
 def make_error_response(error: RequestRefusedError) -> web.Response:
-    """Builds the HTTP answer of a refusal."""
+    """Builds the HTTP response of a refused request."""
     headers = {"X-Run-State": error.run.value}
     if error.retry_after_s is not None:
         headers["Retry-After"] = str(error.retry_after_s)
     elif error.run is not RunState.NOT_RUN:
-        # The OpenAI client repeats 5xx answers by itself; a request that may
-        # have run must not be repeated by a library that cannot know.
+        # The OpenAI client retries by itself after a 5xx response. A library
+        # that can't know whether the request has run must not retry it.
         headers["x-should-retry"] = "false"
     return web.json_response(
         make_error_body(error), status=error.status, headers=headers
--- a/src/lovagestage/api/plain_api.py
+++ b/src/lovagestage/api/plain_api.py
@@ -33,15 +33,16 @@
 
 HEADER_ATTEMPTS = "X-Attempts"
 PRIORITY = 1
+"""Priority of each call to a plain service."""
 
 
 class PlainApi:
-    """Answers calls that a route leads to a plain service.
+    """Handles calls that a route assigns to a plain service.
 
     Args:
         dispatcher: Runs requests.
-        keyed: Runs requests that have a key.
-        deadline_s: Deadline of each call.
+        keyed: Runs requests that have an idempotency key.
+        deadline_s: Deadline in seconds of each call.
     """
 
     def __init__(
@@ -59,22 +60,23 @@
         document: ServiceDocument,
         route: RouteSpec,
     ) -> web.Response:
-        """Runs a call and passes its answer back.
+        """Runs a call and returns the service's answer.
 
         Raises:
-            RequestRefusedError: There is no answer; says what was run.
+            RequestRefusedError: There is no answer; the error says whether
+                the call was run.
         """
         admitted = self._admit(request, content, workspace, document, route)
         result = Result(admitted.version)
         get_progress(request).is_claiming = True
         key = request.headers.get(HEADER_KEY)
-        parts = (
+        chunks = (
             self._dispatcher.run(admitted, result)
             if key is None
             else self._keyed.run(admitted, key, result)
         )
         try:
-            data = b"".join([part async for part in parts])
+            data = b"".join([chunk async for chunk in chunks])
         finally:
             get_measurement(request).add_attempts(result.attempts)
         return _make_response(_decode(data), admitted, result)
--- a/src/lovagestage/bus/__init__.py
+++ b/src/lovagestage/bus/__init__.py
@@ -1,1 +1,1 @@
-"""Connections between processes."""
+"""Connections between the system's processes."""
--- a/src/lovagestage/bus/hub.py
+++ b/src/lovagestage/bus/hub.py
@@ -1,4 +1,4 @@
-"""Hands messages that arrive at a process's listener to its parts."""
+"""Dispatches messages from a process's listener to its components."""
 
 from __future__ import annotations
 
@@ -23,36 +23,42 @@
 
 
 class Hub:
-    """Routes messages by type; parts register at construction.
+    """Routes messages by type to the components that registered for them.
 
-    A part registers either for messages of a type, or to answer questions:
-    messages that come inside `Ask` and whose answer goes back inside `Reply`.
+    A component registers when it is constructed, either as a handler of
+    messages of a type, or to answer queries of a type. A query arrives
+    inside `Ask`, and its answer is sent back inside `Reply`.
     """
 
     def __init__(self) -> None:
         self._handlers: dict[type[Message], Handler] = {}
         self._answerers: dict[type[Message], Answerer] = {}
-        self._answers: set[asyncio.Task[None]] = set()
+        self._answer_tasks: set[asyncio.Task[None]] = set()
         self._listener: Listener | None = None
 
     def set_listener(self, listener: Listener) -> None:
-        """Gives the hub the listener to answer through; called once."""
+        """Sets the listener that sends the answers; called once."""
         self._listener = listener
 
     def register(self, kind: type[Message], handler: Handler) -> None:
-        """Calls `handler` with each message of `kind`."""
+        """Calls `handler` with each message of type `kind`."""
         self._handlers[kind] = handler
 
     def register_answer(self, kind: type[Message], answerer: Answerer) -> None:
-        """Answers each question of `kind` with what `answerer` returns."""
+        """Answers each query of type `kind` with the result of `answerer`."""
         self._answerers[kind] = answerer
 
     def send(self, peer: PeerId, message: Message) -> bool:
-        """Sends to a connection; False where it is gone or its queue full."""
+        """Sends a message to a connection.
+
+        Returns:
+            False if there is no listener yet, the connection is closed or its
+            send queue is full.
+        """
         return self._listener is not None and self._listener.send(peer, message)
 
     def on_message(self, peer: PeerId, message: Message) -> None:
-        """Called by the listener."""
+        """Dispatches one message; the listener calls it."""
         if isinstance(message, Ask):
             self._on_ask(peer, message)
             return
@@ -66,28 +72,26 @@
 
     def _on_ask(self, peer: PeerId, ask: Ask) -> None:
         try:
-            question = decode_message(ask.payload)
+            query = decode_message(ask.payload)
         except CodecError as error:
             _log.warning("undecodable_ask", extra={"error": error.message})
             return
-        answerer = self._answerers.get(type(question))
+        answerer = self._answerers.get(type(query))
         if answerer is None:
-            _log.warning(
-                "unexpected_ask", extra={"kind": type(question).__name__}
-            )
+            _log.warning("unexpected_ask", extra={"kind": type(query).__name__})
             return
         task = asyncio.create_task(
-            self._answer(peer, ask.call_id, answerer, question)
+            self._answer(peer, ask.call_id, answerer, query)
         )
-        self._answers.add(task)
-        task.add_done_callback(self._answers.discard)
+        self._answer_tasks.add(task)
+        task.add_done_callback(self._answer_tasks.discard)
 
     async def _answer(
         self,
         peer: PeerId,
         call_id: int,
         answerer: Answerer,
-        question: Message,
+        query: Message,
     ) -> None:
-        answer = await answerer(question)
+        answer = await answerer(query)
         self.send(peer, Reply(call_id, encode_message(answer)))
--- a/src/lovagestage/bus/link.py
+++ b/src/lovagestage/bus/link.py
@@ -1,4 +1,4 @@
-"""One connection to another process, and what was heard on it."""
+"""State of one connection to another process, and of its heartbeats."""
 
 from __future__ import annotations
 
@@ -10,25 +10,29 @@
 
 @dataclasses.dataclass
 class Link:
-    """One connection.
+    """A connection to another process with the state of its heartbeats.
 
     Attributes:
-        vm: The other process's place in the VM list.
+        vm: The VM list's record of the peer process.
         connection: The open connection.
-        heard_s: Monotonic time at which a heartbeat of this process was last
-            answered, over reconnections.
+        heard_s: Monotonic time at which the peer last answered a heartbeat
+            of this process; carried over when the connection is replaced.
         connected_s: Monotonic time at which the connection was opened.
-        key_index: Which accepted key the connection uses.
-        in_use: Number of requests that keep the link from being closed.
-        answered: Whether this connection has carried a heartbeat both ways.
-        gone: The process's port refuses connections.
-        sequence: Number of the latest heartbeat sent.
-        heard_sequence: Number of the latest heartbeat answered.
-        kept: It belongs to the subset; others are closed when idle.
-        hello_s: Monotonic time of the latest heartbeat sent.
-        asked_s: Monotonic time of the first heartbeat sent since one was
-            answered, over reconnections; None where none is unanswered.
-        used_s: Monotonic time at which something else was last sent.
+        key_index: Index of the accepted key that the connection uses.
+        in_use: Number of requests that prevent the link from being closed.
+        answered: Whether the peer has answered a heartbeat on this
+            connection, so that both directions are known to work.
+        gone: Whether the peer's port refuses connections.
+        sequence: Sequence number of the latest heartbeat sent.
+        answered_sequence: Sequence number of the latest heartbeat answered.
+        kept: Whether the connection stays open while idle, as those to the
+            subset do; other connections are closed when idle.
+        last_hello_s: Monotonic time at which the latest heartbeat was sent.
+        asked_s: Monotonic time of the first heartbeat sent since
+            the peer last answered one; carried over when the connection is
+            replaced. None while no heartbeat is unanswered.
+        last_sent_s: Monotonic time at which a message other than a heartbeat
+            was last sent.
     """
 
     vm: Vm
@@ -40,12 +44,12 @@
     answered: bool = False
     gone: bool = False
     sequence: int = 0
-    heard_sequence: int = 0
+    answered_sequence: int = 0
     kept: bool = True
-    hello_s: float = 0.0
+    last_hello_s: float = 0.0
     asked_s: float | None = None
-    used_s: float = 0.0
+    last_sent_s: float = 0.0
 
-    def get_silent_s(self, now_s: float) -> float:
-        """How long a heartbeat has gone unanswered."""
+    def get_unanswered_s(self, now_s: float) -> float:
+        """Returns the seconds for which a heartbeat has gone unanswered."""
         return 0.0 if self.asked_s is None else now_s - self.asked_s
--- a/src/lovagestage/bus/links.py
+++ b/src/lovagestage/bus/links.py
@@ -1,8 +1,9 @@
-"""Connections from one process to processes of a role.
+"""Connections from one process to the processes of one role.
 
-Which VMs exist comes from the platform's list, which lags; whether one is
-there now comes from what is heard on its connection. Connections to a subset
-are kept; any other is made when something is sent, and closed when idle.
+The platform's list names the VMs that exist, with a delay. Answers to
+heartbeats show whether a process is reachable now. Connections to a subset
+of the processes stay open. Any other connection is opened when a message is
+sent to the process, and closed when it has been idle.
 """
 
 from __future__ import annotations
@@ -18,8 +19,12 @@
 
 from lovagestage.adapters.protocols import Vm
 from lovagestage.bus.link import Link
-from lovagestage.bus.questions import Questions
-from lovagestage.bus.transport import Connection, ConnectionEvent, is_refused
+from lovagestage.bus.questions import PendingQueries
+from lovagestage.bus.transport import (
+    Connection,
+    ConnectionEvent,
+    is_connection_refused,
+)
 from lovagestage.decisions.subsets import Place, choose_subset
 from lovagestage.messages.envelope import (
     Ask,
@@ -35,21 +40,24 @@
 
 _log = logging.getLogger(__name__)
 
-_PROBED = (Ask, Attach, Dispatch)
-_LEFT_OUT = VmId("")
+_HEARTBEAT_FIRST_TYPES = (Ask, Attach, Dispatch)
+"""Messages before which a heartbeat is sent on an idle connection."""
+_OMITTED_VM = VmId("")
 
 
 class LinkTable(mode.Service):
-    """Connections to processes of one role, but this one.
+    """Connections to the processes of one role, without this process itself.
 
     Args:
         role: Role of the processes to connect to.
-        context: The process's zmq context.
-        settings: Keys and heartbeat times.
-        own: Name and incarnation that this process shows.
+        context: The zmq context of this process.
+        settings: Keys, and times of the heartbeats.
+        own_hello: First message on a connection, with the VM name and the
+            incarnation of this process.
         timers: Timer service.
-        zone: This process's availability zone.
-        subset_size: Processes that it picks to stay connected to.
+        zone: Availability zone of this process.
+        subset_size: Number of processes that this process chooses to stay
+            connected to.
     """
 
     def __init__(
@@ -57,30 +65,30 @@
         role: Role,
         context: zmq.Context[zmq.Socket[bytes]],
         settings: BusSettings,
-        own: Hello,
+        own_hello: Hello,
         timers: TimerService,
         zone: ZoneId,
         subset_size: int,
     ) -> None:
         super().__init__()
-        self._own_place = Place(own.vm, zone)
+        self._own_place = Place(own_hello.vm, zone)
         self._subset_size = subset_size
         self._listed: dict[VmId, Vm] = {}
         self._entries: frozenset[VmId] = frozenset()
         self._subset: frozenset[VmId] = frozenset()
-        self._extra: frozenset[VmId] = frozenset()
-        self._all_since_s: float | None = None
+        self._extra_vms: frozenset[VmId] = frozenset()
+        self._all_kept_since_s: float | None = None
         self.links: dict[VmId, Link] = {}
         self.bus = settings
         self._role = role
         self._context = context
-        self._own = own
+        self._own_hello = own_hello
         self._timers = timers
-        self._on_message: Callable[[VmId, Message], None] = _ignore
+        self._on_message: Callable[[VmId, Message], None] = _ignore_message
         self._on_reconnect: Callable[[VmId], None] = lambda _: None
         self._on_gone: Callable[[VmId], None] = lambda _: None
         self._probes: dict[VmId, asyncio.Task[None]] = {}
-        self._questions = Questions()
+        self._pending = PendingQueries()
 
     def subscribe(
         self,
@@ -88,19 +96,20 @@
         on_reconnect: Callable[[VmId], None],
         on_gone: Callable[[VmId], None],
     ) -> None:
-        """Sets who gets messages, and who hears of connections.
+        """Sets the callbacks for messages and for changes of connections.
 
         Args:
-            on_message: Gets each message.
+            on_message: Called with each message.
             on_reconnect: Called when a connection was replaced.
-            on_gone: Called when a process has certainly ended.
+            on_gone: Called when a process has certainly ended, because its
+                port refuses connections.
         """
         self._on_message = on_message
         self._on_reconnect = on_reconnect
         self._on_gone = on_gone
 
     async def on_start(self) -> None:
-        """Subscribes to the timers."""
+        """Subscribes to the heartbeat timer."""
         self._timers.subscribe(
             self.bus.heartbeat_interval_s, self._on_heartbeat_due
         )
@@ -113,96 +122,144 @@
             link.connection.close()
 
     def send(self, vm: VmId, message: Message) -> bool:
-        """Sends to a process; False where it certainly was not sent."""
+        """Sends a message to a process, over a new connection if needed.
+
+        Returns:
+            False if the message was certainly not sent.
+        """
         link = self.links.get(vm) or self._connect_on_demand(vm)
         if link is None:
             return False
         now_s = time.monotonic()
-        link.used_s = now_s
-        # An idle connection may have gone silent since its last heartbeat.
-        # The next would come seconds later, and its silence be noticed only
-        # then, with a request on it; asked now, it shows as fast as ever.
+        link.last_sent_s = now_s
+        # An idle connection may have stopped carrying data since its last
+        # heartbeat. The next heartbeat is due only seconds later, and the
+        # failure would be detected only after it, with a request already on
+        # the connection. A heartbeat sent now makes the detection as fast as
+        # on a connection in use.
         interval_s = self.bus.heartbeat_interval_s
-        if isinstance(message, _PROBED) and now_s - link.hello_s >= interval_s:
+        if (
+            isinstance(message, _HEARTBEAT_FIRST_TYPES)
+            and now_s - link.last_hello_s >= interval_s
+        ):
             self._send_hello(link)
         return link.connection.send(message)
 
     def get_kept(self) -> list[VmId]:
-        """Processes of the subset."""
+        """Returns the processes whose connections stay open while idle."""
         return [name for name, link in self.links.items() if link.kept]
 
     def get_listed(self) -> list[VmId]:
-        """All processes of the role, connected to or not."""
+        """Returns all listed processes of the role, connected or not."""
         return list(self._listed)
 
     def get_presumed(self) -> list[VmId]:
-        """All listed processes but those of the subset that are silent.
+        """Returns the listed processes that are presumed to be running.
 
-        Nothing is heard of a process beside the subset; it counts as there
-        until the list drops it.
+        Excluded are processes with a permanent connection that are not live,
+        by the list or by their heartbeats. A process without such a connection
+        is not monitored, so it counts as running until the list drops it.
         """
-        silent = set(self.get_kept()) - set(self.get_live())
-        return [vm for vm in self._listed if vm not in silent]
+        unreachable = set(self.get_kept()) - set(self.get_live())
+        return [vm for vm in self._listed if vm not in unreachable]
 
     @property
     def has_all(self) -> bool:
-        """Whether all processes of the role are in the subset."""
+        """Whether the subset holds all listed processes of the role."""
         return len(self._subset) == len(self._listed)
 
     def follow_all(self, wanted: bool) -> bool:
-        """Keeps connections to all; whether there was time to hear them."""
-        if wanted and self._all_since_s is None:
-            self._all_since_s = time.monotonic()
+        """Keeps connections to all listed processes open, or stops doing so.
+
+        Args:
+            wanted: Whether the connections are to stay open.
+
+        Returns:
+            Whether all connections are kept open and had time to receive
+            heartbeats: `silent_after_s` has passed since the first such call,
+            or the subset holds all processes anyway.
+        """
+        if wanted and self._all_kept_since_s is None:
+            self._all_kept_since_s = time.monotonic()
             self._update_links()
-        elif not wanted and self._all_since_s is not None:
-            self._all_since_s = None
+        elif not wanted and self._all_kept_since_s is not None:
+            self._all_kept_since_s = None
             self._update_links()
-        if self._all_since_s is None:
+        if self._all_kept_since_s is None:
             return False
-        waited_s = time.monotonic() - self._all_since_s
+        waited_s = time.monotonic() - self._all_kept_since_s
         return self.has_all or waited_s > self.bus.silent_after_s
 
     def set_extra(self, vms: frozenset[VmId]) -> None:
-        """Keeps connections to these beside the subset."""
-        if vms != self._extra:
-            self._extra = vms
+        """Keeps connections to `vms` open in addition to the subset."""
+        if vms != self._extra_vms:
+            self._extra_vms = vms
             self._update_links()
 
     async def ask(
         self, vm: VmId, question: Message, timeout_s: float
     ) -> Message | None:
-        """Asks a process; None where no answer came in time."""
-        with self._questions.open(question) as (ask, answer):
+        """Sends a query to a process and waits for the reply.
+
+        Args:
+            vm: VM of the process.
+            question: The query.
+            timeout_s: Longest wait for the reply.
+
+        Returns:
+            The reply; None if the query was not sent or no reply was
+            received in time.
+        """
+        with self._pending.register_query(question) as (ask, answer):
             if not self.send(vm, ask):
                 return None
-            self.change_use(vm, 1)
+            self.change_use_count(vm, 1)
             try:
                 return await asyncio.wait_for(answer, timeout_s)
             except TimeoutError:
                 return None
             finally:
-                self.change_use(vm, -1)
+                self.change_use_count(vm, -1)
+
+    def change_use_count(self, vm: VmId, change: int) -> None:
+        """Changes the use count of a connection.
 
-    def change_use(self, vm: VmId, by: int) -> None:
-        """Counts what keeps a connection open and its heartbeats frequent."""
+        A connection in use is not closed, and its heartbeats are sent at the
+        shorter interval.
+
+        Args:
+            vm: VM of the process.
+            change: Change of the count; a positive one opens the connection if
+                there is none.
+        """
         link = self.links.get(vm)
-        if link is None and by > 0:
+        if link is None and change > 0:
             link = self._connect_on_demand(vm)
         if link is not None:
-            link.in_use = max(0, link.in_use + by)
+            link.in_use = max(0, link.in_use + change)
 
     def is_heard(self, link: Link) -> bool:
-        """Whether the process answered lately and is not known to be gone."""
-        silent_s = link.get_silent_s(time.monotonic())
-        return not link.gone and silent_s <= self.bus.silent_after_s
+        """Returns whether the process answers heartbeats.
+
+        A process whose port refuses connections does not count as answering.
+        """
+        unanswered_s = link.get_unanswered_s(time.monotonic())
+        return not link.gone and unanswered_s <= self.bus.silent_after_s
 
     def is_lost(self, link: Link) -> bool:
-        """Whether the process is gone, or silent over reconnections."""
-        silent_s = link.get_silent_s(time.monotonic())
-        return link.gone or silent_s > self.bus.lost_after_s
+        """Returns whether the process has ended or is considered lost.
+
+        A process is lost when it has answered no heartbeat for `lost_after_s`,
+        also across replaced connections.
+        """
+        unanswered_s = link.get_unanswered_s(time.monotonic())
+        return link.gone or unanswered_s > self.bus.lost_after_s
 
     def get_live(self) -> list[VmId]:
-        """Processes of the subset that are listed live and heard lately."""
+        """Returns the processes that are listed as live and answer heartbeats.
+
+        Only processes whose connections stay open while idle are included.
+        """
         return [
             name
             for name, link in self.links.items()
@@ -212,7 +269,7 @@
         ]
 
     def get_dump(self) -> list[dict[str, object]]:
-        """State of each connection, for the dump."""
+        """Returns the state of each connection, for the dump."""
         now_s = time.monotonic()
         return [
             {
@@ -220,7 +277,7 @@
                 "zone": link.vm.zone,
                 "state": link.vm.state.value,
                 "heard_s_ago": round(now_s - link.heard_s, 3),
-                "silent_s": round(link.get_silent_s(now_s), 3),
+                "silent_s": round(link.get_unanswered_s(now_s), 3),
                 "in_use": link.in_use,
                 "answered": link.answered,
                 "gone": link.gone,
@@ -230,14 +287,19 @@
         ]
 
     def apply_vm_list(self, vms: list[Vm]) -> None:
-        """Connects to the subset and closes links that none needs."""
+        """Applies a new VM list.
+
+        Chooses the subset again if an entry or a process of the role was
+        added or removed, or a process moved to another availability zone.
+        Then opens the connections to the subset and closes unused ones.
+        """
         listed = {
             vm.vm: vm
             for vm in vms
-            if vm.role is self._role and vm.vm != self._own.vm
+            if vm.role is self._role and vm.vm != self._own_hello.vm
         }
         entries = frozenset(vm.vm for vm in vms if vm.role is Role.ENTRY)
-        if entries != self._entries or _is_moved(listed, self._listed):
+        if entries != self._entries or _has_changed(listed, self._listed):
             self._subset = choose_subset(
                 self._own_place,
                 sorted(entries),
@@ -248,22 +310,26 @@
         self._update_links()
 
     def is_watched(self, vm: VmId) -> bool:
-        """Whether this process is to notice that one's silence."""
+        """Returns whether this process must detect that a peer is unreachable.
+
+        This holds for processes of the subset, and for those that the VM list
+        does not name.
+        """
         return vm in self._subset or vm not in self._listed
 
     def _update_links(self) -> None:
-        kept = self._subset | (self._extra & self._listed.keys())
-        if self._all_since_s is not None:
+        kept = self._subset | (self._extra_vms & self._listed.keys())
+        if self._all_kept_since_s is not None:
             kept = frozenset(self._listed)
         for name, vm in self._listed.items():
-            known = self.links.get(name)
-            if known is None:
+            existing = self.links.get(name)
+            if existing is None:
                 if name in kept:
                     self._connect(vm)
-            elif known.vm.bus != vm.bus:
+            elif existing.vm.bus != vm.bus:
                 self._connect(vm)
             else:
-                known.vm = vm
+                existing.vm = vm
         for name, link in list(self.links.items()):
             link.kept = name in kept
             if not link.kept and self._is_unused(name, link):
@@ -272,7 +338,7 @@
                 self.on_removed(name)
 
     def _is_unused(self, name: VmId, link: Link) -> bool:
-        idle_s = time.monotonic() - max(link.used_s, link.connected_s)
+        idle_s = time.monotonic() - max(link.last_sent_s, link.connected_s)
         is_idle = name not in self._listed or idle_s > self.bus.idle_close_s
         return link.in_use == 0 and is_idle
 
@@ -285,11 +351,17 @@
         return self.links[vm]
 
     def on_frame(self, vm: VmId, message: Message) -> None:
-        """Handles a message other than `Reply`; subclasses may take some."""
+        """Handles a message that is not a `Reply`.
+
+        Subclasses may handle some types of messages themselves.
+        """
         self._on_message(vm, message)
 
     def on_removed(self, vm: VmId) -> None:
-        """Called when a VM's link is gone; subclasses forget it."""
+        """Called when a VM's connection was removed.
+
+        Subclasses drop their state of the VM.
+        """
 
     def _connect(self, vm: Vm, key_index: int = 0) -> None:
         previous = self.links.get(vm.vm)
@@ -311,10 +383,10 @@
             link.in_use = previous.in_use
             link.gone = previous.gone
             link.sequence = previous.sequence
-            link.heard_sequence = previous.sequence
+            link.answered_sequence = previous.sequence
             link.kept = previous.kept
             link.asked_s = previous.asked_s
-            link.used_s = previous.used_s
+            link.last_sent_s = previous.last_sent_s
         self.links[vm.vm] = link
         self._send_hello(link)
         if previous is not None:
@@ -325,41 +397,44 @@
         if link is None:
             return
         if isinstance(message, Hello | Heartbeat):
-            self._note_answer(link, message.heard_sequence)
+            self._record_heartbeat_answer(link, message.heard_sequence)
         if isinstance(message, Reply):
-            self._questions.take(message)
+            self._pending.resolve(message)
         else:
             self.on_frame(vm, message)
 
-    def _note_answer(self, link: Link, heard_sequence: int) -> None:
-        # Frames from the other side prove one direction only. A connection
-        # that swallows what this side sends would look well for ever while
-        # requests vanish on it; an answered heartbeat proves both.
-        if heard_sequence <= link.heard_sequence:
+    def _record_heartbeat_answer(self, link: Link, heard_sequence: int) -> None:
+        # Frames received from the peer prove only that the incoming direction
+        # works. A connection that loses everything this process sends would
+        # look healthy for ever while requests vanish on it. An answered
+        # heartbeat proves both directions.
+        if heard_sequence <= link.answered_sequence:
             return
-        link.heard_sequence = heard_sequence
+        link.answered_sequence = heard_sequence
         link.heard_s = time.monotonic()
         link.asked_s = None
         link.answered = True
         link.gone = False
 
-    def get_known_state(self, vm: VmId) -> int:
-        """What `Hello.known_state` says, once a connection has answered."""
+    def get_known_state_hash(self, vm: VmId) -> int:
+        """Returns `Hello.known_state` for a connection that has answered."""
         del vm
         return 1
 
     def _send_hello(self, link: Link) -> None:
         link.sequence += 1
-        link.hello_s = time.monotonic()
+        link.last_hello_s = time.monotonic()
         if link.asked_s is None:
-            link.asked_s = link.hello_s
-        known = self.get_known_state(link.vm.vm) if link.answered else 0
-        link.connection.send(self._make_hello(link.sequence, known))
+            link.asked_s = link.last_hello_s
+        known_state = (
+            self.get_known_state_hash(link.vm.vm) if link.answered else 0
+        )
+        link.connection.send(self._make_hello(link.sequence, known_state))
 
-    def _make_hello(self, sequence: int, known: int) -> Hello:
-        if known:
-            return Hello(_LEFT_OUT, 0, sequence, known_state=known)
-        return msgspec.structs.replace(self._own, sequence=sequence)
+    def _make_hello(self, sequence: int, known_state: int) -> Hello:
+        if known_state:
+            return Hello(_OMITTED_VM, 0, sequence, known_state=known_state)
+        return msgspec.structs.replace(self._own_hello, sequence=sequence)
 
     def _on_event(self, vm: VmId, event: ConnectionEvent) -> None:
         link = self.links.get(vm)
@@ -374,11 +449,16 @@
             self._connect(link.vm, link.key_index)
 
     async def _probe(self, vm: VmId) -> None:
-        # A killed process is noticed within milliseconds this way, where its
-        # silence would take seconds to tell from a connection's.
+        # The probe detects a killed process within milliseconds. By missing
+        # heartbeats alone it would take seconds to distinguish an ended
+        # process from a failed connection.
         try:
             link = self.links.get(vm)
-            if link is None or link.gone or not await is_refused(link.vm.bus):
+            if (
+                link is None
+                or link.gone
+                or not await is_connection_refused(link.vm.bus)
+            ):
                 return
             link = self.links.get(vm)
             if link is not None and not link.gone:
@@ -391,12 +471,15 @@
     def _on_heartbeat_due(self) -> None:
         now_s = time.monotonic()
         for link in list(self.links.values()):
-            silent_s = min(link.get_silent_s(now_s), now_s - link.connected_s)
-            if silent_s > self.bus.silent_after_s:
-                # Something between the two ends may have lost track of the
-                # connection: it stays open and nothing arrives. A new one
-                # works, and open runs are read on from their last chunk. The
-                # next accepted key is tried, for a peer that has rotated.
+            unanswered_s = min(
+                link.get_unanswered_s(now_s), now_s - link.connected_s
+            )
+            if unanswered_s > self.bus.silent_after_s:
+                # A device between the two processes may have lost the state
+                # of the connection: it stays open, but no data arrives. A new
+                # connection works, and open runs are resumed after their last
+                # chunk. The new connection uses the next accepted key, in
+                # case the peer has rotated its key.
                 _log.warning("connection_silent", extra={"peer": link.vm.vm})
                 self._connect(link.vm, link.key_index + 1)
             elif not link.gone and self._is_hello_due(link, now_s):
@@ -405,14 +488,14 @@
     def _is_hello_due(self, link: Link, now_s: float) -> bool:
         if link.in_use or link.asked_s is not None:
             return True
-        return now_s - link.hello_s >= self.bus.idle_heartbeat_interval_s
+        return now_s - link.last_hello_s >= self.bus.idle_heartbeat_interval_s
 
 
-def _is_moved(now: dict[VmId, Vm], before: dict[VmId, Vm]) -> bool:
-    return now.keys() != before.keys() or any(
-        before[name].zone != vm.zone for name, vm in now.items()
+def _has_changed(current: dict[VmId, Vm], earlier: dict[VmId, Vm]) -> bool:
+    return current.keys() != earlier.keys() or any(
+        earlier[name].zone != vm.zone for name, vm in current.items()
     )
 
 
-def _ignore(vm: VmId, message: Message) -> None:
+def _ignore_message(vm: VmId, message: Message) -> None:
     del vm, message
--- a/src/lovagestage/bus/questions.py
+++ b/src/lovagestage/bus/questions.py
@@ -1,4 +1,4 @@
-"""Questions to other processes, and the answers that belong to them."""
+"""Queries to other processes, matched with their replies by call id."""
 
 from __future__ import annotations
 
@@ -20,28 +20,35 @@
 _log = logging.getLogger(__name__)
 
 
-class Questions:
-    """The questions that wait for an answer."""
+class PendingQueries:
+    """Queries to other processes that wait for a reply."""
 
     def __init__(self) -> None:
         self._ids = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[Message]] = {}
 
     @contextlib.contextmanager
-    def open(
-        self, question: Message
+    def register_query(
+        self, query: Message
     ) -> Iterator[tuple[Ask, asyncio.Future[Message]]]:
-        """Gives what to send and the answer to wait for, until it is left."""
+        """Registers a query as pending while the context is open.
+
+        Args:
+            query: The query to send.
+
+        Yields:
+            The message to send, and the future that receives the reply.
+        """
         call_id = next(self._ids)
         answer = asyncio.get_running_loop().create_future()
         self._waiting[call_id] = answer
         try:
-            yield Ask(call_id, encode_message(question)), answer
+            yield Ask(call_id, encode_message(query)), answer
         finally:
             del self._waiting[call_id]
 
-    def take(self, reply: Reply) -> None:
-        """Takes an answer; one that nobody waits for any more is dropped."""
+    def resolve(self, reply: Reply) -> None:
+        """Resolves the pending query; drops a reply without one."""
         answer = self._waiting.get(reply.call_id)
         if answer is None or answer.done():
             return
--- a/src/lovagestage/bus/transport.py
+++ b/src/lovagestage/bus/transport.py
@@ -1,8 +1,8 @@
 """pyzmq sockets on the asyncio loop, with CURVE on every connection.
 
-The sockets are read through the loop's reader callbacks and drained in one
-go: an awaitable per message costs several times what the message itself
-does, which counts at one message per token.
+The loop's reader callback reads a socket until it is empty. An awaitable per
+message would cost several times as much as handling the message itself, and
+a stream sends one message per token.
 """
 
 from __future__ import annotations
@@ -30,23 +30,31 @@
 _log = logging.getLogger(__name__)
 
 SEND_QUEUE_MESSAGES = 10_000
+"""Messages that a socket queues per connection, in each direction."""
 DRAIN_BATCH = 256
+"""Messages that a socket reads before other callbacks of the loop run."""
 HANDSHAKE_TIMEOUT_MS = 2_000
+"""Time in which a client must complete the handshake with a listener."""
 PROBE_TIMEOUT_S = 1.0
+"""Longest time that a probe of a peer's port may take; a slower one proves
+nothing."""
 RECONNECT_MIN_MS = 50
+"""Time that zmq waits before it first reconnects."""
 RECONNECT_MAX_MS = 1_000
+"""Longest time that zmq waits before it reconnects."""
 
 PeerId = bytes
 """Routing id that a listener gives a connection."""
 
 
 class _ReadableSocket(abc.ABC):
-    """A socket drained by the loop.
+    """A zmq socket whose messages the asyncio loop reads.
 
     The file descriptor of a zmq socket is edge-triggered: an event that is
-    not drained is not signalled again, and a send may consume it. Both cases
-    would leave messages unread until the next one arrives; therefore reads go
-    on until the socket is empty, and each send looks for input afterwards.
+    not drained is not signalled again, and a send may consume the event. In
+    both cases messages would stay unread until the next one arrives.
+    Therefore each read continues until the socket is empty, and each send
+    checks for input afterwards.
     """
 
     def __init__(self, socket: zmq.Socket[bytes]) -> None:
@@ -95,12 +103,12 @@
 
 
 class Listener(_ReadableSocket):
-    """Accepts connections of other processes.
+    """Accepts connections from other processes.
 
     Args:
-        context: The process's zmq context.
-        settings: Address and keys.
-        on_message: Called with the connection's id and the message.
+        context: The zmq context of this process.
+        settings: Address to listen on, and keys of this process.
+        on_message: Called with the connection's routing id and the message.
     """
 
     def __init__(
@@ -119,18 +127,22 @@
         super().__init__(socket)
 
     def send(self, peer: PeerId, message: Message) -> bool:
-        """Sends to a connection; False where it is gone or its queue full."""
+        """Sends a message to a connection.
+
+        Returns:
+            False if the connection is closed or its send queue is full.
+        """
         return self.send_frames([peer, encode_message(message)])
 
     def on_frames(self, frames: list[bytes]) -> None:
-        """Handles one message from a connection."""
+        """Decodes one message from a connection and forwards it."""
         message = _decode_or_log(frames[-1])
         if message is not None:
             self._on_message(frames[0], message)
 
 
 class ConnectionEvent(enum.Enum):
-    """What became of a connection."""
+    """Change of a connection's state that the zmq monitor reports."""
 
     OPENED = "opened"
     CLOSED = "closed"
@@ -141,44 +153,44 @@
     int(zmq.EVENT_DISCONNECTED): ConnectionEvent.CLOSED,
     int(zmq.EVENT_CLOSED): ConnectionEvent.CLOSED,
 }
-"""`EVENT_CLOSED` comes where a connection could not be made."""
+"""Monitored zmq events; `EVENT_CLOSED` follows a failed connection attempt."""
 
 
 class _Monitor(_ReadableSocket):
-    """Reads a socket's events."""
+    """Reads the monitor events of a socket."""
 
     def __init__(
         self,
-        watched: zmq.Socket[bytes],
+        monitored: zmq.Socket[bytes],
         on_event: Callable[[ConnectionEvent], None],
     ) -> None:
-        self._watched = watched
+        self._monitored = monitored
         self._on_event = on_event
-        super().__init__(watched.get_monitor_socket(sum(_EVENTS)))
+        super().__init__(monitored.get_monitor_socket(sum(_EVENTS)))
 
     def on_frames(self, frames: list[bytes]) -> None:
-        """Hands on one event."""
+        """Reports one event to the callback."""
         event = _EVENTS.get(int(parse_monitor_message(frames)["event"]))
         if event is not None:
             self._on_event(event)
 
     def close(self) -> None:
-        """Ends the watch; the watched socket must still be open."""
+        """Stops the monitoring; the monitored socket must still be open."""
         if self.socket.closed:
             return
         self._loop.remove_reader(self.socket.fileno())
-        self._watched.disable_monitor()
+        self._monitored.disable_monitor()
         self.socket.close(linger=0)
 
 
 class Connection(_ReadableSocket):
-    """Connects to another process's listener.
+    """Connects to the listener of a peer process.
 
     Args:
-        context: The process's zmq context.
+        context: The zmq context of this process.
         settings: Keys of this process.
-        address: `HOST:PORT` of the other.
-        server_key: Public key of the other, Z85.
+        address: `HOST:PORT` of the peer's listener.
+        server_key: Public key of the peer, in Z85.
         on_message: Called with each message.
         on_event: Called when the connection opens or closes.
     """
@@ -203,26 +215,27 @@
         super().__init__(socket)
 
     def close(self) -> None:
-        """Closes the connection and its watch."""
+        """Closes the connection and its monitor."""
         self._monitor.close()
         super().close()
 
     def send(self, message: Message) -> bool:
-        """Sends; False where the queue is full."""
+        """Sends a message; returns False if the send queue is full."""
         return self.send_frames([encode_message(message)])
 
     def on_frames(self, frames: list[bytes]) -> None:
-        """Handles one message from the other process."""
+        """Decodes one message from the peer process and forwards it."""
         message = _decode_or_log(frames[-1])
         if message is not None:
             self._on_message(message)
 
 
-async def is_refused(address: str) -> bool:
-    """Whether nothing listens at `HOST:PORT`.
+async def is_connection_refused(address: str) -> bool:
+    """Returns whether the machine refuses a TCP connection to `HOST:PORT`.
 
-    A refusal comes from the other machine's kernel: the process that
-    listened there has ended. Silence proves nothing.
+    The kernel of the peer's machine refuses a connection when no process
+    listens on the port, so a refusal proves that the process has ended. A
+    missing answer proves nothing.
     """
     host, _, port = address.rpartition(":")
     try:
@@ -247,10 +260,11 @@
 
 
 class KeyAuthenticator:
-    """Lets in only connections whose public key is in the settings.
+    """Accepts only connections whose public key is in the settings.
 
-    Without it anyone on the network who knows a listener's public key could
-    run or cancel requests; CURVE itself checks only the server.
+    Without this check anyone on the network who knows a listener's public
+    key could run or cancel requests, because CURVE by itself authenticates
+    only the server.
     """
 
     def __init__(
@@ -262,17 +276,17 @@
         self._accepted_keys = {key.encode() for key in accepted_keys}
 
     def start(self) -> None:
-        """Starts to answer the sockets' questions."""
+        """Starts to handle the authentication requests of the sockets."""
         self._authenticator.start()
         self._authenticator.configure_curve_callback(
             domain="*", credentials_provider=self
         )
 
     def stop(self) -> None:
-        """Stops answering."""
+        """Stops handling authentication requests."""
         self._authenticator.stop()
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Called by pyzmq with a public key in Z85."""
+        """Returns whether a public key in Z85 is accepted; pyzmq calls it."""
         del domain
         return key in self._accepted_keys
