--- a/src/lovagestage/__main__.py
+++ b/src/lovagestage/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as `python -m lovagestage`."""
+"""Runs the command line for `python -m lovagestage`."""
 
 from __future__ import annotations
 
--- a/src/lovagestage/api/entry.py
+++ b/src/lovagestage/api/entry.py
@@ -53,7 +53,7 @@
 
     Args:
         settings: Settings of the process.
-        role: Settings of the role `entry`.
+        role_settings: Settings of the role `entry`.
         control: Reader of the configuration in force.
         upstreams: Connections to sidecars.
         peers: Connections to the other entries.
@@ -70,7 +70,7 @@
     def __init__(
         self,
         settings: Settings,
-        role: EntrySettings,
+        role_settings: EntrySettings,
         control: ControlReader,
         upstreams: UpstreamTable,
         peers: LinkTable,
@@ -86,7 +86,7 @@
         super().__init__()
         self._trials = trials
         self._settings = settings
-        self._role = role
+        self._role_settings = role_settings
         self._control = control
         self._upstreams = upstreams
         self._peers = peers
@@ -108,20 +108,24 @@
     def _make_api(self) -> CallerApi:
         keyed = KeyedRuns(self._keys, self._dispatcher, self._upstreams)
         return CallerApi(
-            self._role,
+            self._role_settings,
             self._control,
             self._upstreams,
             Authenticator(self._control, self._trials),
             self._make_chat_api(keyed),
-            PlainApi(self._dispatcher, keyed, self._role.default_deadline_s),
+            PlainApi(
+                self._dispatcher, keyed, self._role_settings.default_deadline_s
+            ),
             KeyedRefusals(self._keys),
             Meter(self._metrics),
         )
 
     def _make_chat_api(self, keyed: KeyedRuns) -> ChatApi:
-        signer = SessionSigner(self._role.session_keys)
+        signer = SessionSigner(self._role_settings.session_keys)
         return ChatApi(
-            ChatAdmission(self._trials, signer, self._role.default_deadline_s),
+            ChatAdmission(
+                self._trials, signer, self._role_settings.default_deadline_s
+            ),
             ChatAnswers(self._billing, signer),
             self._dispatcher,
             keyed,
@@ -136,10 +140,14 @@
         """Opens the callers' port."""
         await self._runner.setup()
         self._site = web.TCPSite(
-            self._runner, self._role.http_host, self._role.http_port
+            self._runner,
+            self._role_settings.http_host,
+            self._role_settings.http_port,
         )
         await self._site.start()
-        _log.info("entry_started", extra={"port": self._role.http_port})
+        _log.info(
+            "entry_started", extra={"port": self._role_settings.http_port}
+        )
 
     async def on_stop(self) -> None:
         """Closes the callers' port."""
@@ -153,7 +161,7 @@
         await asyncio.sleep(BALANCER_NOTICE_S)
         try:
             await asyncio.wait_for(
-                self._api.idle.wait(), self._role.drain_timeout_s
+                self._api.idle.wait(), self._role_settings.drain_timeout_s
             )
         except TimeoutError:
             _log.warning("drain_timeout")
--- a/src/lovagestage/cli.py
+++ b/src/lovagestage/cli.py
@@ -21,7 +21,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs one command; returns its exit code."""
+    """Runs the command that the arguments name; returns its exit code."""
     options = make_parser().parse_args(arguments)
     try:
         return int(options.run(options))
@@ -29,14 +29,15 @@
         print(f"lovagestage: {error.format_message()}", file=sys.stderr)
         return error.exit_code
     except BrokenPipeError:
-        # The reader of the output, such as `head`, has seen enough. What is
-        # still buffered goes nowhere, or the interpreter would fail with it.
+        # The reader of the output, such as `head`, has closed the pipe. The
+        # output that is still buffered goes to the null device; otherwise the
+        # interpreter would fail when it flushes the buffer at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return EXIT_FAILURE
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Builds the parser of all commands."""
+    """Builds the argument parser with all commands."""
     parser = argparse.ArgumentParser(
         prog="lovagestage",
         description="Model-aware router for versions and cascades.",
@@ -45,11 +46,11 @@
         "--version", action="version", version=f"lovagestage {__version__}"
     )
     commands = parser.add_subparsers(metavar="COMMAND", required=True)
-    for role, text in (
+    for role, summary in (
         ("entry", "run the process that callers reach"),
-        ("sidecar", "run the process beside an upstream"),
+        ("sidecar", "run the process beside an upstream on its VM"),
     ):
-        command = commands.add_parser(role, help=text, description=text)
+        command = commands.add_parser(role, help=summary, description=summary)
         command.add_argument(
             "--settings", type=pathlib.Path, required=True, metavar="FILE"
         )
@@ -57,8 +58,8 @@
             "--check", action="store_true", help="check the settings and exit"
         )
         command.set_defaults(run=_run_daemon, role=role)
-    text = "run the front end on the users' platform"
-    gateway = commands.add_parser("gateway", help=text, description=text)
+    summary = "run the front end on the users' platform"
+    gateway = commands.add_parser("gateway", help=summary, description=summary)
     add_gateway_arguments(gateway)
     gateway.set_defaults(run=run_gateway_command)
     add_service_parsers(commands)
--- a/src/lovagestage/exceptions.py
+++ b/src/lovagestage/exceptions.py
@@ -1,7 +1,7 @@
-"""Every failure that lovagestage reports, each with a stable code.
+"""Errors that lovagestage reports, each with a stable code.
 
-`LovagestageError` is the base. Errors that reach a caller over HTTP derive
-from `RequestRefusedError` and say whether the request was run.
+`LovagestageError` is the base class. Errors that a caller receives over HTTP
+derive from `RequestRefusedError` and state whether the request was run.
 """
 
 from __future__ import annotations
@@ -19,12 +19,13 @@
 
 
 class LovagestageError(Exception):
-    """Base of all errors.
+    """Base class of all errors.
 
     Attributes:
         code: Stable name of the kind of failure.
         exit_code: Exit code of a command that ends with this error.
-        message: Whole sentences that name the value at fault.
+        message: Description of the failure in complete sentences, with the
+            wrong value.
     """
 
     code = "internal_error"
@@ -35,16 +36,16 @@
         self.message = message
 
     def format_message(self) -> str:
-        """Formats the error for one line of a terminal."""
+        """Formats the error as text for a terminal."""
         return f"{self.code}: {self.message}"
 
 
 class SettingsError(LovagestageError):
-    """A settings file is wrong.
+    """A settings file can't be read, or its content is not valid.
 
     Attributes:
         file: Path of the file.
-        line: Line number from 1.
+        line: Line number, starting at 1.
         key: Path of the key, such as `entry.http_port`.
     """
 
@@ -59,7 +60,7 @@
 
 
 class ListenError(LovagestageError):
-    """An address can't be listened at: not this VM's, or in use."""
+    """The process can't listen on an address: not this VM's, or in use."""
 
     code = "address_unavailable"
     exit_code = EXIT_UNAVAILABLE
@@ -79,20 +80,20 @@
 
 
 class DocumentInvalidError(LovagestageError):
-    """A service document has faults; the message has one line for each."""
+    """A service document has faults; the message lists one per line."""
 
     code = "invalid_document"
     exit_code = EXIT_INVALID
 
 
 class ServiceUnknownError(LovagestageError):
-    """No service in force has the name."""
+    """No service in force matches the name or version given."""
 
     code = "unknown_service"
 
 
 class ProcessSilentError(LovagestageError):
-    """A process of the system does not answer."""
+    """A process of the system does not answer a query in time."""
 
     code = "process_silent"
     exit_code = EXIT_UNAVAILABLE
@@ -105,13 +106,13 @@
 
 
 class SealError(LovagestageError):
-    """A datagram is not sealed by what gateways share."""
+    """A datagram is not authenticated with the secret that gateways share."""
 
     code = "seal_wrong"
 
 
 class LogError(LovagestageError):
-    """The platform's log did not do what was asked."""
+    """An operation of the platform's log failed."""
 
     code = "log_error"
     exit_code = EXIT_UNAVAILABLE
@@ -124,17 +125,18 @@
 
 
 class LogAnswerLostError(LogError):
-    """The log's answer is lost; the record may have been appended."""
+    """The log's response was lost; the record may have been appended."""
 
     code = "log_answer_lost"
     exit_code = EXIT_UNKNOWN
 
 
 class ChangeUnknownError(LogError):
-    """A change may have been appended, and its result was not seen.
+    """A change may have been appended, but its result was not seen in time.
 
     Attributes:
-        change_id: To ask about later, or to append again with.
+        change_id: Id of the change, with which its result can be queried later
+            or the change appended again.
     """
 
     code = "change_unknown"
@@ -149,10 +151,10 @@
 
 
 class BelowHorizonError(LogError):
-    """The records asked for have expired.
+    """The requested records of the log have expired.
 
     Attributes:
-        first_offset: The oldest offset that the log still has.
+        first_offset: Offset of the oldest record that the log still holds.
     """
 
     code = "below_horizon"
@@ -165,7 +167,7 @@
 
 
 class LeaseLostError(LovagestageError):
-    """An act needs a lease that this process does not surely hold."""
+    """An operation needs a lease that this process may no longer hold."""
 
     code = "lease_lost"
 
@@ -174,7 +176,7 @@
 
 
 class StaleFencingError(LovagestageError):
-    """An order carries the number of an earlier grant."""
+    """An order carries the fencing number of an earlier grant of the lease."""
 
     code = "stale_fencing"
 
@@ -188,7 +190,7 @@
 
 
 class GateNotReadyError(LovagestageError):
-    """An order can't be checked yet; it was not carried out."""
+    """An order's fencing number can't be checked yet; it was not executed."""
 
     code = "gate_not_ready"
 
@@ -200,10 +202,10 @@
 
 
 class EngineError(LovagestageError):
-    """An engine failed a request.
+    """An engine or plain service failed to answer a call.
 
     Attributes:
-        run: Whether the engine ran it.
+        run: Whether the request was run, as far as known.
     """
 
     code = "engine_error"
@@ -214,7 +216,7 @@
 
 
 class EngineRefusedError(EngineError):
-    """An engine answered that it did not run the request."""
+    """An engine or plain service certainly did not run the request."""
 
     code = "engine_refused"
 
@@ -223,7 +225,7 @@
 
 
 class EngineCrashedError(EngineError):
-    """An engine ended, or forgot the request, while it ran it."""
+    """An engine ended, or lost the request, while it ran the request."""
 
     code = "engine_crashed"
 
@@ -232,13 +234,14 @@
 
 
 class RequestRefusedError(LovagestageError):
-    """A request gets a refusal instead of an answer.
+    """A request is answered with a refusal instead of a result.
 
     Attributes:
-        status: HTTP status.
-        kind: The OpenAI error type.
-        run: Whether the request was run; `NOT_RUN` only where proved.
-        retry_after_s: When a retry helps; None where it does not.
+        status: HTTP status of the response.
+        kind: OpenAI error type.
+        run: Whether the request was run; `NOT_RUN` only if that is proved.
+        retry_after_s: Seconds after which a retry may succeed; None if no
+            time is known.
     """
 
     code = "refused"
@@ -257,20 +260,20 @@
 
 
 class MalformedRequestError(RequestRefusedError):
-    """The body is not a valid request."""
+    """The body or a header of the request is not valid."""
 
     code = "malformed_request"
 
 
 class BodyTooLargeError(RequestRefusedError):
-    """The body is over the limit."""
+    """The request body is larger than the limit."""
 
     code = "body_too_large"
     status = 413
 
 
 class IncompleteBodyError(RequestRefusedError):
-    """The caller stopped sending before the body was whole."""
+    """The request body was not received completely."""
 
     code = "incomplete_body"
     status = 408
@@ -285,14 +288,14 @@
 
 
 class UnknownModelError(RequestRefusedError):
-    """The name is no service, model or version."""
+    """No service, model or version has the requested name."""
 
     code = "model_not_found"
     status = 404
 
 
 class ModelNotAllowedError(RequestRefusedError):
-    """The workspace may not use what it asked for."""
+    """The workspace may not use the requested model or version."""
 
     code = "model_not_allowed"
     status = 403
@@ -300,7 +303,7 @@
 
 
 class UnknownRouteError(RequestRefusedError):
-    """The path belongs to no route of the caller's service."""
+    """No route of the caller's service matches the path."""
 
     code = "route_not_found"
     status = 404
@@ -315,7 +318,7 @@
 
 
 class VersionWithdrawnError(RequestRefusedError):
-    """The version was retired or withdrawn after the entry had chosen it."""
+    """The version was retired or withdrawn after the entry had selected it."""
 
     code = "version_withdrawn"
     status = 503
@@ -323,33 +326,33 @@
 
 
 class SessionInvalidError(RequestRefusedError):
-    """The session is none that the caller was given."""
+    """The session token is not one that the caller was given."""
 
     code = "session_invalid"
 
 
 class SessionExpiredError(RequestRefusedError):
-    """The session was not used for too long."""
+    """The session has expired after a long time without use."""
 
     code = "session_expired"
     status = 410
 
 
 class SessionVersionConflictError(RequestRefusedError):
-    """The request names another version than its session runs on."""
+    """The request names another version than the one its session runs on."""
 
     code = "session_version_conflict"
 
 
 class SessionVersionWithdrawnError(RequestRefusedError):
-    """The session's version is withdrawn and the session ends with it."""
+    """The session ended because its version was withdrawn."""
 
     code = "session_version_withdrawn"
     status = 410
 
 
 class NoCapacityError(RequestRefusedError):
-    """No upstream can take the request now."""
+    """No upstream can accept the request now."""
 
     code = "no_capacity"
     status = 503
@@ -357,7 +360,7 @@
 
 
 class WorkspaceLimitError(RequestRefusedError):
-    """The workspace has used up its token limit for now."""
+    """The workspace has reached its token limit for now."""
 
     code = "workspace_limit_exceeded"
     status = 429
@@ -365,14 +368,14 @@
 
 
 class DeadlineInfeasibleError(RequestRefusedError):
-    """A deferrable request can't be promised by its deadline."""
+    """A deferrable request can't be guaranteed to end by its deadline."""
 
     code = "deadline_infeasible"
     status = 422
 
 
 class BillingUnavailableError(RequestRefusedError):
-    """There is no room for the request's bill."""
+    """The billing buffer has no space for the request's bill."""
 
     code = "billing_unavailable"
     status = 503
@@ -388,7 +391,7 @@
 
 
 class UpstreamLostError(RequestRefusedError):
-    """The upstream was lost while it might have run the request."""
+    """The upstream was lost and may have run the request."""
 
     code = "upstream_lost"
     status = 502
@@ -396,7 +399,7 @@
 
 
 class DispatchLostError(RequestRefusedError):
-    """The sidecar never got the request and will not run it any more."""
+    """The sidecar never received the request and will not run it later."""
 
     code = "dispatch_lost"
     status = 503
@@ -404,7 +407,7 @@
 
 
 class UpstreamCrashedError(RequestRefusedError):
-    """The upstream died while it ran the request."""
+    """The upstream crashed while it ran the request."""
 
     code = "upstream_crashed"
     status = 502
@@ -419,7 +422,7 @@
 
 
 class SuspectWaitingError(RequestRefusedError):
-    """The request was in flight at crashes and waits to be run apart."""
+    """The request was in flight during crashes and awaits an isolated run."""
 
     code = "suspect_waiting"
     status = 503
@@ -427,7 +430,7 @@
 
 
 class UpstreamFailedError(RequestRefusedError):
-    """The upstream answered with an error after it took the request."""
+    """The upstream accepted the request and failed to answer it."""
 
     code = "upstream_failed"
     status = 502
@@ -443,7 +446,7 @@
 
 
 class RunForbiddenError(RequestRefusedError):
-    """The sidecar will not start the run: its claim was given up."""
+    """The sidecar refuses to start the run because its claim was released."""
 
     code = "run_forbidden"
     status = 503
@@ -451,7 +454,7 @@
 
 
 class KeyReusedError(RequestRefusedError):
-    """The request key was used before with another body."""
+    """The request key was used before with a different body."""
 
     code = "idempotency_key_reused"
     status = 422
@@ -466,7 +469,7 @@
 
 
 class KeyTableFullError(RequestRefusedError):
-    """No more request keys can be remembered now."""
+    """The table of request keys is full, so a new key can't be recorded."""
 
     code = "key_table_full"
     status = 503
@@ -474,7 +477,7 @@
 
 
 class KeyHistoryLostError(RequestRefusedError):
-    """Nobody remembers whether the request key was used before."""
+    """No entry knows any more whether the request key was used before."""
 
     code = "key_history_lost"
     status = 409
@@ -482,7 +485,7 @@
 
 
 class KeyRunLostError(RequestRefusedError):
-    """The upstream that held the key's run or its answer is gone."""
+    """The upstream with the key's run, or with its answer, is lost."""
 
     code = "key_run_lost"
     status = 409
@@ -518,21 +521,22 @@
         RunForbiddenError,
     )
 }
-"""Refusals by code, so that one that crossed a process can be raised again."""
+"""Classes of refusals by code. A process that receives a refusal from another
+one raises the same class of error again."""
 
 
 class ConnectionLostError(LovagestageError):
-    """A connection could not be opened, or ended before the whole answer."""
+    """A connection could not be opened, or ended before a complete answer."""
 
     code = "connection_lost"
     exit_code = EXIT_UNAVAILABLE
 
 
 class WrongMessageError(LovagestageError):
-    """Bytes on a connection are no message of HTTP/1.1 or exceed a limit.
+    """Bytes on a connection are no valid HTTP/1.1, or a limit was exceeded.
 
     Attributes:
-        status: HTTP status for a caller that sent them.
+        status: HTTP status to answer if a caller sent the bytes.
     """
 
     code = "wrong_message"
@@ -544,11 +548,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Transfer:
-    """How far the body of an answer came.
+    """Progress of the transfer of a response body.
 
     Attributes:
-        received_bytes: What came of it.
-        expected_bytes: Its length; None before the head, or without one.
+        received_bytes: Number of bytes of the body received.
+        expected_bytes: Length of the body; None before the head was received,
+            or if the head states no length.
     """
 
     received_bytes: int = 0
@@ -556,10 +561,10 @@
 
 
 class StoreError(LovagestageError):
-    """The platform's metadata store did not do what was asked.
+    """An operation of the platform's metadata store failed.
 
     Attributes:
-        transfer: How far its answer came.
+        transfer: Progress of the transfer of the store's response.
     """
 
     code = "store_error"
@@ -571,23 +576,23 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store did not answer a read, or certainly did not append."""
+    """The store failed to answer a read, or certainly did not append."""
 
     code = "store_unavailable"
 
 
 class StoreAnswerLostError(StoreError):
-    """The store's answer is lost; an append may have been done."""
+    """The store's response was lost; an append may have taken effect."""
 
     code = "store_answer_lost"
     exit_code = EXIT_UNKNOWN
 
 
 class StoreHistoryLostError(StoreError):
-    """The records that were asked for have been dropped.
+    """The store has dropped the requested records.
 
     Attributes:
-        first: Offset of the oldest record that is kept.
+        first: Offset of the oldest record that the store still holds.
     """
 
     code = "store_history_lost"
@@ -598,10 +603,10 @@
 
 
 class StoreConflictError(StoreError):
-    """A conditional append found the topic at another end.
+    """A conditional append did not match the end of the topic.
 
     Attributes:
-        end: Offset at which the topic ends.
+        end: Offset at which the topic currently ends.
     """
 
     code = "store_conflict"
@@ -613,13 +618,13 @@
 
 
 class AttemptFailedError(LovagestageError):
-    """An attempt at an upstream gave no answer to pass on.
+    """An attempt at an upstream gave no answer that can be forwarded.
 
     Attributes:
-        run: What is known of the request's execution there.
-        reason: Stable name of what went wrong.
-        at_fault: Whether it speaks against the upstream.
-        has_arrived: Whether the upstream can have seen the request.
+        run: Whether the upstream ran the request, as far as known.
+        reason: Stable name of the failure.
+        at_fault: Whether the failure counts against the upstream.
+        has_arrived: Whether the upstream may have received the request.
     """
 
     code = "attempt_failed"
@@ -639,12 +644,13 @@
 
 
 class GatewayRefusalError(LovagestageError):
-    """A request gets an answer of the gateway's own.
+    """The gateway itself answers a request with an error.
 
     Attributes:
-        status: HTTP status.
-        reason: Stable name of the reason.
-        retry_after_s: When the caller should come back; None if never.
+        status: HTTP status of the response.
+        reason: Stable name of the reason for the refusal.
+        retry_after_s: Seconds after which the caller should retry; None if no
+            time is given.
     """
 
     code = "gateway_refusal"
--- a/src/lovagestage/settings.py
+++ b/src/lovagestage/settings.py
@@ -1,7 +1,8 @@
-"""Settings files: JSON with comments, checked, errors with file and line.
+"""Parses and checks settings files, which are JSON with comments.
 
-Comments are blanked out with their line breaks kept, so the library that
-maps keys to lines (`json_source_map`) sees the positions of the file itself.
+Errors name the file, the line and the key. Comments are replaced by spaces
+and their line breaks kept, so that the positions that the library
+`json_source_map` finds for keys are the positions in the original file.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class StatsdSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Where metrics go.
+    """Destination of the metrics that a process sends.
 
     Attributes:
         host: Host of the statsd daemon.
@@ -38,11 +39,11 @@
 
 
 class LogSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How a process logs.
+    """Format and level of a process's log lines.
 
     Attributes:
         format: `text` for key=value lines, `json` for JSON lines.
-        level: Lowest level that is written.
+        level: Lowest level of the lines that are written.
     """
 
     format: str = "text"
@@ -53,14 +54,15 @@
     """URLs of the platform's services.
 
     Attributes:
-        log_url: The append-only log.
-        vms_url: The list of VMs.
-        rater_url: The answer rater; empty where there is none.
-        operators_root_key: Hex Ed25519 key that names the operators; where
-            it is empty, whoever may append to the log may edit documents.
-        log_keys: Secrets with which the system signs its snapshots in the
-            log; the first signs, each is accepted. Set them wherever
-            `operators_root_key` is set.
+        log_url: URL of the append-only log.
+        vms_url: URL of the list of VMs.
+        rater_url: URL of the answer rater; empty if there is none.
+        operators_root_key: Hex Ed25519 public key that authenticates the list
+            of operators. If it is empty, anyone who may append to the log may
+            edit service documents.
+        log_keys: Secrets with which the system's processes sign their
+            snapshots in the log. The first one signs; a signature by any of
+            them is accepted. Set them wherever `operators_root_key` is set.
     """
 
     log_url: str
@@ -71,24 +73,25 @@
 
 
 class BusSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How the system's processes reach and authenticate each other.
+    """Connections and authentication between the system's processes.
 
     Attributes:
-        bind: `HOST:PORT` of this process; port 0 is not allowed.
-        public_key: CURVE public key of this process, Z85.
-        secret_key: CURVE secret key of this process, Z85.
-        accepted_keys: Public keys of processes that may connect, Z85.
-        heartbeat_interval_s: Time between heartbeats of a connection that
-            is in use or has one unanswered.
-        silent_after_s: A connection on which a heartbeat goes unanswered for
-            so long is replaced.
-        lost_after_s: A process that stays silent for so long, over
-            reconnections, is lost. One whose port refuses connections is
-            lost at once.
-        idle_heartbeat_interval_s: Time between heartbeats of a connection
-            that nothing uses.
-        idle_close_s: A connection outside the subset that nothing used for
-            so long is closed.
+        bind: `HOST:PORT` on which this process listens; port 0 is not allowed.
+        public_key: CURVE public key of this process, in Z85.
+        secret_key: CURVE secret key of this process, in Z85.
+        accepted_keys: Public keys of the processes that may connect, in Z85.
+        heartbeat_interval_s: Seconds between heartbeats on a connection that
+            is in use or on which a heartbeat is unanswered.
+        silent_after_s: Seconds for which a heartbeat may stay unanswered
+            before the connection is replaced by a new one.
+        lost_after_s: Seconds for which a process may leave heartbeats
+            unanswered, also across replaced connections, before it is
+            considered lost. A process whose port refuses connections is
+            considered lost immediately.
+        idle_heartbeat_interval_s: Seconds between heartbeats on a connection
+            that is not in use.
+        idle_close_s: Seconds for which a connection outside the subset may be
+            idle before it is closed.
     """
 
     bind: str
@@ -106,32 +109,42 @@
     """Settings of an `entry` process.
 
     Attributes:
-        http_host: Address of the callers' API.
-        http_port: Port of the callers' API.
-        max_body_bytes: Larger request bodies are refused.
-        body_timeout_s: A body that is not whole by then is refused.
-        default_deadline_s: Deadline of a request that names none.
-        drain_timeout_s: Longest wait for open requests at a planned stop.
-        lease_ttl_s: Time after which another entry takes over a lease.
-        session_keys: Keys of session tokens, the same at every entry: the
-            first signs, all are accepted. Without one there are no sessions.
-        billing_interval_s: Mean time between appends of bills.
-        billing_buffer_bytes: Most bytes of bills that wait for the log, and
-            as many of other entries' copies; full, requests are refused.
-        billing_batch_bytes: Most bytes of one append of bills.
-        member_silence_s: An entry that was not heard for so long holds no
-            request keys from then on.
-        learning_window_s: Length of the windows in which ratings are counted;
-            those of the last six are used.
-        key_window_s: How long a request key is remembered.
-        key_limit: Most request keys held by this process; past it new ones
-            are refused.
-        upstream_subset: Sidecars that this entry picks to stay connected to;
-            all of them where there are fewer.
-        peer_subset: The same, of entries.
-        deferred_slots: Deferrable requests that this entry runs at once.
-        deferred_tokens_per_s: What one of them generates in a full engine.
-        deferred_limit: Most deferrable requests that wait.
+        http_host: Address on which the callers' API listens.
+        http_port: Port on which the callers' API listens.
+        max_body_bytes: Maximum size of a request body; larger ones are
+            refused.
+        body_timeout_s: Seconds within which a request body must be complete;
+            later ones are refused.
+        default_deadline_s: Deadline in seconds of a request that states none.
+        drain_timeout_s: Longest wait in seconds for open requests at a
+            planned stop.
+        lease_ttl_s: Seconds without renewal after which another entry may
+            take over a lease.
+        session_keys: Keys of session tokens, which must be the same at every
+            entry. The first one signs; all are accepted. Without a key there
+            are no sessions.
+        billing_interval_s: Mean seconds between appends of bills to the log.
+        billing_buffer_bytes: Maximum bytes of bills that wait to be appended
+            to the log, and separately of the copies held for other entries.
+            Requests are refused while the buffer is full.
+        billing_batch_bytes: Maximum bytes of one append of bills.
+        member_silence_s: Seconds without an answered heartbeat after which
+            other entries may remove an entry from the members that hold
+            request keys.
+        learning_window_s: Length in seconds of the windows in which ratings
+            are counted; the last six windows are used.
+        key_window_s: Seconds for which a request key is remembered.
+        key_limit: Maximum number of request keys that this process holds; at
+            the limit new keys are refused.
+        upstream_subset: Number of sidecars that this entry chooses to stay
+            connected to; all of them if there are fewer.
+        peer_subset: Number of entries that this entry chooses to stay
+            connected to; all of them if there are fewer.
+        deferred_slots: Number of deferrable requests that this entry runs at
+            the same time.
+        deferred_tokens_per_s: Tokens per second that one deferrable request
+            generates in a fully loaded engine.
+        deferred_limit: Maximum number of deferrable requests that wait.
     """
 
     http_host: str
@@ -160,18 +173,22 @@
     """Settings of a `sidecar` process.
 
     Attributes:
-        upstream_url: The engine or plain service on the same VM.
-        max_running: Requests that may run at the upstream at once.
-        drain_timeout_s: Longest wait for running requests at a planned stop.
-        replay_window_s: How long a finished answer is kept for resumption.
-        replay_limit_bytes: Most bytes kept for resumption.
-        first_token_timeout_s: A stream without its first event by then is
-            resumed on a new connection to the engine.
-        progress_timeout_s: A stream without a further event for so long is
-            resumed on a new connection to the engine.
-        pool: Pool of the plain service; empty where the upstream is an
+        upstream_url: URL of the engine or plain service on the same VM.
+        max_running: Maximum number of requests that run at the upstream at
+            the same time.
+        drain_timeout_s: Longest wait in seconds for running requests at a
+            planned stop.
+        replay_window_s: Seconds for which a finished answer is retained for
+            resumption.
+        replay_limit_bytes: Maximum bytes of answers retained for resumption.
+        first_token_timeout_s: Seconds within which a stream must have its
+            first event; otherwise it is resumed on a new connection to the
             engine.
-        max_answer_bytes: Larger answers of a plain service are refused.
+        progress_timeout_s: Maximum seconds between two events of a stream;
+            after that it is resumed on a new connection to the engine.
+        pool: Pool of the plain service; empty if the upstream is an engine.
+        max_answer_bytes: Maximum size of an answer of a plain service; larger
+            ones are refused.
     """
 
     upstream_url: str
@@ -189,14 +206,16 @@
     """Settings of one process.
 
     Attributes:
-        vm: Name of the VM.
+        vm: Name of the VM on which the process runs.
         zone: Availability zone of the VM.
-        platform: The platform's services.
+        platform: URLs and keys of the platform's services.
         bus: Connections between the system's processes.
-        entry: Present where the process runs as `entry`.
-        sidecar: Present where the process runs as `sidecar`.
-        statsd: Metrics.
-        log: Logging.
+        entry: Settings of the role `entry`; the process runs as an entry if
+            they are present.
+        sidecar: Settings of the role `sidecar`; the process runs as a sidecar
+            if they are present and `entry` is not.
+        statsd: Destination of the metrics.
+        log: Format and level of the log lines.
     """
 
     vm: VmId
@@ -214,10 +233,11 @@
 
     Attributes:
         operator: Name of the operator.
-        platform: The platform's services.
-        signing_key: Hex Ed25519 seed of the operator; empty where changes
-            are not signed.
-        bus: Keys that the system's processes accept, for `status` and `dump`.
+        platform: URLs and keys of the platform's services.
+        signing_key: Hex Ed25519 seed with which the operator signs changes;
+            empty if changes are not signed.
+        bus: Keys that the system's processes accept, which the commands
+            `status` and `dump` need.
     """
 
     operator: str
@@ -230,19 +250,23 @@
 
 
 def get_settings(path: pathlib.Path) -> Settings:
-    """Reads and checks a settings file.
+    """Reads and checks the settings file of a process.
 
     Raises:
-        SettingsError: The file can't be read or is wrong.
+        SettingsError: The file can't be read or is not valid.
     """
     return parse_file(path, Settings)
 
 
 def parse_file(path: pathlib.Path, kind: type[_T]) -> _T:
-    """Reads a JSON-with-comments file into a checked type.
+    """Reads a file of JSON with comments and checks it against a type.
+
+    Args:
+        path: Path of the file.
+        kind: A msgspec type.
 
     Raises:
-        SettingsError: The file can't be read or does not fit `kind`.
+        SettingsError: The file can't be read or does not match `kind`.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -254,31 +278,31 @@
 
 
 def parse_text(text: str, file: str, kind: type[_T]) -> _T:
-    """Parses JSON with comments into a checked type.
+    """Parses JSON with comments and checks it against a type.
 
     Args:
-        text: The document.
-        file: Name to use in errors.
+        text: The text to parse.
+        file: File name that errors report.
         kind: A msgspec type.
 
     Raises:
-        SettingsError: The text does not fit `kind`.
+        SettingsError: The text does not match `kind`.
     """
-    plain = _blank_comments(text)
-    _check_syntax(plain, file)
+    json_text = _blank_comments(text)
+    _check_syntax(json_text, file)
     try:
-        return msgspec.json.decode(plain.encode(), type=kind)
+        return msgspec.json.decode(json_text.encode(), type=kind)
     except msgspec.ValidationError as error:
-        raise _make_settings_error(str(error), plain, file) from error
+        raise _make_settings_error(str(error), json_text, file) from error
 
 
 def _blank_comments(text: str) -> str:
-    def blank(match: re.Match[str]) -> str:
+    def replace_with_spaces(match: re.Match[str]) -> str:
         if match.group(1) is not None:
             return match.group(1)
         return re.sub(r"[^\n]", " ", match.group(2))
 
-    return _STRING_OR_COMMENT.sub(blank, text)
+    return _STRING_OR_COMMENT.sub(replace_with_spaces, text)
 
 
 class _DuplicateKeyError(ValueError):
@@ -287,11 +311,11 @@
         self.key = key
 
 
-def _check_syntax(plain: str, file: str) -> None:
+def _check_syntax(json_text: str, file: str) -> None:
     try:
-        json.loads(plain, object_pairs_hook=_make_unique_dict)
+        json.loads(json_text, object_pairs_hook=_make_unique_dict)
     except _DuplicateKeyError as error:
-        line = _get_second_line_of_key(plain, error.key)
+        line = _get_line_of_duplicate(json_text, error.key)
         raise SettingsError(
             file, line, error.key, "expected the key once, found it twice."
         ) from error
@@ -310,28 +334,30 @@
     return unique
 
 
-def _get_second_line_of_key(plain: str, key: str) -> int:
-    found = list(re.finditer(re.escape(json.dumps(key)) + r"\s*:", plain))
-    return plain.count("\n", 0, found[-1].start()) + 1 if found else 1
+def _get_line_of_duplicate(json_text: str, key: str) -> int:
+    matches = list(re.finditer(re.escape(json.dumps(key)) + r"\s*:", json_text))
+    return json_text.count("\n", 0, matches[-1].start()) + 1 if matches else 1
 
 
-def _make_settings_error(message: str, plain: str, file: str) -> SettingsError:
+def _make_settings_error(
+    message: str, json_text: str, file: str
+) -> SettingsError:
     match = _MSGSPEC_PATH.match(message)
     reason = match.group("reason") if match else message
     path = (match.group("path") or "") if match else ""
     unknown = _UNKNOWN_FIELD.search(message)
     if unknown:
         path = f"{path}.{unknown.group('field')}"
-    line = _get_line_of_path(plain, path)
+    line = _get_line_of_path(json_text, path)
     return SettingsError(file, line, path.lstrip(".") or "$", f"{reason}.")
 
 
-def _get_line_of_path(plain: str, path: str) -> int:
+def _get_line_of_path(json_text: str, path: str) -> int:
     import json_source_map
 
     pointer = re.sub(r"\[(\d+)\]", r".\1", path).replace(".", "/")
     try:
-        entry = json_source_map.calculate(plain)[pointer]
+        entry = json_source_map.calculate(json_text)[pointer]
     except (KeyError, ValueError):
         return 1
     start = entry.key_start or entry.value_start
--- a/src/lovagestage/types.py
+++ b/src/lovagestage/types.py
@@ -1,4 +1,4 @@
-"""Identifiers and states that every other module shares."""
+"""Identifiers and states that all other modules share."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 ModelId = NewType("ModelId", str)
 VersionId = NewType("VersionId", str)
 PoolId = NewType("PoolId", str)
-"""A pool of upstreams of one plain service."""
+"""Name of a pool of upstreams of one plain service."""
 InstanceId = NewType("InstanceId", str)
-"""One start of an upstream; a restart has another."""
+"""Id of one start of an upstream; each restart gets a new id."""
 RequestId = NewType("RequestId", str)
 ChangeId = NewType("ChangeId", str)
 Fingerprint = NewType("Fingerprint", str)
 """Hash of a request's workspace and body."""
 WorkspaceTag = NewType("WorkspaceTag", int)
-"""64-bit hash of a service's and a workspace's name."""
+"""64-bit hash of the names of a service and a workspace."""
 LeaseId = NewType("LeaseId", str)
 Offset = NewType("Offset", int)
-"""Position of a record in one stream of the log, from 0."""
+"""Position of a record in one stream of the log, starting at 0."""
 FencingNumber = NewType("FencingNumber", int)
-"""Offset of the record that granted a lease; grows with each grant."""
+"""Offset of the record that granted a lease; each later grant has a higher
+one."""
 
 
 class RunState(enum.Enum):
-    """What a refusal says about the request's execution."""
+    """Whether a refused request was executed, as far as known."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -54,10 +55,10 @@
 
 
 class RolloutPhase(enum.Enum):
-    """Phase of a roll-out; also the state names of its chart."""
+    """Phase of a roll-out; the values are the state names of its chart."""
 
     LOADING = "loading"
-    """The new version is being loaded; it gets no requests."""
+    """The new version is being loaded and gets no requests."""
     STEPPING = "stepping"
     ROLLING_BACK = "rolling_back"
     ROLLED_BACK = "rolled_back"
@@ -80,7 +81,7 @@
 
 
 def parse_model_version(text: str) -> ModelVersion | None:
-    """Splits `MODEL@VERSION`; None where the text has another form."""
+    """Parses `MODEL@VERSION`; returns None for text of another form."""
     model, separator, version = text.partition("@")
     if not (model and separator and version):
         return None
--- a/src/lovagestage/wiring.py
+++ b/src/lovagestage/wiring.py
@@ -69,15 +69,29 @@
 
 
 class _Process(Protocol):
-    """The main service of a role."""
+    """Main service of a process, which depends on its role."""
 
     async def drain(self) -> None:
-        """Takes no new work and waits for what is open."""
+        """Stops accepting new work and waits until open work has ended."""
 
 
 @dataclasses.dataclass(frozen=True)
-class _Base:
-    """Parts that every role has."""
+class _Components:
+    """Components that the processes of every role have.
+
+    Attributes:
+        settings: Settings of the process.
+        context: The zmq context of the process.
+        session: HTTP client of the process.
+        timers: Timer service.
+        metrics: Metrics of the process.
+        log: Client of the platform's log.
+        control: Reader of the configuration in force.
+        writer: Writer of records to the `control` stream.
+        hub: Dispatches messages from the process's listener.
+        own: First message on a connection, with the VM name and the
+            incarnation of this process.
+    """
 
     settings: Settings
     context: zmq.Context[zmq.Socket[bytes]]
@@ -92,7 +106,7 @@
 
 
 def run_process(settings: Settings) -> int:
-    """Runs a process until it is told to stop; returns its exit code."""
+    """Runs a process until SIGTERM or SIGINT; returns its exit code."""
     start_logging(settings.log, settings.vm)
     return asyncio.run(_run(settings))
 
@@ -103,11 +117,11 @@
     authenticator = KeyAuthenticator(context, settings.bus.accepted_keys)
     authenticator.start()
     async with _make_session(settings) as session:
-        base = _make_base(settings, context, session)
-        process, services = _make_role(base)
-        listener = Listener(context, settings.bus, base.hub.on_message)
-        base.hub.set_listener(listener)
-        started = [base.timers, base.control, *services]
+        components = _make_components(settings, context, session)
+        process, services = _make_role(components)
+        listener = Listener(context, settings.bus, components.hub.on_message)
+        components.hub.set_listener(listener)
+        started = [components.timers, components.control, *services]
         for service in started:
             await service.start()
         _log.info("process_started")
@@ -115,7 +129,7 @@
         await process.drain()
         for service in reversed(started):
             await service.stop()
-        base.metrics.send()
+        components.metrics.send()
         listener.close()
     authenticator.stop()
     context.destroy(linger=500)
@@ -124,13 +138,13 @@
 
 
 def _make_session(settings: Settings) -> aiohttp.ClientSession:
-    role = settings.sidecar
-    is_plain = role is not None and bool(role.pool)
+    role_settings = settings.sidecar
+    is_plain = role_settings is not None and bool(role_settings.pool)
     return aiohttp.ClientSession(
-        # Each call to a plain service needs its own connection: see
-        # `HttpPlainService`.
+        # Each call to a plain service needs a new connection; for the reason
+        # see `HttpPlainService`.
         connector=aiohttp.TCPConnector(limit=0, force_close=is_plain),
-        # One caller's cookies must not be sent with another's call.
+        # Cookies of one caller must not be sent with the call of another.
         cookie_jar=aiohttp.DummyCookieJar(),
     )
 
@@ -143,11 +157,11 @@
     return stop
 
 
-def _make_base(
+def _make_components(
     settings: Settings,
     context: zmq.Context[zmq.Socket[bytes]],
     session: aiohttp.ClientSession,
-) -> _Base:
+) -> _Components:
     log = HttpLog(session, settings.platform.log_url)
     control = ControlReader(
         log,
@@ -156,10 +170,10 @@
     )
     timers = TimerService()
     metrics = Metrics(settings.statsd, timers)
-    _measure_control(control, metrics)
+    _record_control_metrics(control, metrics)
     hub = Hub()
     StateResponder(control, hub)
-    return _Base(
+    return _Components(
         settings,
         context,
         session,
@@ -173,7 +187,7 @@
     )
 
 
-def _measure_control(control: ControlReader, metrics: Metrics) -> None:
+def _record_control_metrics(control: ControlReader, metrics: Metrics) -> None:
     def set_gauges() -> None:
         state = control.folded
         metrics.set(Metric.CONTROL_OFFSET, state.next_offset)
@@ -182,210 +196,255 @@
     control.subscribe(set_gauges)
 
 
-def _make_role(base: _Base) -> tuple[_Process, list[mode.Service]]:
-    if base.settings.entry is not None:
-        return _make_entry(base, base.settings.entry)
-    assert base.settings.sidecar is not None
-    return _make_sidecar(base, base.settings.sidecar)
+def _make_role(components: _Components) -> tuple[_Process, list[mode.Service]]:
+    if components.settings.entry is not None:
+        return _make_entry(components, components.settings.entry)
+    assert components.settings.sidecar is not None
+    return _make_sidecar(components, components.settings.sidecar)
 
 
 def _make_entry(
-    base: _Base, role: EntrySettings
+    components: _Components, role_settings: EntrySettings
 ) -> tuple[_Process, list[mode.Service]]:
-    settings = base.settings
-    common = (base.context, settings.bus, base.own, base.timers)
-    upstreams = UpstreamTable(*common, settings.zone, role.upstream_subset)
-    peers = LinkTable(Role.ENTRY, *common, settings.zone, role.peer_subset)
-    watch = VmWatch(HttpVmList(base.session, settings.platform.vms_url))
-    watch.subscribe(upstreams.apply_vm_list)
-    watch.subscribe(peers.apply_vm_list)
-    membership = _make_membership(base, role, peers)
-    watch.subscribe(membership.apply_vm_list)
-    keys = KeyService(role, base.control, membership, peers, base.hub)
+    settings = components.settings
+    common = (
+        components.context,
+        settings.bus,
+        components.own,
+        components.timers,
+    )
+    upstreams = UpstreamTable(
+        *common, settings.zone, role_settings.upstream_subset
+    )
+    peers = LinkTable(
+        Role.ENTRY, *common, settings.zone, role_settings.peer_subset
+    )
+    vm_watch = VmWatch(
+        HttpVmList(components.session, settings.platform.vms_url)
+    )
+    vm_watch.subscribe(upstreams.apply_vm_list)
+    vm_watch.subscribe(peers.apply_vm_list)
+    membership = _make_membership(components, role_settings, peers)
+    vm_watch.subscribe(membership.apply_vm_list)
+    keys = KeyService(
+        role_settings, components.control, membership, peers, components.hub
+    )
     dispatcher = Dispatcher(
         upstreams,
         random.Random(),
-        base.timers,
-        CrashWatch(peers, base.hub),
-        RequestRights(base.control),
+        components.timers,
+        CrashWatch(peers, components.hub),
+        RequestRights(components.control),
     )
-    billing = _make_billing(base, role, peers)
-    exposure = _make_exposure(base, peers)
-    cascades = _make_cascades(base, role, peers)
-    quality = _make_quality(base, exposure, cascades)
+    billing = _make_billing(components, role_settings, peers)
+    exposure = _make_exposure(components, peers)
+    cascades = _make_cascades(components, role_settings, peers)
+    quality = _make_quality(components, exposure, cascades)
     limits = LimitService(
-        LimitTable(settings.vm, base.own.incarnation, time.monotonic()),
-        base.control,
+        LimitTable(settings.vm, components.own.incarnation, time.monotonic()),
+        components.control,
         peers,
-        base.timers,
-        base.hub,
+        components.timers,
+        components.hub,
     )
     entry = Entry(
         settings,
-        role,
-        base.control,
+        role_settings,
+        components.control,
         upstreams,
         peers,
         dispatcher,
-        base.hub,
+        components.hub,
         billing,
         keys,
         Trials(exposure, cascades, quality),
         limits,
-        _make_deferrals(role),
-        base.metrics,
+        _make_deferrals(role_settings),
+        components.metrics,
     )
-    work = [
-        *_make_snapshot_services(base, role),
-        *_make_rollout_driver(base, role, upstreams, exposure),
+    background_services = [
+        *_make_snapshot_services(components, role_settings),
+        *_make_rollout_driver(components, role_settings, upstreams, exposure),
         exposure,
         cascades,
         *([quality] if quality else []),
     ]
-    peer_state = PeerState(base.control, [peers, upstreams], upstreams)
-    search = VersionSearch(
-        base.control, upstreams, peers, base.hub, random.Random()
+    peer_state = PeerState(components.control, [peers, upstreams], upstreams)
+    version_search = VersionSearch(
+        components.control, upstreams, peers, components.hub, random.Random()
     )
-    links = [watch, upstreams, peers, peer_state, search]
-    return entry, [*links, billing, limits, membership, keys, *work, entry]
+    connection_services = [
+        vm_watch,
+        upstreams,
+        peers,
+        peer_state,
+        version_search,
+    ]
+    return entry, [
+        *connection_services,
+        billing,
+        limits,
+        membership,
+        keys,
+        *background_services,
+        entry,
+    ]
 
 
-def _make_deferrals(role: EntrySettings) -> DeferralService:
+def _make_deferrals(role_settings: EntrySettings) -> DeferralService:
     spec = SlotSpec(
-        role.deferred_slots, role.deferred_tokens_per_s, FIRST_TOKEN_S
+        role_settings.deferred_slots,
+        role_settings.deferred_tokens_per_s,
+        FIRST_TOKEN_S,
     )
-    return DeferralService(DeferralQueue(spec, role.deferred_limit))
+    return DeferralService(DeferralQueue(spec, role_settings.deferred_limit))
 
 
-def _make_exposure(base: _Base, peers: LinkTable) -> ExposureService:
+def _make_exposure(
+    components: _Components, peers: LinkTable
+) -> ExposureService:
     return ExposureService(
-        base.control,
-        base.writer,
+        components.control,
+        components.writer,
         peers,
-        base.timers,
-        base.hub,
-        base.own,
+        components.timers,
+        components.hub,
+        components.own,
         random.Random(),
-        bool(base.settings.platform.rater_url),
+        bool(components.settings.platform.rater_url),
     )
 
 
 def _make_cascades(
-    base: _Base, role: EntrySettings, peers: LinkTable
+    components: _Components, role_settings: EntrySettings, peers: LinkTable
 ) -> CascadeService:
     return CascadeService(
-        base.control,
-        Learned(base.own.vm, base.own.incarnation),
+        components.control,
+        Learned(components.own.vm, components.own.incarnation),
         peers,
-        base.timers,
-        base.hub,
+        components.timers,
+        components.hub,
         random.Random(),
-        role.learning_window_s,
+        role_settings.learning_window_s,
     )
 
 
 def _make_quality(
-    base: _Base, exposure: ExposureService, cascades: CascadeService
+    components: _Components, exposure: ExposureService, cascades: CascadeService
 ) -> QualityService | None:
-    url = base.settings.platform.rater_url
+    url = components.settings.platform.rater_url
     if not url:
         return None
-    return QualityService(HttpRater(base.session, url), exposure, cascades)
+    return QualityService(
+        HttpRater(components.session, url), exposure, cascades
+    )
 
 
 def _make_rollout_driver(
-    base: _Base,
-    role: EntrySettings,
+    components: _Components,
+    role_settings: EntrySettings,
     upstreams: UpstreamTable,
     evidence: Evidence,
 ) -> list[mode.Service]:
     lease = LeaseKeeper(
-        ROLLOUT_LEASE, base.own, base.control, base.writer, role.lease_ttl_s
+        ROLLOUT_LEASE,
+        components.own,
+        components.control,
+        components.writer,
+        role_settings.lease_ttl_s,
     )
     driver = RolloutDriver(
-        base.control, lease, base.writer, upstreams, evidence
+        components.control, lease, components.writer, upstreams, evidence
     )
     return [lease, driver]
 
 
 def _make_billing(
-    base: _Base, role: EntrySettings, peers: LinkTable
+    components: _Components, role_settings: EntrySettings, peers: LinkTable
 ) -> BillingService:
     ledger = BillingLedger(
-        base.settings.vm,
-        base.settings.zone,
-        base.own.incarnation,
-        role.billing_buffer_bytes,
-        role.billing_batch_bytes,
+        components.settings.vm,
+        components.settings.zone,
+        components.own.incarnation,
+        role_settings.billing_buffer_bytes,
+        role_settings.billing_batch_bytes,
     )
     return BillingService(
         ledger,
-        base.log,
+        components.log,
         peers,
-        base.timers,
-        base.hub,
-        role.billing_interval_s,
+        components.timers,
+        components.hub,
+        role_settings.billing_interval_s,
         random.Random(),
     )
 
 
 def _make_snapshot_services(
-    base: _Base, role: EntrySettings
+    components: _Components, role_settings: EntrySettings
 ) -> list[mode.Service]:
-    keeper = LeaseKeeper(
-        SNAPSHOT_LEASE, base.own, base.control, base.writer, role.lease_ttl_s
+    lease = LeaseKeeper(
+        SNAPSHOT_LEASE,
+        components.own,
+        components.control,
+        components.writer,
+        role_settings.lease_ttl_s,
     )
     writer = SnapshotWriter(
-        base.log,
-        base.control,
-        keeper,
-        keys=base.settings.platform.log_keys,
+        components.log,
+        components.control,
+        lease,
+        keys=components.settings.platform.log_keys,
     )
-    return [keeper, writer]
+    return [lease, writer]
 
 
 def _make_membership(
-    base: _Base, role: EntrySettings, peers: LinkTable
+    components: _Components, role_settings: EntrySettings, peers: LinkTable
 ) -> Membership:
-    settings = base.settings
+    settings = components.settings
     return Membership(
-        base.control,
-        base.log,
+        components.control,
+        components.log,
         peers,
         MemberJoined(
             settings.vm,
             settings.zone,
-            base.own.incarnation,
+            components.own.incarnation,
             settings.bus.bind,
         ),
-        role.member_silence_s,
+        role_settings.member_silence_s,
     )
 
 
 def _make_upstream(
-    base: _Base, role: SidecarSettings
+    components: _Components, role_settings: SidecarSettings
 ) -> HttpEngine | HttpPlainService:
-    if not role.pool:
-        return HttpEngine(base.session, role.upstream_url)
+    if not role_settings.pool:
+        return HttpEngine(components.session, role_settings.upstream_url)
     return HttpPlainService(
-        base.session, role.upstream_url, role.max_answer_bytes
+        components.session,
+        role_settings.upstream_url,
+        role_settings.max_answer_bytes,
     )
 
 
 def _make_sidecar(
-    base: _Base, role: SidecarSettings
+    components: _Components, role_settings: SidecarSettings
 ) -> tuple[_Process, list[mode.Service]]:
-    engine = _make_upstream(base, role)
-    runs = RunTable(engine, base.hub, role, base.own.incarnation)
+    engine = _make_upstream(components, role_settings)
+    runs = RunTable(
+        engine, components.hub, role_settings, components.own.incarnation
+    )
     if isinstance(engine, HttpEngine):
-        OrderService(engine, FencingGate(base.control), base.hub)
+        OrderService(engine, FencingGate(components.control), components.hub)
     sidecar = Sidecar(
-        base.settings,
-        role,
-        base.control,
+        components.settings,
+        role_settings,
+        components.control,
         engine,
         runs,
-        base.timers,
-        base.hub,
+        components.timers,
+        components.hub,
     )
     return sidecar, [sidecar]
