--- a/src/lovagestage/api/chat_answers.py
+++ b/src/lovagestage/api/chat_answers.py
@@ -137,7 +137,7 @@
 
 def _make_billed_request(admitted: Request, result: Result) -> Request:
     # A request that joined the run of another request is billed under the id
-    # of that request, so that the run is billed only once.
+    # of that request, so that the two bills have one id and count once.
     request_id = result.request_id or admitted.request_id
     return dataclasses.replace(admitted, request_id=request_id)
 
--- a/src/lovagestage/bus/links.py
+++ b/src/lovagestage/bus/links.py
@@ -41,7 +41,7 @@
 _log = logging.getLogger(__name__)
 
 _HEARTBEAT_FIRST_TYPES = (Ask, Attach, Dispatch)
-"""Messages before which a heartbeat is sent on an idle connection."""
+"""Types of messages before which a heartbeat is sent on an idle connection."""
 _OMITTED_VM = VmId("")
 
 
@@ -318,20 +318,20 @@
         return vm in self._subset or vm not in self._listed
 
     def _update_links(self) -> None:
-        kept = self._subset | (self._extra_vms & self._listed.keys())
+        permanent = self._subset | (self._extra_vms & self._listed.keys())
         if self._all_kept_since_s is not None:
-            kept = frozenset(self._listed)
+            permanent = frozenset(self._listed)
         for name, vm in self._listed.items():
             existing = self.links.get(name)
             if existing is None:
-                if name in kept:
+                if name in permanent:
                     self._connect(vm)
             elif existing.vm.bus != vm.bus:
                 self._connect(vm)
             else:
                 existing.vm = vm
         for name, link in list(self.links.items()):
-            link.kept = name in kept
+            link.kept = name in permanent
             if not link.kept and self._is_unused(name, link):
                 link.connection.close()
                 del self.links[name]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test files share, and the tests known to fail."""
+"""Shared fixtures, and the handling of tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -18,8 +18,12 @@
         yield started
 
 
-def get_known_red():
-    """Lines by the id of their test: `ID | cause | issue | command`."""
+def read_known_red():
+    """Reads the known failing tests from `KNOWN-RED.txt`.
+
+    Returns:
+        Lines of the form `ID | cause | issue | command`, by the test's id.
+    """
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
@@ -29,13 +33,13 @@
 
 
 def pytest_collection_modifyitems(items):
-    known = get_known_red()
+    known_red = read_known_red()
     for item in items:
-        if item.nodeid in known:
-            reason = known[item.nodeid]
+        if item.nodeid in known_red:
+            reason = known_red[item.nodeid]
             item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
 
 
 def pytest_terminal_summary(terminalreporter):
-    for line in get_known_red().values():
+    for line in read_known_red().values():
         terminalreporter.write_line(f"KNOWN RED: {line}")
--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -1,4 +1,4 @@
-"""Which workspace an API key belongs to, as documents change."""
+"""Lookup of an API key's workspace while service documents change."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from lovagestage.state.fold import ControlState
 from lovagestage.state.records import DocumentChange, encode_record
 
-TRIALS = types.SimpleNamespace(get_document=lambda document: document)
+TRIALS_STUB = types.SimpleNamespace(get_document=lambda document: document)
 
 
 class FakeControl:
-    """The reader's folded state, without a log."""
+    """Replaces the `ControlReader`: holds the folded state without a log."""
 
     def __init__(self) -> None:
         self.folded = ControlState()
@@ -53,38 +53,39 @@
         self.headers = {"Authorization": f"Bearer {key}"}
 
 
-def get_workspace(authenticator, key: str) -> str:
+def find_workspace(authenticator, key: str) -> str:
     return authenticator.get_caller(FakeRequest(key)).workspace
 
 
 def test_replaced_key_stops_working_with_the_next_document():
-    # A key has leaked and the team replaces it. From the moment the document
-    # is folded the old key is refused, though it was looked up just before.
+    # Guards against a stale index of keys. A key has leaked and the team
+    # replaces it. As soon as the new document is folded, the old key is
+    # refused, although it was looked up just before.
     control = FakeControl()
-    authenticator = Authenticator(control, TRIALS)
+    authenticator = Authenticator(control, TRIALS_STUB)
     with pytest.raises(NotReadyError):
-        get_workspace(authenticator, "old")
+        find_workspace(authenticator, "old")
     control.publish("s", 0, till="old")
-    assert get_workspace(authenticator, "old") == "till"
+    assert find_workspace(authenticator, "old") == "till"
     control.publish("s", 1, till="new")
-    assert get_workspace(authenticator, "new") == "till"
+    assert find_workspace(authenticator, "new") == "till"
     with pytest.raises(WrongKeyError):
-        get_workspace(authenticator, "old")
+        find_workspace(authenticator, "old")
 
 
 def test_state_that_was_replaced_at_the_same_offset_is_looked_up_anew():
     control = FakeControl()
-    authenticator = Authenticator(control, TRIALS)
+    authenticator = Authenticator(control, TRIALS_STUB)
     control.publish("s", 0, till="a")
-    assert get_workspace(authenticator, "a") == "till"
+    assert find_workspace(authenticator, "a") == "till"
     control.folded = ControlState()
     control.publish("s", 0, till="b")
     with pytest.raises(WrongKeyError):
-        get_workspace(authenticator, "a")
+        find_workspace(authenticator, "a")
 
 
 def test_first_service_that_names_a_key_keeps_it():
     control = FakeControl()
     control.publish("one", 0, first="k")
     control.publish("two", 0, second="k")
-    assert get_workspace(Authenticator(control, TRIALS), "k") == "first"
+    assert find_workspace(Authenticator(control, TRIALS_STUB), "k") == "first"
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections that die or go silent between entry, sidecar and engine."""
+"""Connections between entry, sidecar and engine that close or stop working."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.test_thin_path import MESSAGES, get_expected_text
 
 TOKENS = 150
-SERVICE_GAP_S = 1.0
+MAX_EXTRA_DELAY_S = 1.0
 POLL_S = 0.02
 
 
@@ -29,13 +29,13 @@
 
 
 class StreamReader(threading.Thread):
-    """Reads one stream and keeps text, error and the longest gap."""
+    """Reads one stream; records text, error and longest chunk interval."""
 
     def __init__(self, fleet: Fleet, tokens: int = TOKENS) -> None:
         super().__init__(daemon=True)
         self.text = ""
         self.error: Exception | None = None
-        self.gap_s = 0.0
+        self.longest_interval_s = 0.0
         self._client = make_client(fleet)
         self._tokens = tokens
         self.start()
@@ -50,7 +50,9 @@
                 stream=True,
             ):
                 now_s = time.monotonic()
-                self.gap_s = max(self.gap_s, now_s - (last_s or now_s))
+                self.longest_interval_s = max(
+                    self.longest_interval_s, now_s - (last_s or now_s)
+                )
                 last_s = now_s
                 self.text += chunk.choices[0].delta.content or ""
         except Exception as error:
@@ -80,9 +82,9 @@
             relay = Relay(child.bus).__enter__()
             relays.append(relay)
             fleet.set_vm_bus(name, relay.address)
-    end_s = time.monotonic() + 8
+    deadline_s = time.monotonic() + 8
     while not all(relay.accepted for relay in relays):
-        assert time.monotonic() < end_s
+        assert time.monotonic() < deadline_s
         time.sleep(POLL_S)
     time.sleep(1.0)
     return relays
@@ -96,28 +98,29 @@
 
 
 def wait_for_runs(fleet: Fleet, count: int) -> None:
-    end_s = time.monotonic() + 5
+    deadline_s = time.monotonic() + 5
     while get_total_runs(fleet) < count:
-        assert time.monotonic() < end_s
+        assert time.monotonic() < deadline_s
         time.sleep(POLL_S)
 
 
 @pytest.mark.parametrize("role", ["sidecar", "engine"])
 def test_service_goes_on_within_a_second_of_a_kill(fleet, role):
-    # The caller waits under a second longer than usual. A process is killed
+    # Guards against long waits of callers after a crash. A process is killed
     # while plain requests run through it. Its port refuses connections, which
-    # proves that it is gone, so the entry sends them elsewhere at once and
-    # does not wait for a silence to grow long.
-    took_s = []
+    # proves that it has ended, so the entry sends the requests elsewhere
+    # immediately, without waiting for the inactivity timeout. A caller waits
+    # under a second longer than usual.
+    durations_s = []
 
     def call() -> None:
         start_s = time.monotonic()
         response, _ = post_plain(fleet, "restore", 40)
         assert response.status == 200
-        took_s.append(time.monotonic() - start_s)
+        durations_s.append(time.monotonic() - start_s)
 
     call()
-    usual_s = took_s.pop()
+    usual_duration_s = durations_s.pop()
     threads = [threading.Thread(target=call) for _ in range(8)]
     for thread in threads:
         thread.start()
@@ -125,15 +128,15 @@
     fleet.kill(f"{role}-0")
     for thread in threads:
         thread.join(20)
-    assert len(took_s) == 8
-    assert max(took_s) < 2 * usual_s + SERVICE_GAP_S
+    assert len(durations_s) == 8
+    assert max(durations_s) < 2 * usual_duration_s + MAX_EXTRA_DELAY_S
 
 
 def test_stream_goes_on_over_a_new_connection(fleet):
-    # The caller sees a pause and then the rest of its stream, each byte once.
-    # Something on the way swallows the bytes of all open connections to the
-    # sidecars while new ones work; heartbeats end, a new connection is opened
-    # and the run is read on from the next chunk. It is not run again.
+    # A relay drops the bytes of all open connections to the sidecars while
+    # new connections work. Heartbeats stay unanswered, a new connection is
+    # opened, and the run is resumed at the next chunk without a second run.
+    # The caller receives a pause and each byte once.
     relays = start_relays(fleet)
     reader = StreamReader(fleet, 400)
     wait_for_runs(fleet, 1)
@@ -148,10 +151,10 @@
 
 
 def test_lost_dispatch_is_proved_not_run_and_sent_again(fleet):
-    # The caller of a request that may run only once gets its answer. The
-    # dispatch vanishes on a connection that has gone silent. On the new
-    # connection the sidecar finds that it never saw the run, bars it for
-    # ever, and says so: only then is it safe to send the request again.
+    # The dispatch of a request that may run only once is lost on a connection
+    # that drops all bytes. On the new connection the sidecar finds that it
+    # never received the run, refuses it for good and reports that. Only then
+    # is it safe to send the request again, and the caller gets its answer.
     for relay in start_relays(fleet):
         relay.swallow_existing()
     response, answer = post_plain(fleet, "policy-draft")
@@ -161,9 +164,9 @@
 
 
 def test_stream_outlives_an_engine_connection_gone_silent(fleet):
-    # The caller sees a short pause and its whole stream. The engine's
-    # connection goes silent after some tokens and stays open; the sidecar
-    # notices that no progress comes and resumes the stream on a new one.
+    # The engine's connection stays open but sends no data after some tokens.
+    # The sidecar detects the missing progress and resumes the stream on a new
+    # connection. The caller receives the whole stream with a short pause.
     for engine in fleet.engines:
         fleet.set_fault(engine.name, silent_after_tokens=20)
     reader = StreamReader(fleet, 60)
@@ -172,14 +175,15 @@
         None,
         get_expected_text("large@1", 60),
     )
-    assert reader.gap_s < 6.0
+    assert reader.longest_interval_s < 6.0
     assert get_total_runs(fleet) == 1
 
 
 def test_frames_of_a_resumed_sidecar_are_dropped(fleet):
-    # The caller gets one whole answer. The sidecar is paused while it runs a
-    # repeatable request, is given up, and the request runs elsewhere; then
-    # the sidecar goes on and sends frames of the old attempt.
+    # Guards against frames of two attempts in one answer. A sidecar is paused
+    # while it runs a repeatable request and is considered lost, so the request
+    # runs elsewhere. Then the sidecar continues and sends frames of the old
+    # attempt.
     results = []
     thread = threading.Thread(
         target=lambda: results.append(post_plain(fleet, "restore", 200))
@@ -193,9 +197,9 @@
     )
     process_id = fleet.children[name].process.pid
     os.kill(process_id, signal.SIGSTOP)
-    wait_for_runs_elsewhere_s = time.monotonic() + 8
+    second_run_deadline_s = time.monotonic() + 8
     while get_total_runs(fleet) < 2:
-        assert time.monotonic() < wait_for_runs_elsewhere_s
+        assert time.monotonic() < second_run_deadline_s
         time.sleep(POLL_S)
     os.kill(process_id, signal.SIGCONT)
     thread.join(20)
@@ -208,8 +212,9 @@
 @pytest.mark.parametrize("stream", [False, True])
 def test_caller_that_leaves_cancels_at_the_engine(fleet, stream):
     # The caller closes its connection in the middle of an answer. The entry
-    # sees it and cancels at the sidecar, which cancels at the engine; without
-    # it the engine would spend thousands of tokens on nobody.
+    # detects that and cancels at the sidecar, which cancels at the engine.
+    # Without the cancellation the engine would generate thousands of tokens
+    # for no caller.
     connection = http.client.HTTPConnection("127.0.0.1", fleet.entries[0].port)
     body = {"model": "large@1", "messages": MESSAGES, "max_tokens": 4000}
     connection.request(
@@ -220,9 +225,9 @@
     )
     wait_for_runs(fleet, 1)
     connection.close()
-    end_s = time.monotonic() + 3
+    deadline_s = time.monotonic() + 3
     while not any(
         fleet.get_stats(engine.name)["cancels"] for engine in fleet.engines
     ):
-        assert time.monotonic() < end_s, "nothing was cancelled"
+        assert time.monotonic() < deadline_s, "nothing was cancelled"
         time.sleep(POLL_S)
--- a/tests/test_subsets_fleet.py
+++ b/tests/test_subsets_fleet.py
@@ -1,4 +1,4 @@
-"""Entries that are each connected to a part of the fleet only."""
+"""Entries that are connected only to a subset of the fleet's processes."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 def wait_for(condition, limit_s: float) -> None:
-    end_s = time.monotonic() + limit_s
+    deadline_s = time.monotonic() + limit_s
     while not condition():
-        assert time.monotonic() < end_s
+        assert time.monotonic() < deadline_s
         time.sleep(0.1)
 
 
@@ -53,21 +53,27 @@
 
 
 def test_entry_keeps_links_to_a_part_of_the_fleet(fleet):
-    dumps = [fleet.get_dump(f"entry-{n}") for n in range(ENTRIES)]
-    kept = [sum(u["kept"] for u in dump["upstreams"]) for dump in dumps]
-    assert min(kept) < SHAPE.engines
-    peers = [sum(p["kept"] for p in dump["peers"]) for dump in dumps]
-    assert min(peers) < ENTRIES - 1
+    dumps = [fleet.get_dump(f"entry-{index}") for index in range(ENTRIES)]
+    kept_counts = [
+        sum(upstream["kept"] for upstream in dump["upstreams"])
+        for dump in dumps
+    ]
+    assert min(kept_counts) < SHAPE.engines
+    peer_counts = [
+        sum(peer["kept"] for peer in dump["peers"]) for dump in dumps
+    ]
+    assert min(peer_counts) < ENTRIES - 1
 
 
 def test_retry_joins_a_run_outside_the_subset(fleet):
-    # Every entry gets the one answer. The same key comes through all entries
-    # at once; most are connected neither to the key's owner nor to the
-    # sidecar that runs it, and make these connections for it.
+    # Guards against several runs of one key. Requests with the same key reach
+    # all entries at the same time. Most entries are connected neither to the
+    # key's owner nor to the sidecar that runs the request, and open these
+    # connections for the request. Every entry sends the same answer.
     results: list = []
     threads = [
-        threading.Thread(target=post, args=(fleet, n, "joined", results))
-        for n in range(ENTRIES)
+        threading.Thread(target=post, args=(fleet, index, "joined", results))
+        for index in range(ENTRIES)
     ]
     for thread in threads:
         thread.start()
@@ -81,9 +87,9 @@
 
 
 def test_paused_entry_is_removed_by_those_that_watch_it(fleet):
-    # Callers with a key that the entry held would be refused as long as it
-    # is a member. It is paused, so that its port still takes connections;
-    # most entries have none to it and would never notice.
+    # An entry is paused, so that its port still accepts connections. Most
+    # entries have no connection to it and would never detect that. While it
+    # is a member, callers with a key that it held would be refused.
     process_id = fleet.children["entry-0"].process.pid
     os.kill(process_id, signal.SIGSTOP)
     try:
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes and the unmodified OpenAI client."""
+"""Full request path with real processes and the unmodified OpenAI client."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 
 def test_each_request_runs_once(fleet):
-    raw = make_client(fleet).chat.completions.with_raw_response.create(
+    raw_response = make_client(fleet).chat.completions.with_raw_response.create(
         model="small@1", messages=MESSAGES
     )
-    request_id = raw.headers["X-Request-Id"]
+    request_id = raw_response.headers["X-Request-Id"]
     runs = [
         fleet.get_stats(engine.name)["runs"].get(request_id, 0)
         for engine in fleet.engines
@@ -60,7 +60,7 @@
 
 
 def test_models_lists_what_the_workspace_may_use(fleet):
-    names = [m.id for m in make_client(fleet, "trial").models.list()]
+    names = [model.id for model in make_client(fleet, "trial").models.list()]
     assert names == ["vault", "small@1"]
 
 
