--- a/src/lovagestage/adapters/http_engine.py
+++ b/src/lovagestage/adapters/http_engine.py
@@ -20,7 +20,7 @@
 }
 
 
-class _LoadForm(msgspec.Struct):
+class _LoadResponse(msgspec.Struct):
     running: int
     waiting: int
     max_batch: int
@@ -28,12 +28,12 @@
     token_interval_ms: float
 
 
-class _ModelForm(msgspec.Struct):
+class _ModelEntry(msgspec.Struct):
     id: str
 
 
-class _ModelsForm(msgspec.Struct):
-    data: list[_ModelForm]
+class _ModelsResponse(msgspec.Struct):
+    data: list[_ModelEntry]
 
 
 class HttpEngine:
@@ -93,23 +93,23 @@
 
     async def get_load(self) -> EngineLoad:
         """See `Engine.get_load`."""
-        form = msgspec.json.decode(
-            await self._get_body("/load"), type=_LoadForm
+        decoded = msgspec.json.decode(
+            await self._get_body("/load"), type=_LoadResponse
         )
         return EngineLoad(
-            form.running,
-            form.waiting,
-            form.max_batch,
-            form.kv_used_ratio,
-            form.token_interval_ms,
+            decoded.running,
+            decoded.waiting,
+            decoded.max_batch,
+            decoded.kv_used_ratio,
+            decoded.token_interval_ms,
         )
 
     async def get_versions(self) -> list[str]:
         """See `Engine.get_versions`."""
-        form = msgspec.json.decode(
-            await self._get_body("/v1/models"), type=_ModelsForm
+        decoded = msgspec.json.decode(
+            await self._get_body("/v1/models"), type=_ModelsResponse
         )
-        return [model.id for model in form.data]
+        return [model.id for model in decoded.data]
 
     async def order(self, version: str, fencing: FencingNumber) -> OrderState:
         """See `Engine.order`."""
--- a/src/lovagestage/adapters/http_log.py
+++ b/src/lovagestage/adapters/http_log.py
@@ -21,22 +21,22 @@
 from lovagestage.types import Offset
 
 
-class _RecordForm(msgspec.Struct):
+class _RecordEntry(msgspec.Struct):
     offset: int
     data: str
 
 
-class _PageForm(msgspec.Struct):
+class _PageResponse(msgspec.Struct):
     first_offset: int
     next_offset: int
-    records: list[_RecordForm]
+    records: list[_RecordEntry]
 
 
-class _AppendForm(msgspec.Struct):
+class _AppendResponse(msgspec.Struct):
     offset: int
 
 
-class _ErrorForm(msgspec.Struct):
+class _ErrorResponse(msgspec.Struct):
     first_offset: int = 0
 
 
@@ -68,7 +68,7 @@
                         f"The log answered {response.status} to an append."
                     )
                 return Offset(
-                    msgspec.json.decode(body, type=_AppendForm).offset
+                    msgspec.json.decode(body, type=_AppendResponse).offset
                 )
         except aiohttp.ClientConnectorError as error:
             raise LogUnavailableError(f"The log is down: {error}.") from error
@@ -93,13 +93,13 @@
             ) as response:
                 body = await response.read()
                 if response.status == 410:
-                    form = msgspec.json.decode(body, type=_ErrorForm)
-                    raise BelowHorizonError(stream, form.first_offset)
+                    decoded = msgspec.json.decode(body, type=_ErrorResponse)
+                    raise BelowHorizonError(stream, decoded.first_offset)
                 if response.status != 200:
                     raise LogUnavailableError(
                         f"The log answered {response.status} to a read."
                     )
-                return _make_page(msgspec.json.decode(body, type=_PageForm))
+                return _make_page(msgspec.json.decode(body, type=_PageResponse))
         except READ_ERRORS as error:
             raise LogUnavailableError(f"The log is down: {error!r}.") from error
 
@@ -107,12 +107,12 @@
         return f"{self._url}/v1/streams/{stream}/records"
 
 
-def _make_page(form: _PageForm) -> LogPage:
+def _make_page(decoded: _PageResponse) -> LogPage:
     return LogPage(
-        Offset(form.first_offset),
-        Offset(form.next_offset),
+        Offset(decoded.first_offset),
+        Offset(decoded.next_offset),
         [
             (Offset(record.offset), base64.b64decode(record.data))
-            for record in form.records
+            for record in decoded.records
         ],
     )
--- a/src/lovagestage/adapters/http_plain_service.py
+++ b/src/lovagestage/adapters/http_plain_service.py
@@ -23,7 +23,7 @@
 _AUTO_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 
-class _SendOnce:
+class _SendOnceMiddleware:
     """Prevents aiohttp from sending a request twice.
 
     When a connection breaks before the answer, aiohttp by itself retries GET,
@@ -82,7 +82,7 @@
                 allow_redirects=False,
                 auto_decompress=False,
                 timeout=_CALL_TIMEOUT,
-                middlewares=(_SendOnce(),),
+                middlewares=(_SendOnceMiddleware(),),
             ) as response:
                 return PlainAnswer(
                     response.status,
--- a/src/lovagestage/adapters/http_vm_list.py
+++ b/src/lovagestage/adapters/http_vm_list.py
@@ -10,7 +10,7 @@
 from lovagestage.types import Role, VmId, VmState, ZoneId
 
 
-class _VmForm(msgspec.Struct):
+class _VmEntry(msgspec.Struct):
     vm: VmId
     role: Role
     zone: ZoneId
@@ -18,8 +18,8 @@
     bus: str
 
 
-class _VmsForm(msgspec.Struct):
-    vms: list[_VmForm]
+class _VmsResponse(msgspec.Struct):
+    vms: list[_VmEntry]
 
 
 class HttpVmList:
@@ -41,11 +41,13 @@
                 f"{self._url}/v1/vms", timeout=make_read_timeout()
             ) as response:
                 response.raise_for_status()
-                form = msgspec.json.decode(await response.read(), type=_VmsForm)
+                decoded = msgspec.json.decode(
+                    await response.read(), type=_VmsResponse
+                )
         except READ_ERRORS as error:
             raise VmListError(
                 f"The list of VMs can't be read: {error!r}."
             ) from error
         return [
-            Vm(vm.vm, vm.role, vm.zone, vm.state, vm.bus) for vm in form.vms
+            Vm(vm.vm, vm.role, vm.zone, vm.state, vm.bus) for vm in decoded.vms
         ]
--- a/src/lovagestage/api/authentication.py
+++ b/src/lovagestage/api/authentication.py
@@ -46,7 +46,7 @@
         self._index: dict[str, Caller] = {}
         self._indexed_state: tuple[ControlState, Offset] | None = None
 
-    def get_caller(self, request: web.Request) -> Caller:
+    def identify_caller(self, request: web.Request) -> Caller:
         """Identifies the caller that sent a request.
 
         Raises:
--- a/src/lovagestage/api/callers.py
+++ b/src/lovagestage/api/callers.py
@@ -143,7 +143,7 @@
         return self._was_ready
 
     async def _get_models(self, request: web.Request) -> web.Response:
-        caller = self._authenticator.get_caller(request)
+        caller = self._authenticator.identify_caller(request)
         allowed = get_open_versions(caller.document, caller.workspace)
         names = [str(caller.document.service), *(str(v) for v in allowed)]
         return web.json_response(
@@ -162,17 +162,17 @@
         )
 
     async def _post_chat(self, request: web.Request) -> web.StreamResponse:
-        caller = self._authenticator.get_caller(request)
+        caller = self._authenticator.identify_caller(request)
         body = await self._read_body(request)
-        return await self._chat.answer(request, body, caller)
+        return await self._chat.handle_request(request, body, caller)
 
     async def _handle_call(self, request: web.Request) -> web.Response:
-        caller = self._authenticator.get_caller(request)
+        caller = self._authenticator.identify_caller(request)
         route = find_route(caller.document, request.raw_path)
         if route is None:
             raise UnknownRouteError(f"There is nothing at {request.path!r}.")
         content = await self._read_body(request)
-        return await self._plain.answer(
+        return await self._plain.handle_call(
             request, content, caller.workspace, caller.document, route
         )
 
--- a/src/lovagestage/api/chat_admission.py
+++ b/src/lovagestage/api/chat_admission.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from lovagestage.api.authentication import Caller
-from lovagestage.api.chat_form import ChatForm, get_class_name
+from lovagestage.api.chat_form import ChatFields, get_class_name
 from lovagestage.decisions.admission import Choice
 from lovagestage.decisions.sessions import (
     Session,
@@ -58,23 +58,27 @@
         self._default_deadline_s = default_deadline_s
 
     def admit(
-        self, request: web.Request, caller: Caller, form: ChatForm, body: bytes
+        self,
+        request: web.Request,
+        caller: Caller,
+        fields: ChatFields,
+        body: bytes,
     ) -> Request:
         """Chooses the version of a request and sets its deadline.
 
         Raises:
             RequestRefusedError: The request can't be admitted.
         """
-        class_name = get_class_name(request, form)
+        class_name = get_class_name(request, fields)
         spec = _get_class(class_name, caller.document)
         deadline_s = resolve_deadline_s(
-            request.headers.get(HEADER_DEADLINE), form.metadata, spec
+            request.headers.get(HEADER_DEADLINE), fields.metadata, spec
         )
         deadline_s = deadline_s or self._default_deadline_s
-        session = self._read_session(request, caller, form)
+        session = self._read_session(request, caller, fields)
         choice = self._choose_from_plan(
-            session, form.model, caller, class_name, len(body)
-        ) or self._choose(session, form.model, caller, spec)
+            session, fields.model, caller, class_name, len(body)
+        ) or self._choose(session, fields.model, caller, spec)
         return Request(
             RequestId(secrets.token_hex(16)),
             caller.workspace,
@@ -83,7 +87,7 @@
             spec.priority,
             spec.repeatable is Repeatable.ALWAYS,
             time.monotonic() + deadline_s,
-            form.stream,
+            fields.stream,
             body,
             session,
             choice.trial,
@@ -126,9 +130,9 @@
         )
 
     def _read_session(
-        self, request: web.Request, caller: Caller, form: ChatForm
+        self, request: web.Request, caller: Caller, fields: ChatFields
     ) -> Session | None:
-        token = get_token(request.headers, form.metadata)
+        token = get_token(request.headers, fields.metadata)
         if token is None:
             return None
         session = self._signer.read_token(token)
--- a/src/lovagestage/api/chat_api.py
+++ b/src/lovagestage/api/chat_api.py
@@ -9,7 +9,7 @@
 from lovagestage.api.authentication import Caller
 from lovagestage.api.chat_admission import ChatAdmission
 from lovagestage.api.chat_answers import ChatAnswers
-from lovagestage.api.chat_form import parse_form
+from lovagestage.api.chat_form import parse_fields
 from lovagestage.entry.billing_service import BillingService
 from lovagestage.entry.deferral_service import DeferralService
 from lovagestage.entry.dispatcher import Dispatcher
@@ -60,7 +60,7 @@
         self._limits = limits
         self._deferrals = deferrals
 
-    async def answer(
+    async def handle_request(
         self, request: web.Request, body: bytes, caller: Caller
     ) -> web.StreamResponse:
         """Runs a request and sends its answer.
@@ -69,10 +69,10 @@
             RequestRefusedError: The request is refused.
         """
         get_progress(request).body = body
-        form = parse_form(body)
-        admitted = self._admission.admit(request, caller, form, body)
+        fields = parse_fields(body)
+        admitted = self._admission.admit(request, caller, fields, body)
         result = Result(admitted.version)
-        max_tokens = form.token_limit
+        max_tokens = fields.token_limit
         keyed = HEADER_KEY in request.headers
         chunks = self._deferrals.run(
             admitted,
@@ -84,7 +84,7 @@
         try:
             with self._billing.reserve(), charge:
                 get_progress(request).is_claiming = True
-                if form.stream:
+                if fields.stream:
                     return await self._answers.answer_stream(
                         request, chunks, caller, admitted, result
                     )
--- a/src/lovagestage/api/chat_form.py
+++ b/src/lovagestage/api/chat_form.py
@@ -11,7 +11,7 @@
 HEADER_CLASS = "X-Request-Class"
 
 
-class ChatForm(msgspec.Struct):
+class ChatFields(msgspec.Struct):
     """The fields of a chat completion request that routing needs.
 
     Attributes:
@@ -39,10 +39,10 @@
         return self.max_completion_tokens or self.max_tokens
 
 
-_decoder = msgspec.json.Decoder(ChatForm)
+_decoder = msgspec.json.Decoder(ChatFields)
 
 
-def parse_form(body: bytes) -> ChatForm:
+def parse_fields(body: bytes) -> ChatFields:
     """Parses the body of a chat completion request.
 
     Raises:
@@ -50,22 +50,22 @@
             no message.
     """
     try:
-        form = _decoder.decode(body)
+        fields = _decoder.decode(body)
     except msgspec.MsgspecError as error:
         raise MalformedRequestError(
             f"The body is no chat completion request: {error}."
         ) from error
-    if not form.messages:
+    if not fields.messages:
         raise MalformedRequestError("Expected at least one message.")
-    return form
+    return fields
 
 
-def get_class_name(request: web.Request, form: ChatForm) -> str:
+def get_class_name(request: web.Request, fields: ChatFields) -> str:
     """Returns the request class from the header, or else from the body.
 
     A request that names no class gets the default class.
     """
-    metadata = form.metadata or {}
+    metadata = fields.metadata or {}
     return request.headers.get(
         HEADER_CLASS, metadata.get("request_class", DEFAULT_CLASS)
     )
--- a/src/lovagestage/api/plain_api.py
+++ b/src/lovagestage/api/plain_api.py
@@ -52,7 +52,7 @@
         self._keyed = keyed
         self._deadline_s = deadline_s
 
-    async def answer(
+    async def handle_call(
         self,
         request: web.Request,
         content: bytes,
--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -54,7 +54,7 @@
 
 
 def find_workspace(authenticator, key: str) -> str:
-    return authenticator.get_caller(FakeRequest(key)).workspace
+    return authenticator.identify_caller(FakeRequest(key)).workspace
 
 
 def test_replaced_key_stops_working_with_the_next_document():
