--- a/src/lovagestage/exceptions.py
+++ b/src/lovagestage/exceptions.py
@@ -240,8 +240,8 @@
         status: HTTP status of the response.
         kind: OpenAI error type.
         run: Whether the request was run; `NOT_RUN` only if that is proved.
-        retry_after_s: Seconds after which a retry may succeed; None if no
-            time is known.
+        retry_after_s: Seconds after which a retry may succeed; None if a
+            retry does not help.
     """
 
     code = "refused"
@@ -649,8 +649,8 @@
     Attributes:
         status: HTTP status of the response.
         reason: Stable name of the reason for the refusal.
-        retry_after_s: Seconds after which the caller should retry; None if no
-            time is given.
+        retry_after_s: Seconds after which the caller should retry; None if it
+            should not retry.
     """
 
     code = "gateway_refusal"
