--- a/src/lovagestage/api/callers.py
+++ b/src/lovagestage/api/callers.py
@@ -27,9 +27,9 @@
 from lovagestage.telemetry.measurement import HEALTH_PATH, Meter
 
 MAX_START_S = 10.0
-"""Time in seconds after the start at which the entry becomes ready even if
-some upstream has sent no heartbeat. Without this limit one unreachable upstream
-would prevent the entry from serving."""
+"""Time in seconds after the start from which an entry with a configuration is
+ready even if some upstream has sent no heartbeat. Without this limit one
+unreachable upstream would prevent the entry from serving."""
 
 
 class CallerApi:
--- a/src/lovagestage/cli.py
+++ b/src/lovagestage/cli.py
@@ -47,8 +47,8 @@
     )
     commands = parser.add_subparsers(metavar="COMMAND", required=True)
     for role, summary in (
-        ("entry", "run the process that callers reach"),
-        ("sidecar", "run the process beside an upstream on its VM"),
+        ("entry", "run the entry process, which callers reach"),
+        ("sidecar", "run the sidecar process beside an upstream on its VM"),
     ):
         command = commands.add_parser(role, help=summary, description=summary)
         command.add_argument(
@@ -58,7 +58,7 @@
             "--check", action="store_true", help="check the settings and exit"
         )
         command.set_defaults(run=_run_daemon, role=role)
-    summary = "run the front end on the users' platform"
+    summary = "run the gateway, the front end on the users' platform"
     gateway = commands.add_parser("gateway", help=summary, description=summary)
     add_gateway_arguments(gateway)
     gateway.set_defaults(run=run_gateway_command)
