--- a/src/lovagestage/adapters/http_log.py
+++ b/src/lovagestage/adapters/http_log.py
@@ -1,4 +1,4 @@
-"""The log over HTTP."""
+"""Client of the platform's append-only log over HTTP."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import msgspec
 
 from lovagestage.adapters.http_calls import (
-    SHORT_CALL,
-    UNREADABLE,
+    READ_ERRORS,
+    SHORT_TIMEOUT,
     make_read_timeout,
 )
 from lovagestage.adapters.protocols import LogPage
@@ -21,31 +21,31 @@
 from lovagestage.types import Offset
 
 
-class _RecordForm(msgspec.Struct):
+class _RecordEntry(msgspec.Struct):
     offset: int
     data: str
 
 
-class _PageForm(msgspec.Struct):
+class _PageResponse(msgspec.Struct):
     first_offset: int
     next_offset: int
-    records: list[_RecordForm]
+    records: list[_RecordEntry]
 
 
-class _AppendForm(msgspec.Struct):
+class _AppendResponse(msgspec.Struct):
     offset: int
 
 
-class _ErrorForm(msgspec.Struct):
+class _ErrorResponse(msgspec.Struct):
     first_offset: int = 0
 
 
 class HttpLog:
-    """The log over HTTP.
+    """Client of the platform's append-only log over HTTP.
 
     Args:
         session: HTTP client of the process.
-        url: Base URL.
+        url: Base URL of the log.
     """
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
@@ -56,7 +56,7 @@
         """See `Log.append`."""
         try:
             async with self._session.post(
-                self._get_url(stream), data=data, timeout=SHORT_CALL
+                self._get_url(stream), data=data, timeout=SHORT_TIMEOUT
             ) as response:
                 body = await response.read()
                 if response.status in (429, 503):
@@ -68,11 +68,11 @@
                         f"The log answered {response.status} to an append."
                     )
                 return Offset(
-                    msgspec.json.decode(body, type=_AppendForm).offset
+                    msgspec.json.decode(body, type=_AppendResponse).offset
                 )
         except aiohttp.ClientConnectorError as error:
             raise LogUnavailableError(f"The log is down: {error}.") from error
-        except UNREADABLE as error:
+        except READ_ERRORS as error:
             raise LogAnswerLostError(
                 f"The log's answer is lost: {error!r}."
             ) from error
@@ -93,26 +93,26 @@
             ) as response:
                 body = await response.read()
                 if response.status == 410:
-                    form = msgspec.json.decode(body, type=_ErrorForm)
-                    raise BelowHorizonError(stream, form.first_offset)
+                    decoded = msgspec.json.decode(body, type=_ErrorResponse)
+                    raise BelowHorizonError(stream, decoded.first_offset)
                 if response.status != 200:
                     raise LogUnavailableError(
                         f"The log answered {response.status} to a read."
                     )
-                return _make_page(msgspec.json.decode(body, type=_PageForm))
-        except UNREADABLE as error:
+                return _make_page(msgspec.json.decode(body, type=_PageResponse))
+        except READ_ERRORS as error:
             raise LogUnavailableError(f"The log is down: {error!r}.") from error
 
     def _get_url(self, stream: str) -> str:
         return f"{self._url}/v1/streams/{stream}/records"
 
 
-def _make_page(form: _PageForm) -> LogPage:
+def _make_page(decoded: _PageResponse) -> LogPage:
     return LogPage(
-        Offset(form.first_offset),
-        Offset(form.next_offset),
+        Offset(decoded.first_offset),
+        Offset(decoded.next_offset),
         [
             (Offset(record.offset), base64.b64decode(record.data))
-            for record in form.records
+            for record in decoded.records
         ],
     )
--- a/src/lovagestage/adapters/http_vm_list.py
+++ b/src/lovagestage/adapters/http_vm_list.py
@@ -1,16 +1,16 @@
-"""The list of VMs over HTTP."""
+"""Client of the platform's list of VMs over HTTP."""
 
 from __future__ import annotations
 
 import aiohttp
 import msgspec
 
-from lovagestage.adapters.http_calls import UNREADABLE, make_read_timeout
+from lovagestage.adapters.http_calls import READ_ERRORS, make_read_timeout
 from lovagestage.adapters.protocols import Vm, VmListError
 from lovagestage.types import Role, VmId, VmState, ZoneId
 
 
-class _VmForm(msgspec.Struct):
+class _VmEntry(msgspec.Struct):
     vm: VmId
     role: Role
     zone: ZoneId
@@ -18,12 +18,17 @@
     bus: str
 
 
-class _VmsForm(msgspec.Struct):
-    vms: list[_VmForm]
+class _VmsResponse(msgspec.Struct):
+    vms: list[_VmEntry]
 
 
 class HttpVmList:
-    """The list of VMs over HTTP."""
+    """Client of the platform's list of VMs over HTTP.
+
+    Args:
+        session: HTTP client of the process.
+        url: Base URL of the service that has the list.
+    """
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self._session = session
@@ -36,11 +41,13 @@
                 f"{self._url}/v1/vms", timeout=make_read_timeout()
             ) as response:
                 response.raise_for_status()
-                form = msgspec.json.decode(await response.read(), type=_VmsForm)
-        except UNREADABLE as error:
+                decoded = msgspec.json.decode(
+                    await response.read(), type=_VmsResponse
+                )
+        except READ_ERRORS as error:
             raise VmListError(
                 f"The list of VMs can't be read: {error!r}."
             ) from error
         return [
-            Vm(vm.vm, vm.role, vm.zone, vm.state, vm.bus) for vm in form.vms
+            Vm(vm.vm, vm.role, vm.zone, vm.state, vm.bus) for vm in decoded.vms
         ]
--- a/src/lovagestage/api/chat_form.py
+++ b/src/lovagestage/api/chat_form.py
@@ -1,4 +1,4 @@
-"""What routing reads of a chat completion request."""
+"""Parses the fields of a chat completion request that routing needs."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 HEADER_CLASS = "X-Request-Class"
 
 
-class ChatForm(msgspec.Struct):
-    """The part of a chat completion request that routing looks at.
+class ChatFields(msgspec.Struct):
+    """The fields of a chat completion request that routing needs.
 
     Attributes:
-        model: A service, a model or `MODEL@VERSION`.
-        messages: At least one.
-        stream: Whether the caller reads chunks.
-        metadata: `request_class`, `session` and `deadline_s` may be given
-            here.
-        max_tokens: Most tokens of the answer.
-        max_completion_tokens: The same by its newer name.
+        model: Name of a service, of a model, or `MODEL@VERSION`.
+        messages: Messages of the conversation, at least one.
+        stream: Whether the answer is to be streamed in chunks.
+        metadata: May hold the keys `request_class`, `session` and
+            `deadline_s`.
+        max_tokens: Maximum number of tokens of the answer, under the older
+            name of the field.
+        max_completion_tokens: Maximum number of tokens of the answer, under
+            the newer name of the field.
     """
 
     model: str
@@ -32,34 +34,38 @@
     max_completion_tokens: int | None = None
 
     @property
-    def most_tokens(self) -> int | None:
-        """Most tokens of the answer; None where the caller sets no limit."""
+    def token_limit(self) -> int | None:
+        """Maximum tokens of the answer; None if the caller sets no limit."""
         return self.max_completion_tokens or self.max_tokens
 
 
-_decoder = msgspec.json.Decoder(ChatForm)
+_decoder = msgspec.json.Decoder(ChatFields)
 
 
-def parse_form(body: bytes) -> ChatForm:
-    """Parses the body of a request.
+def parse_fields(body: bytes) -> ChatFields:
+    """Parses the body of a chat completion request.
 
     Raises:
-        MalformedRequestError: It is no chat completion request.
+        MalformedRequestError: The body is no chat completion request, or has
+            no message.
     """
     try:
-        form = _decoder.decode(body)
+        fields = _decoder.decode(body)
     except msgspec.MsgspecError as error:
         raise MalformedRequestError(
             f"The body is no chat completion request: {error}."
         ) from error
-    if not form.messages:
+    if not fields.messages:
         raise MalformedRequestError("Expected at least one message.")
-    return form
+    return fields
 
 
-def get_class_name(request: web.Request, form: ChatForm) -> str:
-    """The request class that the header or else the body names."""
-    metadata = form.metadata or {}
+def get_class_name(request: web.Request, fields: ChatFields) -> str:
+    """Returns the request class from the header, or else from the body.
+
+    A request that names no class gets the default class.
+    """
+    metadata = fields.metadata or {}
     return request.headers.get(
         HEADER_CLASS, metadata.get("request_class", DEFAULT_CLASS)
     )
--- a/src/lovagestage/api/entry.py
+++ b/src/lovagestage/api/entry.py
@@ -1,4 +1,4 @@
-"""The process that callers reach through the platform's balancer."""
+"""The entry process, which callers reach through the platform's balancer."""
 
 from __future__ import annotations
 
@@ -44,32 +44,33 @@
 _log = logging.getLogger(__name__)
 
 BALANCER_NOTICE_S = 1.5
-"""Time for the balancer to see that the entry is leaving."""
+"""Time in seconds that the balancer gets to see that the entry is leaving,
+before the entry waits for its open requests."""
 
 
 class Entry(mode.Service):
-    """Serves callers.
+    """Main service of an entry process, which serves callers.
 
     Args:
         settings: Settings of the process.
-        role: The part for this role.
-        control: Configuration in force.
+        role_settings: Settings of the role `entry`.
+        control: Reader of the configuration in force.
         upstreams: Connections to sidecars.
         peers: Connections to the other entries.
         dispatcher: Runs requests.
-        hub: Hands over what arrives at the listener.
-        billing: Takes the bills.
-        keys: Request keys.
-        trials: Roll-outs.
-        limits: Charges workspaces.
-        deferrals: Holds deferrable requests.
-        metrics: What is measured.
+        hub: Dispatches messages from the process's listener.
+        billing: Receives the bills.
+        keys: Claims of idempotency keys.
+        trials: Roll-outs and cascade plans.
+        limits: Charges the token limits of workspaces.
+        deferrals: Delays deferrable requests until they have a slot.
+        metrics: Metrics of the process.
     """
 
     def __init__(
         self,
         settings: Settings,
-        role: EntrySettings,
+        role_settings: EntrySettings,
         control: ControlReader,
         upstreams: UpstreamTable,
         peers: LinkTable,
@@ -85,7 +86,7 @@
         super().__init__()
         self._trials = trials
         self._settings = settings
-        self._role = role
+        self._role_settings = role_settings
         self._control = control
         self._upstreams = upstreams
         self._peers = peers
@@ -107,20 +108,24 @@
     def _make_api(self) -> CallerApi:
         keyed = KeyedRuns(self._keys, self._dispatcher, self._upstreams)
         return CallerApi(
-            self._role,
+            self._role_settings,
             self._control,
             self._upstreams,
             Authenticator(self._control, self._trials),
             self._make_chat_api(keyed),
-            PlainApi(self._dispatcher, keyed, self._role.default_deadline_s),
+            PlainApi(
+                self._dispatcher, keyed, self._role_settings.default_deadline_s
+            ),
             KeyedRefusals(self._keys),
             Meter(self._metrics),
         )
 
     def _make_chat_api(self, keyed: KeyedRuns) -> ChatApi:
-        signer = SessionSigner(self._role.session_keys)
+        signer = SessionSigner(self._role_settings.session_keys)
         return ChatApi(
-            ChatAdmission(self._trials, signer, self._role.default_deadline_s),
+            ChatAdmission(
+                self._trials, signer, self._role_settings.default_deadline_s
+            ),
             ChatAnswers(self._billing, signer),
             self._dispatcher,
             keyed,
@@ -135,24 +140,28 @@
         """Opens the callers' port."""
         await self._runner.setup()
         self._site = web.TCPSite(
-            self._runner, self._role.http_host, self._role.http_port
+            self._runner,
+            self._role_settings.http_host,
+            self._role_settings.http_port,
         )
         await self._site.start()
-        _log.info("entry_started", extra={"port": self._role.http_port})
+        _log.info(
+            "entry_started", extra={"port": self._role_settings.http_port}
+        )
 
     async def on_stop(self) -> None:
         """Closes the callers' port."""
         await self._runner.cleanup()
 
     async def drain(self) -> None:
-        """Leaves the balancer and waits for open requests."""
+        """Reports to the balancer as leaving and waits for open requests."""
         self._api.leaving = True
         _log.info("drain_started", extra={"open": self._api.open_requests})
         self._deferrals.release()
         await asyncio.sleep(BALANCER_NOTICE_S)
         try:
             await asyncio.wait_for(
-                self._api.idle.wait(), self._role.drain_timeout_s
+                self._api.idle.wait(), self._role_settings.drain_timeout_s
             )
         except TimeoutError:
             _log.warning("drain_timeout")
