--- a/examples/client.py
+++ b/examples/client.py
@@ -1,7 +1,8 @@
-"""Asks lovagestage with the unmodified OpenAI client.
+"""Sends requests to lovagestage with the unmodified OpenAI client.
 
-Start a fleet with `make up`, then run this with two of its entries, the key
-of a workspace and the service that it prints, or a model or a version:
+Start a fleet with `make up`. Then run this script with the URLs of two entries,
+the API key of a workspace and the service name, all of which `make up` prints.
+A model or a model version can be given instead of the service:
 
     python examples/client.py http://127.0.0.1:PORT http://127.0.0.1:PORT \
         key-audit vault
@@ -20,13 +21,13 @@
 
 
 def ask_plain(client: openai.OpenAI, service: str) -> None:
-    """One answer, on the version that the service chooses."""
+    """Requests one answer; the service selects the model version."""
     answer = client.chat.completions.create(model=service, messages=MESSAGES)
     print(f"plain: {answer.choices[0].message.content}")
 
 
 def ask_streamed(client: openai.OpenAI, service: str) -> None:
-    """An answer that is read while it is written."""
+    """Requests a streamed answer and reads it while it is generated."""
     stream = client.chat.completions.create(
         model=service, messages=MESSAGES, stream=True
     )
@@ -37,7 +38,7 @@
 def ask_in_session(
     first: openai.OpenAI, second: openai.OpenAI, service: str
 ) -> None:
-    """A conversation stays on its version, through whichever entry."""
+    """Shows that a session keeps its model version through all entries."""
     versions: list[str] = []
     headers: dict[str, str] = {}
     for client in (first, second, first):
@@ -52,7 +53,7 @@
 def ask_with_key(
     first: openai.OpenAI, second: openai.OpenAI, service: str
 ) -> None:
-    """A request that is sent again with its key gets the one answer."""
+    """Shows that a request repeated with its key gets the same answer."""
     headers = {"Idempotency-Key": str(uuid.uuid4())}
     ids = [
         client.chat.completions.with_raw_response.create(
@@ -64,7 +65,7 @@
 
 
 def main() -> None:
-    """Asks in four ways."""
+    """Sends each of the four types of requests."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("entries", nargs=2, metavar="URL")
     parser.add_argument("api_key")
--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins: small processes that play the platform around lovagestage."""
+"""Test bench: small stand-ins for the services that lovagestage depends on."""
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the stand-ins: `python -m lab COMMAND`."""
+"""Command line of the test bench: `python -m lab COMMAND`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 import sys
 from collections.abc import Sequence
 
-# Each module has `add_arguments(parser)` and `run(args) -> int`.
+# Maps each command to its module, which defines `add_arguments(parser)` and
+# `run(args) -> int`.
 COMMANDS: dict[str, str] = {
     "engine": "lab.engine",
     "experiment": "lab.experiment",
@@ -30,7 +31,14 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Runs one command; only its module is imported."""
+    """Runs one command and imports no module but that command's.
+
+    Args:
+        argv: Command line without the program name; `sys.argv` by default.
+
+    Returns:
+        The exit code.
+    """
     top = argparse.ArgumentParser(prog="lab", description=__doc__)
     top.add_argument("command", choices=sorted(COMMANDS))
     top.add_argument("rest", nargs=argparse.REMAINDER)
--- a/lab/answers.py
+++ b/lab/answers.py
@@ -1,4 +1,4 @@
-"""The text that the engines give, and its form on the wire."""
+"""Text that the simulated engines generate, and its encoding in HTTP bodies."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def prompt_text(messages: list[dict[str, Any]]) -> str:
-    """All messages of a conversation as one text."""
+    """Joins all messages of a conversation into one prompt."""
     return "".join(
         f"{message.get('role', '')}: {message.get('content', '')}\n"
         for message in messages
@@ -26,18 +26,24 @@
 
 
 def count_tokens(prompt: str) -> int:
-    """Tokens of a prompt."""
+    """Returns the number of tokens of a prompt, derived from its length."""
     return max(1, len(prompt) // CHARS_PER_TOKEN)
 
 
 def prefix_hash(model: str, prompt: str) -> str:
-    """Name of the prompt's prefix in the cache of a model's version."""
+    """Hashes a prompt's prefix and a model version into a cache key."""
     text = f"{model}\n{prompt[:PREFIX_CHARS]}"
     return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
 
 def answer_tokens(prompt: str, model: str, count: int) -> list[str]:
-    """The answer of `NAME@VERSION` to the prompt, the same each time."""
+    """Generates the deterministic answer of a model version to a prompt.
+
+    Args:
+        prompt: Text of the whole conversation.
+        model: `NAME@VERSION`.
+        count: Number of tokens to generate.
+    """
     seed = hashlib.blake2b(f"{model}\n{prompt}".encode(), digest_size=8)
     state = int.from_bytes(seed.digest(), "big")
     tokens: list[str] = []
@@ -49,15 +55,18 @@
 
 
 def garbage_tokens(count: int) -> list[str]:
-    """The answer of a version that has gone bad."""
+    """Generates the tokens of a faulty model version."""
     return [f"{' ' if i else ''}{GARBAGE_TOKEN}" for i in range(count)]
 
 
 class EventEncoder:
-    """Server-sent events of one answer; event N always has the same bytes.
+    """Encodes an answer as server-sent events; event N always has equal bytes.
+
+    The events are the role, one event for each token, the finish reason, the
+    usage if the request asked for it, and `[DONE]`.
 
-    The events are: the role, one for each token, the end, the usage where it
-    was asked for, and `[DONE]`.
+    Attributes:
+        total: Number of events.
     """
 
     def __init__(
@@ -87,13 +96,13 @@
         self.total = len(tokens) + (4 if include_usage else 3)
 
     def events(self, start: int, end: int) -> bytes:
-        """Events `start` to `end`, without `end`."""
+        """Encodes the events from `start` up to, but not including, `end`."""
         return "".join(
             f"id: {seq}\ndata: {self._data(seq)}" for seq in range(start, end)
         ).encode()
 
     def plain(self) -> dict[str, Any]:
-        """The whole answer in the form without a stream."""
+        """Returns the answer as the body of a non-streamed response."""
         message = {"role": "assistant", "content": "".join(self._tokens)}
         choice = {
             "index": 0,
--- a/lab/audit.py
+++ b/lab/audit.py
@@ -1,4 +1,4 @@
-"""Compares what callers saw with runs, bills and configuration."""
+"""Audits recorded requests against engine runs, bills and configuration."""
 
 from __future__ import annotations
 
@@ -12,25 +12,28 @@
 from lovagestage.decisions.billing import Bill, BillOutcome
 
 FORCE_S = 8.0
-"""An accepted change is in force everywhere by then."""
+"""Time in seconds from the acceptance of a change until it applies everywhere.
+
+An engine run on a withdrawn version counts as a violation only after it.
+"""
 SETTLE_S = 12.0
-"""Effects of a fault on requests that are sent after its end."""
+"""Time in seconds for which an ended fault may still affect new requests."""
 _HARD = (FaultKind.KILL, FaultKind.PAUSE, FaultKind.SILENCE)
 _AT_LOG = (FaultKind.OUTAGE, FaultKind.LOST_ANSWERS, FaultKind.SLOW)
 
 
 @dataclasses.dataclass(frozen=True)
 class Evidence:
-    """What was recorded in one run.
+    """Records of one experiment run.
 
     Attributes:
-        sends: What callers saw.
-        runs: What engines ran.
-        bills: What the log's billing stream has.
-        applied: Faults that acted.
-        withdrawn: Version that was withdrawn.
-        withdrawn_s: Unix time at which that was accepted; infinite where
-            it was not.
+        sends: HTTP requests with the outcomes that their callers observed.
+        runs: Runs that the engines recorded.
+        bills: Bills in the log's billing stream.
+        applied: Faults that were injected.
+        withdrawn: Model version that was withdrawn.
+        withdrawn_s: Unix time at which the withdrawal was accepted; infinite
+            if it was not accepted.
     """
 
     sends: list[Send]
@@ -43,7 +46,18 @@
 
 @dataclasses.dataclass
 class Findings:
-    """Counts of what must not happen, with the requests concerned."""
+    """Violations found by an audit: tags of the requests concerned, by type.
+
+    Attributes:
+        lost_answers: The connection broke without a fault that excuses it.
+        wrong_bytes: The answer had bytes other than those expected.
+        doubled_runs: A request that may run once ran more than once.
+        doubled_bills: More than one run of a request was billed.
+        missing_bills: A complete answer was not billed.
+        false_refusals: A request was reported as not run although it ran.
+        cut_by_planned_stop: The answer was cut off without a process failure.
+        work_on_withdrawn: An engine ran the request on a withdrawn version.
+    """
 
     lost_answers: list[str] = dataclasses.field(default_factory=list)
     wrong_bytes: list[str] = dataclasses.field(default_factory=list)
@@ -56,7 +70,7 @@
 
 
 def audit(evidence: Evidence) -> Findings:
-    """Finds every broken promise."""
+    """Checks the evidence against each guarantee; returns all violations."""
     findings = Findings()
     runs: dict[str, list[RecordedRun]] = defaultdict(list)
     for run in evidence.runs:
@@ -77,12 +91,12 @@
 
 
 def get_tag(prompt: str) -> str:
-    """Tag of the send that a prompt names: `user: TAG why`."""
+    """Returns the request tag in a prompt of the form `user: TAG why`."""
     return prompt.split()[1]
 
 
 def count_codes(sends: list[Send]) -> dict[str, int]:
-    """Sends by how they ended."""
+    """Counts HTTP requests by their outcome."""
     return dict(Counter(_get_end(send) for send in sends))
 
 
@@ -108,8 +122,8 @@
     broken = send.status == 0 or send.is_cut
     if broken and not _acted(applied, send, _HARD, send.entry):
         stopped = _acted(applied, send, (FaultKind.REPLACE,), send.entry)
-        # A connection that is refused has carried nothing: the caller goes
-        # to another entry at once.
+        # A refused connection has carried no data: the caller retries at
+        # another entry immediately.
         if send.status == 0 and send.ended_s - send.sent_s < 0.1:
             return
         kind = (
@@ -117,8 +131,8 @@
         )
         kind.append(send.tag)
     elif send.status == 200 and send.code:
-        # The stream has ended with an error. Only a process that failed
-        # under it excuses that.
+        # The stream ended with an error. Only the failure of a process during
+        # the request excuses this.
         if not _acted(applied, send, _HARD):
             findings.cut_by_planned_stop.append(send.tag)
 
@@ -143,8 +157,9 @@
     for refused in group:
         if refused.run != "not_run":
             continue
-        # What ran before the refusal, and what runs after it while no other
-        # request with the key is there to run it.
+        # A refusal as `not_run` is false if the request ran before it was
+        # sent, or if the request ran at all and no other request with the
+        # same key can account for the run.
         others = [s for s in group if s is not refused and s.run != "not_run"]
         before = [run for run in runs if run.at_s < refused.sent_s]
         if before or (runs and not others):
@@ -175,15 +190,19 @@
 def get_gaps_s(
     served: list[tuple[float, float, bool]], applied: list[Applied]
 ) -> tuple[list[float], list[float]]:
-    """Time without service after each kill: alone, and beside other faults.
+    """Measures the service interruption after each killed process, in seconds.
 
-    It is the time that the slowest request near the kill took, over all its
-    sends, less the median of all requests.
+    The interruption is the time that the slowest request near the kill took,
+    over all its attempts, minus the median time of all requests.
 
     Args:
-        served: Start, time taken and whether it was answered, of plain
-            requests.
-        applied: Faults that acted.
+        served: Start, time taken and whether it was answered, of each plain
+            request.
+        applied: Faults that were injected.
+
+    Returns:
+        Sorted interruptions of kills without another process fault nearby,
+        and sorted interruptions of kills close to another process fault.
     """
     took_s = sorted(spent_s for _, spent_s, _ in served)
     usual_s = took_s[len(took_s) // 2]
@@ -211,5 +230,5 @@
 
 
 def is_plain(kind: Kind) -> bool:
-    """Whether a request's time counts for the time without service."""
+    """Returns whether a request's time counts for the service interruption."""
     return kind is Kind.PLAIN
--- a/lab/balancer.py
+++ b/lab/balancer.py
@@ -1,4 +1,4 @@
-"""Load balancer: TCP round robin over the backends that are healthy."""
+"""TCP load balancer: assigns connections round robin to healthy backends."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
 
 
 class BalancerFaults(Faults):
-    """Faults of the balancer."""
+    """Injectable faults of the balancer."""
 
-    freeze_health: bool = False  # The last known health stays.
+    # Stops the health checks: the last known health of each backend stays.
+    freeze_health: bool = False
 
 
 class Relay(asyncio.Protocol):
-    """One side of a connection: hands its bytes to the other side."""
+    """One side of a proxied connection: forwards its bytes to its peer side."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -38,7 +39,7 @@
         self._ended = False
 
     def join(self, peer: Relay) -> None:
-        """Makes the two sides one connection."""
+        """Connects two sides and forwards the bytes that arrived before."""
         self.peer, peer.peer = peer, self
         for side, other in ((self, peer), (peer, self)):
             for data in side._early:
@@ -48,12 +49,12 @@
                 other.close()
 
     def write(self, data: bytes) -> None:
-        """Sends bytes on this side."""
+        """Sends bytes to the endpoint of this side."""
         if self.transport is not None:
             self.transport.write(data)
 
     def close(self) -> None:
-        """Closes this side once all is sent."""
+        """Closes this side after its buffered bytes are sent."""
         if self.transport is not None:
             self.transport.close()
 
@@ -81,7 +82,7 @@
 
 
 class ClientSide(Relay):
-    """The client's side: asks the balancer for a backend."""
+    """The client's side of a connection: requests a backend on connect."""
 
     def __init__(self, balancer: Balancer) -> None:
         super().__init__()
@@ -94,7 +95,7 @@
 
 
 class Balancer:
-    """The backends, their health and the next one's turn."""
+    """Health checks of the backends and the round-robin choice among them."""
 
     def __init__(self, backends: list[str]) -> None:
         self.faults = BalancerFaults()
@@ -105,7 +106,7 @@
         self._refused = 0
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns the healthy backends and the counters for `/_stats`."""
         return {
             "healthy": self._healthy,
             "connections": self._connections,
@@ -113,7 +114,7 @@
         }
 
     async def connect(self, client: ClientSide) -> None:
-        """Joins the client with the next backend that takes it."""
+        """Connects the client to the next backend that accepts a connection."""
         loop = asyncio.get_running_loop()
         for _ in range(len(self._healthy)):
             backend = self._next()
@@ -125,7 +126,7 @@
                     _, relay = await loop.create_connection(
                         Relay, host, int(port)
                     )
-            except OSError:  # A TimeoutError is one too.
+            except OSError:  # Includes TimeoutError, which is a subclass.
                 continue
             self._connections[backend] += 1
             client.join(relay)
@@ -140,7 +141,7 @@
         return self._healthy[self._turn % len(self._healthy)]
 
     async def check_for_ever(self) -> None:
-        """Checks the health of all backends again and again."""
+        """Checks the health of all backends periodically, without end."""
         timeout = aiohttp.ClientTimeout(total=CHECK_INTERVAL_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
--- a/lab/batch.py
+++ b/lab/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching of a model engine, simulated in time only."""
+"""Simulation of a model engine's continuous batching: timing, no inference."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from lab.answers import EventEncoder, count_tokens
 from lab.prefix_cache import PrefixCache
 
-# Of the time for (prefill, a token) in each role.
+# Factors on the times of a prefill and of a decoded token, by engine role.
 ROLE_FACTORS: dict[str, tuple[float, float]] = {
     "both": (1.0, 1.0),
     "prefill": (0.5, 2.0),
@@ -23,7 +23,7 @@
 
 
 class Timing(msgspec.Struct, kw_only=True):
-    """Size of the batch and times of the steps."""
+    """Batch size, KV cache capacity and durations of prefill and decoding."""
 
     max_batch: int = 32
     base_ttft_ms: float = 20.0
@@ -34,7 +34,13 @@
 
 
 class Sequence:
-    """One request in the engine."""
+    """One request in the engine, with the tokens of its answer.
+
+    Attributes:
+        produced: Number of tokens generated so far.
+        ready_at_s: Monotonic time at which the prefill ends.
+        progress: Wakes the readers when a token is generated.
+    """
 
     def __init__(
         self,
@@ -60,29 +66,29 @@
 
     @property
     def done(self) -> bool:
-        """Whether the last token is there."""
+        """Whether all tokens have been generated."""
         return self.produced >= len(self.tokens)
 
     @property
     def closed(self) -> bool:
-        """Whether no further event will come."""
+        """Whether the sequence will produce no further event."""
         return self.cancelled or self.done
 
     @property
     def available(self) -> int:
-        """How many events there are so far."""
+        """Number of server-sent events that can be sent so far."""
         if self.done:
             return self.encoder.total
         return self.produced + 1 if self.produced else 0
 
     def wake(self) -> None:
-        """Lets all who wait on the sequence look again."""
+        """Wakes all tasks that wait for progress of the sequence."""
         self.progress.set()
         self.progress.clear()
 
 
 class Batch:
-    """The running sequences, the queue and the one loop that steps them."""
+    """Running sequences, queued sequences and the loop that decodes tokens."""
 
     def __init__(
         self,
@@ -107,22 +113,22 @@
 
     @property
     def running(self) -> int:
-        """How many sequences run."""
+        """Number of running sequences."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """How many sequences wait for a place."""
+        """Number of queued sequences that were not cancelled."""
         return sum(not entry[2].cancelled for entry in self._queue)
 
     @property
     def kv_used_ratio(self) -> float:
-        """Part of the KV memory that the running sequences hold."""
+        """Share of the KV cache that the running sequences occupy."""
         used = sum(s.prompt_tokens + s.produced for s in self._running)
         return min(1.0, used / self.timing.kv_capacity_tokens)
 
     def submit(self, sequence: Sequence) -> None:
-        """Queues a sequence: lowest priority number first, then by arrival."""
+        """Queues a sequence by priority (lowest number first), then arrival."""
         entry = (sequence.priority, self._arrivals, sequence)
         self._arrivals += 1
         heapq.heappush(self._queue, entry)
@@ -130,7 +136,7 @@
         self._work.set()
 
     def cancel(self, sequence: Sequence) -> None:
-        """Takes a sequence out; its readers see the end at once."""
+        """Cancels a sequence, removes it and wakes its readers immediately."""
         sequence.cancelled = True
         if sequence in self._running:
             self._running.remove(sequence)
@@ -138,7 +144,10 @@
         self._admit()
 
     async def run(self) -> None:
-        """Steps for ever: each step gives each running sequence a token."""
+        """Runs decode steps without end: one token per step and sequence.
+
+        A sequence gets no token before its prefill has ended.
+        """
         last_s = time.monotonic()
         while True:
             if not self._running:
@@ -149,7 +158,8 @@
             await asyncio.sleep(due_s - time.monotonic())
             now_s = time.monotonic()
             self._measure((now_s - last_s) * 1000)
-            # A late step doesn't make up for lost time by a burst.
+            # After a step that was late by over one step time, the schedule
+            # restarts from now: no burst of steps catches up.
             last_s = due_s if now_s - due_s < due_s - last_s else now_s
             self._step(now_s)
 
@@ -202,7 +212,7 @@
 
 
 class LoadHistory:
-    """Samples of an engine's load, so that it can be told late."""
+    """Samples of an engine's load, so that it can be reported with a delay."""
 
     def __init__(self, batch: Batch, interval_s: float, keep: int) -> None:
         self._batch = batch
@@ -211,13 +221,13 @@
         self._samples.append(self._sample())
 
     async def run(self) -> None:
-        """Samples for ever."""
+        """Samples the load periodically, without end."""
         while True:
             await asyncio.sleep(self._interval_s)
             self._samples.append(self._sample())
 
     def seen(self, lag_ms: float) -> dict[str, float]:
-        """The load as it was `lag_ms` ago, or the oldest that is known."""
+        """Returns the load `lag_ms` milliseconds ago, or the oldest sample."""
         if lag_ms <= 0:
             return self._sample()
         limit_ms = time.time() * 1000 - lag_ms
--- a/lab/bench.py
+++ b/lab/bench.py
@@ -1,7 +1,7 @@
-"""Runs every experiment with fixed seeds; writes JSON and plots.
+"""Runs every experiment with fixed seeds and writes JSON files and plots.
 
 The results go to `build/bench/`: `NAME-SEED.json` for each run, `NAME.png`
-with the figures that both sides have, and `summary.md`.
+with the ratio of lovagestage to the baseline by seed, and `summary.md`.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Adds the names and seeds to run."""
+    """Adds the arguments for experiment names and seeds."""
     parser.add_argument("names", nargs="*", help="all where none is given")
     parser.add_argument("--seeds", type=int, nargs="+", default=list(SEEDS))
 
 
 def run(args: argparse.Namespace) -> int:
-    """Runs the experiments; 0 where every goal was met."""
+    """Runs the experiments; returns 0 if every goal was met, else 1."""
     OUTPUT.mkdir(parents=True, exist_ok=True)
     results = [
         _run_one(name, seed)
@@ -56,7 +56,7 @@
 
 
 def format_summary(results: list[Result]) -> str:
-    """One row for each run."""
+    """Formats a Markdown table with one row for each run."""
     rows = [
         f"| {r.name} | {r.seed} | {r.ratio:.3f} | {'yes' if r.ok else 'no'} |"
         for r in results
--- a/lab/bucket.py
+++ b/lab/bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket for the rate limits of the stand-ins."""
+"""Token bucket that limits the request rates of the stand-ins."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TokenBucket:
-    """Lets `rate_per_s` through on average and `burst` at once."""
+    """Admits `rate_per_s` operations on average and `burst` in one go."""
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
         self._rate_per_s = rate_per_s
@@ -15,7 +15,7 @@
         self._filled_at_s = time.monotonic()
 
     def take(self) -> bool:
-        """Takes one token if there is one."""
+        """Takes one token; returns whether one was available."""
         now_s = time.monotonic()
         gained = (now_s - self._filled_at_s) * self._rate_per_s
         self._tokens = min(self._burst, self._tokens + gained)
@@ -26,5 +26,5 @@
         return True
 
     def wait_s(self) -> float:
-        """Time until the next token comes."""
+        """Returns the time in seconds until a token is available."""
         return max(0.0, (1 - self._tokens) / self._rate_per_s)
--- a/lab/caller.py
+++ b/lab/caller.py
@@ -1,4 +1,4 @@
-"""A caller of a gateway, down to the bytes on its connection."""
+"""Low-level HTTP client of a gateway that controls each byte it sends."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclasses.dataclass
 class Reply:
-    """An answer as its caller got it.
+    """An HTTP response as its caller received it.
 
     Attributes:
         status: HTTP status.
-        headers: Values by name in lower case.
-        body: What came of the body.
-        whole: Whether the body came whole.
+        headers: Header values by lower-case name.
+        body: The received part of the body.
+        whole: Whether the body was received completely.
     """
 
     status: int
@@ -33,7 +33,7 @@
     key: str | None = None,
     **more: str,
 ) -> bytes:
-    """A whole request; `more` are headers with `_` for `-`."""
+    """Encodes an HTTP request; keyword arguments become headers, `_` as `-`."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {HOST}"]
     lines.append(f"Attempt-Id: {request_id}")
     if key:
@@ -46,11 +46,11 @@
 
 
 async def read_reply(reader: asyncio.StreamReader) -> Reply:
-    """Reads an answer.
+    """Reads one HTTP response.
 
     Raises:
-        asyncio.IncompleteReadError: It broke off before the end of its head,
-            or of a body with a length.
+        asyncio.IncompleteReadError: The connection closed before the end of
+            the response head, or of a body with a Content-Length.
     """
     head = await reader.readuntil(b"\r\n\r\n")
     first, *lines = head.decode().split("\r\n")
--- a/lab/calls.py
+++ b/lab/calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls of the launcher to what it has started."""
+"""HTTP calls of the launcher to the processes that it has started."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def call(method: str, url: str, body: bytes | None = None) -> bytes:
-    """Makes one HTTP call.
+    """Makes one HTTP call and returns the response body.
 
     Raises:
-        OSError: It failed; HTTP error statuses included.
+        OSError: The call failed or returned an HTTP error status.
     """
     request = urllib.request.Request(url, data=body, method=method)
     with urllib.request.urlopen(request, timeout=10.0) as response:
--- a/lab/chat.py
+++ b/lab/chat.py
@@ -1,4 +1,4 @@
-"""Chat requests of a model engine: read them and send their events."""
+"""Chat requests of a model engine: parses requests and streams answers."""
 
 from __future__ import annotations
 
@@ -25,16 +25,21 @@
 
 
 class WrongRequestError(Exception):
-    """A request body that the engine doesn't take."""
+    """A chat request has a field that the engine does not accept."""
 
 
 def read_sequence(
     headers: Mapping[str, str], body: dict[str, Any], *, garbage: bool
 ) -> Sequence:
-    """The sequence that a request asks for.
+    """Creates the sequence for a chat request.
+
+    Args:
+        headers: Request headers.
+        body: Decoded JSON body of the request.
+        garbage: Whether to generate the tokens of a faulty version.
 
     Raises:
-        WrongRequestError: where a field has a wrong form.
+        WrongRequestError: A field has a wrong type or value.
     """
     messages = body.get("messages")
     if not isinstance(messages, list) or not all(
@@ -75,7 +80,15 @@
     seq: int,
     silent_after_tokens: int | None,
 ) -> web.StreamResponse:
-    """Sends the events from `seq` on as they come."""
+    """Streams the events of a sequence as they are generated.
+
+    Args:
+        request: The HTTP request to answer.
+        sequence: The sequence to stream.
+        seq: Number of the first event to send.
+        silent_after_tokens: Number of tokens after which the stream stops
+            sending but keeps its connection open; None for no such fault.
+    """
     response = web.StreamResponse()
     response.content_type = "text/event-stream"
     response.headers["Cache-Control"] = "no-cache"
@@ -95,7 +108,9 @@
             await hang(request)
         await response.write_eof()
     except ConnectionResetError:
-        pass  # The client has gone; the sequence goes on for a resume.
+        # The client has disconnected; the sequence continues, so that the
+        # client can resume the stream.
+        pass
     return response
 
 
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -1,4 +1,4 @@
-"""HTTP clients of a fleet: the OpenAI library, plain calls, the commands."""
+"""Clients of a fleet: the OpenAI library, plain HTTP and operator commands."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 
 class CommandError(Exception):
-    """A command of the operator ended with an error."""
+    """An operator command ended with a non-zero exit code."""
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """The answer to a plain call.
+    """The response to a call of a plain service.
 
     Attributes:
         status: HTTP status.
-        run: What a refusal says of the run; empty for an answer.
-        body: The body.
+        run: Run state reported with a refusal; empty for an answer.
+        body: Response body.
     """
 
     status: int
@@ -44,20 +44,27 @@
 def make_client(
     fleet: Fleet, workspace: str = "audit", entry: int = 0
 ) -> openai.OpenAI:
-    """An unmodified OpenAI client for one workspace."""
+    """Returns an unmodified OpenAI client for one workspace and one entry."""
     return _open_client(f"{fleet.entries[entry].url}/v1", f"key-{workspace}")
 
 
 @functools.lru_cache(maxsize=64)
 def _open_client(url: str, key: str) -> openai.OpenAI:
-    # A client costs some 40 ms of processor time to make.
+    # Clients are cached: creating one takes some 40 ms of CPU time.
     return openai.OpenAI(base_url=url, api_key=key)
 
 
 def call_plain(
     url: str, workspace: str, key: str = "", body: bytes = b""
 ) -> Answer:
-    """Posts to a plain service through an entry."""
+    """Sends a POST request to a plain service through an entry.
+
+    Args:
+        url: URL of the service at the entry.
+        workspace: Workspace whose API key is used.
+        key: Idempotency key; none is sent if empty.
+        body: Request body.
+    """
     headers = {"Authorization": f"Bearer key-{workspace}"}
     if key:
         headers["Idempotency-Key"] = key
@@ -71,10 +78,10 @@
 
 
 def run_command(fleet: Fleet, *words: str) -> Any:
-    """Runs one of the operator's commands as a process; returns its JSON.
+    """Runs an operator command as a process and returns its JSON output.
 
     Raises:
-        CommandError: Its exit code is not 0.
+        CommandError: The command's exit code is not 0.
     """
     settings = fleet.make_operator_settings()
     if words[0] == "usage":
@@ -98,7 +105,7 @@
 
 
 def edit_document(fleet: Fleet, edit: Edit) -> None:
-    """Edits the fleet's document through the commands."""
+    """Edits the fleet's service document with the operator commands."""
     service = fleet.shape.service
     shown = run_command(fleet, "service", "get", service)
     document = msgspec.convert(shown["document"], ServiceDocument)
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -1,4 +1,4 @@
-"""Shows each thing that the product does, on fleets of real processes."""
+"""Demonstrates each feature of the product on fleets of real processes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     "lahore": ("audit", "policy-draft"),
     "tasmania": ("buyers", "gift-wrap"),
 }
-"""By fleet: the workspace that asks, and a class that may not be repeated."""
+"""Maps each fleet to its calling workspace and a class without retries."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -37,7 +37,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Runs all rows on each fleet; 0 only where every row held."""
+    """Runs all rows on each fleet; returns 0 only if every row passed."""
     names = [args.fleet] if args.fleet else list(STAGES)
     with concurrent.futures.ThreadPoolExecutor(len(names)) as pool:
         runs = [pool.submit(_run_fleet, name, args.binary) for name in names]
@@ -81,6 +81,7 @@
 
 
 def _print_line(fleet: str, text: str) -> None:
-    # One write a line: both fleets print at the same time.
+    # Each line is a single write, since both fleets print concurrently and
+    # their output would mix within a line.
     sys.stdout.write(f"{fleet:<10} {text}\n")
     sys.stdout.flush()
--- a/lab/demo_operations.py
+++ b/lab/demo_operations.py
@@ -1,4 +1,4 @@
-"""Rows of the demo that show operators' changes, losses and planned stops."""
+"""Demo rows for operator changes, process failures and planned stops."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from lovagestage.state.document import ClassSpec, ServiceDocument, VersionState
 
 IN_FORCE_S = 8.0
-"""An accepted change is in force everywhere by then."""
+"""Time limit in seconds until an accepted change applies everywhere."""
 ROLLOUT_CALLERS = 16
 ROLLOUT_ROUND = range(64)
 ROLLOUT_OPTIONS = (
@@ -30,7 +30,7 @@
 
 
 def check_session(stage: Stage) -> str:
-    """A session stays on its version while that is retired."""
+    """Checks that a session keeps its model version after it is retired."""
     session = ask(stage, "large").session
     _set_state(stage, "large@1", VersionState.RETIRED)
     wait_until(
@@ -48,7 +48,7 @@
 
 
 def check_rollout(stage: Stage) -> str:
-    """A roll-out goes from start to done as ratings speak for it."""
+    """Checks that a roll-out completes when the answers are rated well."""
     stage.fleet.set_fault("rater", delay_s=0.1, sample_ratio=1.0)
     start_s = time.monotonic()
     command = ("rollout", "start", "large@1", "large@2")
@@ -67,7 +67,7 @@
 
 
 def check_withdrawn(stage: Stage) -> str:
-    """A withdrawn version takes no work; others go on."""
+    """Checks that a withdrawn version gets no work and others still answer."""
     run_command(stage.fleet, "withdraw", "large@1")
     for entry in range(len(stage.fleet.entries)):
         wait_until(
@@ -83,7 +83,7 @@
 
 
 def check_killed(stage: Stage) -> str:
-    """Requests that may be repeated outlive the kill of a sidecar."""
+    """Checks that requests that may be retried survive a killed sidecar."""
     stage.fleet.kill("sidecar-0")
     for index in range(8):
         ask(stage, "small@1", index % 2)
@@ -91,17 +91,17 @@
 
 
 def check_sidecar_stop(stage: Stage) -> str:
-    """A sidecar that stops as planned cuts off no stream."""
+    """Checks that the planned stop of a sidecar cuts off no stream."""
     return _stop_during_streams(stage, "sidecar-1", entry=0)
 
 
 def check_entry_stop(stage: Stage) -> str:
-    """An entry that stops as planned cuts off no stream."""
+    """Checks that the planned stop of an entry cuts off no stream."""
     return _stop_during_streams(stage, "entry-1", entry=1)
 
 
 def check_usage(stage: Stage) -> str:
-    """What was answered is billed, each request once."""
+    """Checks that the number of billed requests equals those that ran."""
     ran = _get_request_ids(stage)
     wait_until(lambda: _count_billed(stage) >= len(ran), BILLED_S, "billing")
     billed = _count_billed(stage)
@@ -115,8 +115,8 @@
             msgspec.structs.replace(v, state=state) if v.name == name else v
             for v in document.versions
         ]
-        # Every class needs an active version, so the classes of this one get
-        # the next one with the same change.
+        # Every request class needs an active version, so the same change adds
+        # large@2 to the classes of the version whose state is set.
         classes = {
             key: _add_version(spec, name, "large@2")
             for key, spec in document.classes.items()
@@ -145,7 +145,7 @@
     except openai.PermissionDeniedError:
         return True
     except openai.InternalServerError:
-        # The sidecar knows already, this entry does not yet.
+        # The sidecar has applied the withdrawal, but this entry has not yet.
         return False
     return False
 
--- a/lab/demo_requests.py
+++ b/lab/demo_requests.py
@@ -1,4 +1,4 @@
-"""Rows of the demo that show what single requests get."""
+"""Demo rows that show the outcomes of single requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def check_plain(stage: Stage) -> str:
-    """A plain answer by service name."""
+    """Checks the answer to a request that names a service as its model."""
     answer = stage.make_client().chat.completions.create(
         model=stage.fleet.shape.service,
         messages=[{"role": "user", "content": MESSAGE}],
@@ -25,7 +25,7 @@
 
 
 def check_streamed(stage: Stage) -> str:
-    """A streamed answer is whole and says its usage."""
+    """Checks that a streamed answer is complete and reports its usage."""
     stream = stage.make_client(entry=1).chat.completions.create(
         model="large@1",
         messages=[{"role": "user", "content": MESSAGE}],
@@ -43,14 +43,14 @@
 
 
 def check_models(stage: Stage) -> str:
-    """A workspace sees only what it may use."""
+    """Checks that a workspace sees only the models that it may use."""
     names = [m.id for m in make_client(stage.fleet, "trial").models.list()]
     assert names == [stage.fleet.shape.service, "small@1"], names
     return ", ".join(names)
 
 
 def check_refused(stage: Stage) -> str:
-    """A model that the workspace may not use is refused, and not run."""
+    """Checks that a model forbidden to the workspace is refused and not run."""
     try:
         make_client(stage.fleet, "trial").chat.completions.create(
             model="large@1", messages=[{"role": "user", "content": MESSAGE}]
@@ -62,7 +62,7 @@
 
 
 def check_once(stage: Stage) -> str:
-    """One key through two entries at the same time runs once."""
+    """Checks that requests with one key through two entries run only once."""
     headers = {
         "Idempotency-Key": "demo-draft",
         "X-Request-Class": stage.once_class,
@@ -80,7 +80,7 @@
 
 
 def check_charge(stage: Stage) -> str:
-    """A charge at a plain service, sent again with its key, runs once."""
+    """Checks that a charge repeated with its idempotency key runs only once."""
     urls = [
         f"{entry.url}/{stage.fleet.shape.pool}/charge" for entry in _two(stage)
     ]
@@ -96,7 +96,7 @@
 
 
 def check_dropped_charge(stage: Stage) -> str:
-    """A charge whose answer is dropped is not sent again."""
+    """Checks that a charge without a key is not retried after a lost answer."""
     url = f"{stage.route_url}/charge"
     before = _count(stage, stage.fleet.plains, "runs_by_path", "/charge")
     for plain in stage.fleet.plains:
--- a/lab/demo_stage.py
+++ b/lab/demo_stage.py
@@ -1,4 +1,4 @@
-"""What each row of the demo gets, and helpers that the rows share."""
+"""Environment of the demo rows and the helper functions that they share."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Stage:
-    """A fleet and whose requests are shown on it.
+    """A fleet with the workspace and request class that the demo uses on it.
 
     Attributes:
-        fleet: The fleet.
-        workspace: The workspace that asks.
-        once_class: A request class that may not be repeated.
+        fleet: The running fleet.
+        workspace: Workspace that sends the requests.
+        once_class: Request class whose requests may not be retried.
     """
 
     fleet: Fleet
@@ -31,17 +31,22 @@
 
     @property
     def route_url(self) -> str:
-        """The plain service's URL at the first entry."""
+        """URL of the plain service's route at the first entry."""
         return f"{self.fleet.entries[0].url}/{self.fleet.shape.pool}"
 
     def make_client(self, entry: int = 0) -> openai.OpenAI:
-        """A client of the workspace."""
+        """Returns an OpenAI client of the workspace for the given entry."""
         return make_client(self.fleet, self.workspace, entry)
 
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-    """One line of the table; `check` tells what was shown."""
+    """One line of the demo's table.
+
+    Attributes:
+        name: Name in the table.
+        check: Runs the check and returns a summary of what it showed.
+    """
 
     name: str
     check: Callable[[Stage], str]
@@ -49,13 +54,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """An answer with what its headers say.
+    """An answer with the values of its response headers.
 
     Attributes:
-        text: The answer.
-        version: Version that answered.
-        session: Token for the next request.
-        request_id: Request that it is billed under.
+        text: Text of the answer.
+        version: Model version that answered.
+        session: Session token for the next request.
+        request_id: Request id that the answer is billed under.
     """
 
     text: str
@@ -71,10 +76,10 @@
     tokens: int = 8,
     headers: Mapping[str, str] | None = None,
 ) -> Reply:
-    """Sends a plain request.
+    """Sends a chat request without streaming.
 
     Raises:
-        openai.OpenAIError: It was refused.
+        openai.OpenAIError: The request failed or was refused.
     """
     raw = stage.make_client(entry).chat.completions.with_raw_response.create(
         model=model,
@@ -91,7 +96,7 @@
 
 
 def read_stream(stage: Stage, model: str, entry: int, tokens: int) -> int:
-    """Reads a stream to its end; returns how many words it had."""
+    """Reads a streamed answer to its end and returns its number of words."""
     stream = stage.make_client(entry).chat.completions.create(
         model=model,
         messages=[{"role": "user", "content": MESSAGE}],
@@ -103,10 +108,15 @@
 
 
 def wait_until(is_so: Callable[[], bool], timeout_s: float, what: str) -> None:
-    """Waits until something is so.
+    """Polls a condition until it is true.
+
+    Args:
+        is_so: The condition.
+        timeout_s: Longest time to wait, in seconds.
+        what: Description of the awaited event for the error message.
 
     Raises:
-        AssertionError: It was not in time.
+        AssertionError: The condition was not true in time.
     """
     end_s = time.monotonic() + timeout_s
     while not is_so():
--- a/lab/engine.py
+++ b/lab/engine.py
@@ -1,4 +1,4 @@
-"""Model engine: OpenAI's HTTP form over a simulated batch."""
+"""Model engine: an OpenAI-compatible HTTP API over a simulated batch."""
 
 from __future__ import annotations
 
@@ -32,19 +32,41 @@
 
 
 class EngineFaults(Faults):
-    """Faults of the engine; versions are given as `NAME@VERSION`."""
-
-    crash_on: str | None = None  # Exits at the first token of such a prompt.
-    silent_after_tokens: int | None = None  # The connection stays open.
-    refuse_model: str | None = None  # Answers 500.
-    bad_version: str | None = None  # Answers garbage.
-    slow_factor: float = 1.0  # On all times.
-    hang_load: bool = False  # Load orders never come to an end.
-    lag_ms: float | None = None  # In place of the process's own load lag.
+    """Injectable faults of the engine; versions are given as `NAME@VERSION`."""
+
+    # Exits at the first token of a prompt that contains this text.
+    crash_on: str | None = None
+    # Stops sending after so many tokens; the connection stays open.
+    silent_after_tokens: int | None = None
+    # Answers 500 to requests for this version.
+    refuse_model: str | None = None
+    # Answers requests for this version with garbage.
+    bad_version: str | None = None
+    # Multiplies all prefill and step times.
+    slow_factor: float = 1.0
+    # Orders to load a version never finish.
+    hang_load: bool = False
+    # Replaces the load lag that the process was started with.
+    lag_ms: float | None = None
 
 
 class EngineOptions(msgspec.Struct, kw_only=True):
-    """What an engine is started with."""
+    """Options that an engine is started with.
+
+    Attributes:
+        models: Versions that are loaded at the start, as `NAME@VERSION`.
+        prices: Price of a token, by version.
+        weights_url: URL of the weight store; None loads without a transfer.
+        load_ms: Time to load a version after its transfer.
+        checks_fencing: Whether orders with a stale fencing number are refused.
+        load_lag_ms: Delay of the reported load.
+        cache_prefixes: Capacity of the prefix cache.
+        cache_lag_ms: Delay of the reported cache events.
+        cache_gap_ratio: Share of the cache events that are omitted.
+        keep_streams_s: Time for which an ended stream can be resumed.
+        runs_file: File to which each run is appended as a line, so that the
+            records survive the process; none if empty.
+    """
 
     models: list[str]
     timing: Timing = msgspec.field(default_factory=Timing)
@@ -57,11 +79,11 @@
     cache_lag_ms: float = 200.0
     cache_gap_ratio: float = 0.05
     keep_streams_s: float = 60.0
-    runs_file: str = ""  # Takes each run as a line; outlives the process.
+    runs_file: str = ""
 
 
 class Engine:
-    """One engine and its HTTP handlers."""
+    """One simulated engine with its HTTP handlers."""
 
     def __init__(self, options: EngineOptions) -> None:
         self.faults = EngineFaults()
@@ -96,7 +118,7 @@
         self._resumes = 0
 
     def app(self) -> web.Application:
-        """The application that serves this engine."""
+        """Creates the web application that serves this engine."""
         app = make_app(self.faults, self.stats)
         router = app.router
         router.add_post("/v1/chat/completions", self._handle_chat)
@@ -112,7 +134,7 @@
         return app
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns the engine's counters, role and orders for `/_stats`."""
         prices = self._options.prices
         return {
             "runs": self._runs,
@@ -140,7 +162,7 @@
         await self.models.close()
 
     async def _sweep(self) -> None:
-        """Forgets streams that ended some time ago."""
+        """Evicts streams that ended over `keep_streams_s` ago, or too many."""
         while True:
             await asyncio.sleep(SWEEP_S)
             limit_s = time.monotonic() - self._options.keep_streams_s
--- a/lab/fault_driver.py
+++ b/lab/fault_driver.py
@@ -1,4 +1,4 @@
-"""Brings a plan's faults upon a fleet and notes when each one acted."""
+"""Injects the faults of a plan into a fleet and records their times."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Applied:
-    """A fault that has acted.
+    """A fault that was injected.
 
     Attributes:
-        fault: The fault.
-        began_s: Unix time of its start.
-        ended_s: Unix time at which the process served again.
+        fault: The planned fault.
+        began_s: Unix time at which the fault started.
+        ended_s: Unix time at which the fault was undone.
     """
 
     fault: Fault
@@ -32,16 +32,20 @@
     ended_s: float
 
     def overlaps(self, start_s: float, end_s: float) -> bool:
-        """Whether it acted in a span of time."""
+        """Returns whether the fault was active in a span of Unix time."""
         return self.began_s <= end_s and self.ended_s >= start_s
 
 
 class FaultDriver:
-    """One thread for each fault; a process has one fault at a time.
+    """Injects faults, each in a thread; a process has one fault at a time.
 
     Args:
-        fleet: The fleet.
-        relays: Relays before processes, by name.
+        fleet: Fleet to inject faults into.
+        relays: Relays in front of processes, by process name.
+
+    Attributes:
+        applied: Faults that were injected.
+        failures: Descriptions of faults that could not be injected or undone.
     """
 
     def __init__(self, fleet: Fleet, relays: dict[str, Relay]) -> None:
@@ -54,7 +58,14 @@
         self._threads: list[threading.Thread] = []
 
     def run(self, plan: list[Fault], start_s: float) -> None:
-        """Applies the plan; returns once every fault is undone."""
+        """Injects the faults of a plan; returns when all of them are undone.
+
+        A fault is skipped if its process does not exist or still has one.
+
+        Args:
+            plan: Faults in the order of their times.
+            start_s: Unix time that the plan's times count from.
+        """
         for fault in plan:
             time.sleep(max(0.0, start_s + fault.at_s - time.time()))
             if not self._may_act(fault):
@@ -74,7 +85,7 @@
         began_s = time.time()
         try:
             self._act(fault)
-        except Exception as error:  # Shown in the result, which then fails.
+        except Exception as error:  # Reported as a failure of the experiment.
             self.failures.append(f"{fault.kind.value} {fault.name}: {error!r}")
         self.applied.append(Applied(fault, began_s, time.time()))
         self._busy.discard(fault.name)
--- a/lab/fault_plan.py
+++ b/lab/fault_plan.py
@@ -1,4 +1,4 @@
-"""A seeded schedule of faults: which process fails when, and how."""
+"""Seeded schedule of faults: which process fails, at what time and how."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 MIN_GAP_S = 2.5
 MAX_GAP_S = 5.0
 TOGETHER_SHARE = 0.35
-"""Share of the faults that another one comes with."""
+"""Probability that two faults are injected at the same time."""
 MIN_PAUSE_S = 1.0
 MAX_PAUSE_S = 8.0
 MIN_AWAY_S = 0.3
@@ -19,14 +19,14 @@
 
 
 class FaultKind(enum.Enum):
-    """What happens to a process."""
+    """Types of faults that are injected into a process."""
 
     KILL = "kill"
     PAUSE = "pause"
     SILENCE = "silence"
-    """Its open connections go silent; new ones work."""
+    """Open connections of the process deliver no more data; new ones work."""
     REPLACE = "replace"
-    """Planned stop, and a new process."""
+    """The process is stopped as planned and a new process is started."""
     OUTAGE = "outage"
     LOST_ANSWERS = "lost_answers"
     SLOW = "slow"
@@ -34,13 +34,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """One fault.
+    """One planned fault.
 
     Attributes:
-        at_s: Time since the start of the traffic.
-        kind: What happens.
-        name: The process.
-        lasts_s: Time until it is undone.
+        at_s: Time of the fault in seconds since the start of the traffic.
+        kind: Type of the fault.
+        name: Name of the affected process.
+        lasts_s: Time in seconds until the fault is undone.
     """
 
     at_s: float
@@ -68,7 +68,12 @@
 
 
 def make_plan(seed: int, duration_s: float) -> list[Fault]:
-    """Draws faults for a run, in the order of their times."""
+    """Draws a random schedule of faults, in the order of their times.
+
+    Args:
+        seed: Seed of the random generator; equal seeds give equal plans.
+        duration_s: Duration of the traffic.
+    """
     rng = random.Random(seed)
     at_s = QUIET_START_S
     faults = []
--- a/lab/faults.py
+++ b/lab/faults.py
@@ -1,4 +1,4 @@
-"""Named faults of a stand-in and the handler that sets them."""
+"""Injectable faults of a stand-in and the HTTP handler that sets them."""
 
 from __future__ import annotations
 
@@ -10,21 +10,25 @@
 
 
 class UnknownFaultError(Exception):
-    """A fault that the stand-in doesn't have."""
+    """A request names a fault that the stand-in does not have."""
 
 
 class Faults(msgspec.Struct, kw_only=True):
-    """Base of the faults of one stand-in: each field is a fault.
+    """Base class of a stand-in's faults: each field is one fault.
 
-    A field's default means that the fault is off.
+    A field with its default value means that the fault is off.
     """
 
     def update(self, changes: dict[str, Any]) -> None:
-        """Sets the named faults, all or none; None sets the default back.
+        """Sets the named faults atomically; None restores a fault's default.
+
+        Args:
+            changes: New values by fault name.
 
         Raises:
-            UnknownFaultError: for a name that isn't a field.
-            msgspec.ValidationError: for a value of the wrong type.
+            UnknownFaultError: A name is not a field; nothing was changed.
+            msgspec.ValidationError: A value has the wrong type; nothing was
+                changed.
         """
         fresh = type(self)()
         fields = {f.name: f for f in msgspec.structs.fields(type(self))}
@@ -41,16 +45,22 @@
 
 
 def error(status: int, code: str, **more: Any) -> web.Response:
-    """The JSON answer of every stand-in to a call that it refuses."""
+    """Creates the JSON error response that all stand-ins use.
+
+    Args:
+        status: HTTP status.
+        code: Error code; also used as the message and the type.
+        **more: Further fields of the JSON object.
+    """
     body = {"error": {"code": code, "message": code, "type": code}, **more}
     return web.json_response(body, status=status)
 
 
 async def read_object(request: web.Request) -> dict[str, Any]:
-    """The JSON object in the body.
+    """Returns the JSON object in the body of a request.
 
     Raises:
-        web.HTTPBadRequest: where the body is something else.
+        web.HTTPBadRequest: The body is not a JSON object.
     """
     try:
         body = await request.json()
@@ -62,7 +72,7 @@
 
 
 def add_fault_route(app: web.Application, faults: Faults) -> None:
-    """Serves `POST /_faults`, which answers all faults as they now are."""
+    """Adds `POST /_faults`, which sets faults and returns the state of all."""
 
     async def handle(request: web.Request) -> web.Response:
         try:
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -1,7 +1,7 @@
-"""Launcher: starts the stand-ins and the product's processes of one user.
+"""Launcher of a fleet: starts the stand-ins and the product's processes.
 
-Only the lab starts processes. Each child is known by its process object and
-is ended by it.
+Within the project, only the lab starts processes. The launcher holds the
+process object of each child and ends the child through this object.
 """
 
 from __future__ import annotations
@@ -48,10 +48,10 @@
     """A process that the launcher has started.
 
     Attributes:
-        name: Name within the fleet.
-        process: The process.
-        port: Port of its HTTP server; 0 where it has none.
-        bus: `HOST:PORT` of its listener; empty for stand-ins.
+        name: Unique name within the fleet, such as `entry-0`.
+        process: Handle of the process.
+        port: Port of its HTTP server; 0 if it has none or is still starting.
+        bus: `HOST:PORT` of its message listener; empty for stand-ins.
     """
 
     name: str
@@ -61,25 +61,33 @@
 
     @property
     def url(self) -> str:
-        """Base URL of its HTTP server."""
+        """Base URL of the process's HTTP server."""
         return f"http://{HOST}:{self.port}"
 
 
 class FleetError(Exception):
-    """A process of the fleet did not start or stop as it should."""
+    """A process of the fleet did not start or become ready as expected."""
 
 
 class Fleet:
-    """The processes of one user; a context manager that ends them all.
+    """The processes of one fleet; a context manager that starts and ends them.
 
     Args:
-        shape: Size of the fleet.
-        engine_options: Further arguments of each engine.
-        entry_options: Further settings of each entry.
-        bus_options: Further settings of each process's connections.
-        statsd: Where each process sends its metrics.
-        folder: Where settings and logs go; a temporary one by default.
-        binary: The shipped file to run; by default the package's source.
+        shape: Numbers of processes, their zones and the service.
+        engine_options: Additional command-line arguments of each engine.
+        folder: Folder of the settings and log files; a temporary folder by
+            default.
+        binary: The packaged executable to run; by default the package's
+            source.
+        entry_options: Additional settings of each entry.
+        bus_options: Additional settings of each process's message connections.
+        statsd: Settings of the statsd server that processes send metrics to.
+
+    Attributes:
+        children: Running processes by name.
+        has_rater: Whether settings name the rater.
+        entry_options: Settings of each entry.
+        settings: Writer of the settings files.
     """
 
     def __init__(
@@ -127,31 +135,32 @@
     ) -> None:
         self.kill_all()
         if self._owns_folder and error is None:
-            # Settings with keys are in it; after an error the logs are kept.
+            # The folder has settings with secret keys and must not remain.
+            # After an error it is kept for its logs.
             shutil.rmtree(self._folder, ignore_errors=True)
 
     @property
     def folder(self) -> pathlib.Path:
-        """Where settings and logs go."""
+        """Folder of the settings and log files."""
         return self._folder
 
     @property
     def entries(self) -> list[Child]:
-        """The entry processes."""
+        """The running entries."""
         return [c for n, c in self.children.items() if n.startswith("entry")]
 
     @property
     def engines(self) -> list[Child]:
-        """The engine stand-ins."""
+        """The running engine stand-ins."""
         return [c for n, c in self.children.items() if n.startswith("engine")]
 
     @property
     def plains(self) -> list[Child]:
-        """The plain service stand-ins."""
+        """The running stand-ins of plain services."""
         return [c for n, c in self.children.items() if n.startswith("plain")]
 
     def start(self) -> None:
-        """Starts everything and waits until every entry is ready."""
+        """Starts all processes and waits until every entry is ready."""
         for name in ("log", "vms", "rater", "weights"):
             self._start_stand_in(name, name)
         self._wait_for_stand_ins()
@@ -170,7 +179,7 @@
             self.wait_until_ready(entry)
 
     def start_engine(self, index: int, *options: str) -> Child:
-        """Starts one engine; its port is known once it is ready."""
+        """Starts one engine; its port is set when it reports readiness."""
         return self._start_stand_in(
             f"engine-{index}",
             "engine",
@@ -183,13 +192,18 @@
         )
 
     def restart_engine(self, index: int, port: int) -> Child:
-        """Starts an engine again where its sidecar expects it."""
+        """Starts an engine again on the port that its sidecar connects to."""
         child = self.start_engine(index, "--port", str(port))
         self._wait_for_stand_ins()
         return child
 
     def start_sidecar(self, index: int) -> Child:
-        """Starts a sidecar: first come those of engines, then of plains."""
+        """Starts a sidecar.
+
+        Args:
+            index: Number of the sidecar; the sidecars of engines come first,
+                followed by those of plain services.
+        """
         plain = index - self.shape.engines
         if plain < 0:
             upstream = self.children[f"engine-{index}"]
@@ -200,7 +214,7 @@
         return self._start_daemon("sidecar", index, {"sidecar": role})
 
     def start_entry(self, index: int) -> Child:
-        """Starts an entry."""
+        """Starts an entry on a free port."""
         port = get_free_port()
         role = {
             "entry": {
@@ -214,7 +228,7 @@
         return child
 
     def start_balancer(self) -> Child:
-        """Starts the balancer in front of the entries."""
+        """Starts the load balancer in front of the running entries."""
         backends = ",".join(f"{HOST}:{entry.port}" for entry in self.entries)
         child = self._start_stand_in(
             "balancer", "balancer", "--backends", backends
@@ -224,16 +238,21 @@
         return child
 
     def publish(self, path: pathlib.Path, base: int = 0) -> None:
-        """Appends a document to the log, signed by the lab's operator.
+        """Appends a document file to the log, signed by the lab's operator.
 
         Args:
-            path: The document, JSON with comments.
-            base: Revision that it replaces.
+            path: File with the service document as JSON with comments.
+            base: Revision that the document replaces.
         """
         self.publish_document(parse_file(path, ServiceDocument), base)
 
     def publish_document(self, document: ServiceDocument, base: int) -> None:
-        """Appends a document to the log, signed by the lab's operator."""
+        """Appends a service document to the log, signed by the lab's operator.
+
+        Args:
+            document: The service document.
+            base: Revision that the document replaces.
+        """
         self._append(
             DocumentChange(
                 ChangeId(f"{document.service}-after-{base}"),
@@ -258,11 +277,15 @@
         )
 
     def make_operator_settings(self) -> pathlib.Path:
-        """Writes the settings of the lab's operator; returns their path."""
+        """Writes the settings file of the lab's operator; returns its path."""
         return self.settings.write_operator(self._get_urls())
 
     def wait_until_ready(self, entry: Child) -> None:
-        """Waits until an entry serves and sees every engine's versions."""
+        """Waits until a process answers its health check successfully.
+
+        Raises:
+            FleetError: The process has ended or was not ready in time.
+        """
         end_s = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < end_s:
             if self._is_ready(entry):
@@ -271,28 +294,32 @@
         raise FleetError(f"{entry.name} was not ready in time.")
 
     def stop(self, name: str) -> int:
-        """Asks one process to stop (SIGTERM); returns its exit code."""
+        """Stops one process with SIGTERM and removes its VM from the VM list.
+
+        Returns:
+            The exit code of the process.
+        """
         child = self.children.pop(name)
         child.process.terminate()
         self._forget_vm(child)
         return child.process.wait(STOP_TIMEOUT_S)
 
     def kill(self, name: str) -> None:
-        """Kills one process; the VM list still names it."""
+        """Kills one process with SIGKILL; the VM list still contains its VM."""
         child = self.children.pop(name)
         child.process.kill()
         child.process.wait(STOP_TIMEOUT_S)
 
     def suspend(self, name: str) -> None:
-        """Pauses one process (SIGSTOP)."""
+        """Pauses one process with SIGSTOP."""
         self.children[name].process.send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Lets a paused process go on (SIGCONT)."""
+        """Resumes a paused process with SIGCONT."""
         self.children[name].process.send_signal(signal.SIGCONT)
 
     def get_dump(self, name: str) -> Any:
-        """The state that one of the product's processes shows."""
+        """Requests the state dump of one of the product's processes."""
         from lovagestage.messages.envelope import (
             DumpAnswer,
             DumpRequest,
@@ -313,12 +340,12 @@
         return json.loads(answer.state)
 
     def kill_all(self) -> None:
-        """Kills all that was started."""
+        """Kills all running processes of the fleet."""
         for name in list(self.children):
             self.kill(name)
 
     def set_fault(self, name: str, **faults: Any) -> None:
-        """Switches faults of a stand-in."""
+        """Sets faults of a stand-in by name; None switches a fault off."""
         call(
             "POST",
             f"{self.children[name].url}/_faults",
@@ -326,11 +353,11 @@
         )
 
     def get_stats(self, name: str) -> Any:
-        """What a stand-in has counted."""
+        """Returns the counters of a stand-in."""
         return json.loads(call("GET", f"{self.children[name].url}/_stats"))
 
     def get_log_tail(self, name: str, lines: int = 60) -> str:
-        """The last lines that a process has logged."""
+        """Returns the last lines of a process's log file."""
         path = self._folder / f"{name}.log"
         return "\n".join(path.read_text().splitlines()[-lines:])
 
@@ -376,7 +403,7 @@
         return self.children[name]
 
     def tell_vm(self, name: str, entry: dict[str, Any]) -> None:
-        """Tells the VM list the truth about one VM."""
+        """Sets the current entry of one VM in the VM list."""
         call(
             "PUT",
             f"{self.children['vms'].url}/v1/vms/{name}",
@@ -384,7 +411,7 @@
         )
 
     def set_vm_bus(self, name: str, bus: str) -> None:
-        """Lists a sidecar under another address, such as a relay's."""
+        """Changes a sidecar's address in the VM list, such as to a relay's."""
         index = int(name.rpartition("-")[2])
         zone = self.shape.zones[index % len(self.shape.zones)]
         entry = {"vm": name, "role": "sidecar", "zone": zone, "bus": bus}
--- a/lab/fleet_settings.py
+++ b/lab/fleet_settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the processes that the lab starts."""
+"""Writes the settings files of the processes that the lab starts."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class StandInUrls:
-    """Where the stand-ins of the platform are.
+    """Base URLs of the stand-ins for platform services.
 
     Attributes:
-        log: The log.
-        vms: The VM list.
-        rater: The rater; empty where there is none.
+        log: URL of the log service.
+        vms: URL of the VM list.
+        rater: URL of the rater; empty if the fleet has none.
     """
 
     log: str
@@ -33,16 +33,16 @@
 
 
 class FleetSettings:
-    """Makes settings with the keys of one fleet.
+    """Writes settings that share the generated keys of one fleet.
 
     Args:
-        folder: Where the files go.
-        bus_options: Further settings of each process's connections.
-        statsd: Where each process sends its metrics.
+        folder: Folder that the settings files are written to.
+        bus_options: Additional settings of each process's message connections.
+        statsd: Settings of the statsd server that processes send metrics to.
 
     Attributes:
-        keys: Public and secret key of the fleet's connections.
-        root: Signs documents and operators.
+        keys: Public and secret key of the fleet's message connections.
+        root: Key that signs service documents and the list of operators.
     """
 
     def __init__(
@@ -66,7 +66,18 @@
         role: Mapping[str, Any],
         urls: StandInUrls,
     ) -> pathlib.Path:
-        """Writes the settings of one of the product's processes."""
+        """Writes the settings file of one of the product's processes.
+
+        Args:
+            name: Name of the VM and of the file.
+            zone: Availability zone.
+            bus: `HOST:PORT` that its message listener binds to.
+            role: Settings of its role, under the name of the role.
+            urls: URLs of the platform services.
+
+        Returns:
+            The path of the file.
+        """
         settings = {
             "vm": name,
             "zone": zone,
@@ -78,7 +89,7 @@
         return self._write(name, settings)
 
     def write_operator(self, urls: StandInUrls) -> pathlib.Path:
-        """Writes the settings of the lab's operator."""
+        """Writes the settings file of the lab's operator; returns its path."""
         settings = {
             "operator": OPERATOR,
             "signing_key": bytes(self.root).hex(),
@@ -88,7 +99,7 @@
         return self._write("operator", settings)
 
     def make_bus_settings(self, port: int) -> BusSettings:
-        """Settings of a listener that the fleet's processes connect to."""
+        """Returns settings of a listener that accepts the fleet's processes."""
         public, secret = self.keys
         return BusSettings(f"{HOST}:{port}", public, secret, [public])
 
--- a/lab/history.py
+++ b/lab/history.py
@@ -1,7 +1,8 @@
-"""Checks a recorded history of requests against what the engines counted.
+"""Checks a recorded history of requests against the engines' run counts.
 
-For each key that callers used: at most one run where it may not be repeated,
-equal bytes in all whole answers, and refusals whose run state is true.
+The checks for each idempotency key are: at most one run if the request may not
+be retried, equal bytes in all complete answers, and refusals that report the
+correct run state.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sent:
-    """One request as its caller saw it.
+    """One HTTP request with the outcome that its caller observed.
 
     Attributes:
-        key: Request key.
-        prompt: Text that names the request at the engines.
-        entry: Where it was sent.
-        sent_s: Monotonic time of the start.
-        ended_s: Monotonic time of the end.
-        status: HTTP status; 0 where the connection broke.
+        key: Idempotency key.
+        prompt: Text that identifies the request at the engines.
+        entry: Name of the entry that the request was sent to.
+        sent_s: Monotonic time at which the request was sent.
+        ended_s: Monotonic time at which the request ended.
+        status: HTTP status; 0 if the connection broke.
         run: Run state of a refusal; empty for an answer.
-        code: Code of a refusal; empty for an answer.
-        retry_after: The refusal's Retry-After; empty where it has none.
-        request_id: Request that the answer is billed under.
-        body: The answer.
+        code: Error code of a refusal; empty for an answer.
+        retry_after: Retry-After header; empty if the response has none.
+        request_id: Request id that the answer is billed under.
+        body: Response body.
     """
 
     key: str
@@ -50,10 +51,13 @@
 
 
 class History:
-    """Sends requests and records what their callers saw.
+    """Sends requests and records the outcomes that their callers observed.
 
     Args:
-        fleet: Where to send them.
+        fleet: Fleet that the requests are sent to.
+
+    Attributes:
+        sent: Requests that have ended.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -71,7 +75,7 @@
         max_tokens: int = 8,
         stream: bool = False,
     ) -> Sent:
-        """Sends one request and waits for its end."""
+        """Sends one request, waits for its end and records the outcome."""
         body = {
             "model": "vault",
             "messages": [{"role": "user", "content": prompt}],
@@ -88,7 +92,7 @@
         return sent
 
     def start(self, entry: Child, key: str, prompt: str, **more: int) -> None:
-        """Sends one request without waiting for its end."""
+        """Sends one request in a thread without waiting for its end."""
         thread = threading.Thread(
             target=self.send, args=(entry, key, prompt), kwargs=more
         )
@@ -96,25 +100,25 @@
         self._threads.append(thread)
 
     def wait(self) -> None:
-        """Waits for the requests that were started."""
+        """Waits for the end of all requests sent with `start`."""
         for thread in self._threads:
             thread.join()
         self._threads.clear()
 
     def get_new_runs(self) -> int:
-        """Runs that the engines counted since the start of the history."""
+        """Returns the number of engine runs since this history was created."""
         return sum((get_runs(self._fleet) - self._before).values())
 
     def get_running_engine(self) -> str:
-        """An engine that counted a run since the start of the history."""
+        """Returns the name of an engine that ran one of the requests."""
         name = next(iter(get_runs(self._fleet) - self._before))
         return name.partition("/")[0]
 
     def find_faults(self) -> list[str]:
-        """What is wrong; empty where every promise was kept.
+        """Returns descriptions of all violations; empty if there are none.
 
-        All requests of one history have to be of a class that may not be
-        repeated, and each key counts for one run at most.
+        All requests of one history must be of a class that may not be
+        retried: each key accounts for at most one run.
         """
         faults = []
         by_key: dict[str, list[Sent]] = defaultdict(list)
@@ -135,7 +139,7 @@
 
 
 def get_runs(fleet: Fleet) -> Counter[str]:
-    """Runs by engine and request id."""
+    """Returns the number of runs by `ENGINE/REQUEST_ID`."""
     runs: Counter[str] = Counter()
     for engine in fleet.engines:
         for name, count in fleet.get_stats(engine.name)["runs"].items():
--- a/lab/load.py
+++ b/lab/load.py
@@ -1,8 +1,8 @@
-"""Open-loop load with latency histograms.
+"""Open-loop load generator with latency histograms.
 
-Requests start at times drawn in advance, whether or not earlier ones have
-ended, and latency counts from the drawn time: a system that stalls is charged
-for all who would have waited (no coordinated omission).
+Requests start at times drawn in advance, whether or not earlier requests have
+ended, and latency is measured from the drawn time. A stall of the system thus
+counts for every request that would have waited (no coordinated omission).
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Target:
-    """Where requests go.
+    """Destination and content of the requests.
 
     Attributes:
-        urls: Base URLs, used in turn.
+        urls: Base URLs, used round robin.
         key: API key; empty for an engine.
-        model: Value of `model`.
-        tokens: Value of `max_tokens`.
-        prompt: The message.
+        model: Value of the request's `model` field.
+        tokens: Value of the request's `max_tokens` field.
+        prompt: Text of the user message.
     """
 
     urls: tuple[str, ...]
@@ -45,7 +45,15 @@
 
 
 class Recorder:
-    """Histograms of one load."""
+    """Latency histograms and outcome counts of one load.
+
+    Attributes:
+        first_token: Microseconds from the due time to the first data.
+        between: Microseconds between successive reads of data.
+        total: Microseconds from the due time to the end of the answer.
+        answers: Number of requests by outcome: `whole`, `cut`, `lost`, or the
+            HTTP status of a refusal.
+    """
 
     def __init__(self) -> None:
         self.first_token = _make_histogram()
@@ -54,7 +62,7 @@
         self.answers: Counter[str] = Counter()
 
     def get_summary(self) -> dict[str, object]:
-        """Percentiles in milliseconds, and counts by outcome."""
+        """Returns latency percentiles in milliseconds and counts by outcome."""
         return {
             "answers": dict(self.answers),
             "first_token_ms": _get_percentiles(self.first_token),
@@ -77,7 +85,7 @@
 def make_arrivals(
     rate_per_s: float, duration_s: float, seed: int
 ) -> list[float]:
-    """Poisson arrival times in seconds from the start."""
+    """Draws Poisson arrival times in seconds from the start, sorted."""
     rng = np.random.default_rng(seed)
     count = rng.poisson(rate_per_s * duration_s)
     return sorted(float(t) for t in rng.uniform(0.0, duration_s, count))
@@ -90,14 +98,14 @@
     due_s: float,
     recorder: Recorder,
 ) -> None:
-    """Sends one streamed request and records it.
+    """Sends one streamed request and records its latencies and outcome.
 
     Args:
-        session: HTTP client.
-        target: Where it goes.
-        index: Number of the request; chooses the URL.
-        due_s: `time.perf_counter()` at which it should have started.
-        recorder: Takes the figures.
+        session: HTTP client session.
+        target: Destination and content of the request.
+        index: Number of the request; selects the URL.
+        due_s: `time.perf_counter()` at which the request should have started.
+        recorder: Recorder of the latencies and the outcome.
     """
     body = {
         "model": target.model,
@@ -148,7 +156,7 @@
     recorder: Recorder,
     show_progress: bool = False,
 ) -> None:
-    """Sends a request at each arrival and waits for all answers."""
+    """Sends a request at each arrival time and waits for all answers."""
     connector = aiohttp.TCPConnector(limit=0)
     timeout = aiohttp.ClientTimeout(total=None)
     async with aiohttp.ClientSession(
@@ -176,7 +184,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Adds the target and the shape of the load."""
+    """Adds the arguments for the target, rate and duration of the load."""
     parser.add_argument("--url", action="append", required=True)
     parser.add_argument("--key", default="")
     parser.add_argument("--model", required=True)
@@ -188,7 +196,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Runs the load; 0 where every answer was whole."""
+    """Runs the load; returns 0 if every answer was complete, else 1."""
     target = Target(tuple(args.url), args.key, args.model, args.tokens)
     arrivals_s = make_arrivals(args.rate, args.duration_s, args.seed)
     recorder = Recorder()
--- a/lab/log.py
+++ b/lab/log.py
@@ -1,4 +1,4 @@
-"""Log service: append-only streams in memory with a limit on appends."""
+"""Log service: append-only streams in memory with a rate limit on appends."""
 
 from __future__ import annotations
 
@@ -20,16 +20,20 @@
 
 
 class LogFaults(Faults):
-    """Faults of the log service."""
+    """Injectable faults of the log service."""
 
-    outage: bool = False  # 503 to every call.
-    slow_ms: float = 0.0  # Delay of each answer, after its effect.
-    lose_answer: int = 0  # The next N appends take effect and answer 500.
-    stall: bool = False  # No call has an effect or an answer.
+    # Answers 503 to every call.
+    outage: bool = False
+    # Delays each response by this time, after the call took effect.
+    slow_ms: float = 0.0
+    # The next N appends take effect but are answered with 500.
+    lose_answer: int = 0
+    # Calls neither take effect nor get a response.
+    stall: bool = False
 
 
 class Stream:
-    """Records of one stream; the oldest expire."""
+    """Records of one stream; the oldest records expire."""
 
     def __init__(self, retain_records: int) -> None:
         self._retain_records = retain_records
@@ -39,16 +43,16 @@
 
     @property
     def next_offset(self) -> int:
-        """The offset that the next append gets."""
+        """Offset that the next appended record will get."""
         return self._base_offset + len(self._records)
 
     @property
     def first_offset(self) -> int:
-        """The offset of the oldest record that is kept."""
+        """Offset of the oldest retained record."""
         return max(0, self.next_offset - self._retain_records)
 
     def append(self, data: bytes) -> int:
-        """Adds a record and wakes the readers."""
+        """Adds a record, wakes waiting readers and returns the offset."""
         offset = self.next_offset
         self._records.append(data)
         if len(self._records) > 2 * self._retain_records:
@@ -60,12 +64,12 @@
         return offset
 
     def read(self, start: int, limit: int) -> list[tuple[int, bytes]]:
-        """At most `limit` records from offset `start`."""
+        """Returns at most `limit` records from offset `start`, with offsets."""
         index = start - self._base_offset
         return list(enumerate(self._records[index : index + limit], start))
 
     async def wait_for(self, offset: int, timeout_s: float) -> None:
-        """Returns when `offset` is there or the time is over."""
+        """Waits until the record at `offset` exists or the timeout expires."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 while self.next_offset <= offset:
@@ -73,7 +77,7 @@
 
 
 class LogService:
-    """The streams and their HTTP handlers."""
+    """The log's streams and their HTTP handlers."""
 
     def __init__(
         self, append_rate_per_s: float, burst: float, retain_records: int
@@ -87,7 +91,7 @@
         self._lost = 0
 
     def app(self) -> web.Application:
-        """The application that serves this log."""
+        """Creates the web application that serves this log."""
         app = make_app(self.faults, self.stats)
         path = "/v1/streams/{stream}/records"
         app.router.add_post(path, self._handle_append)
@@ -95,7 +99,7 @@
         return app
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns counts of appends, rejections and lost answers."""
         return {
             "appends": self._appends,
             "rejected": self._rejected,
--- a/lab/metadata_store.py
+++ b/lab/metadata_store.py
@@ -1,4 +1,4 @@
-"""The users' platform's metadata store: topics, conditions, and its faults."""
+"""Metadata store of the platform: topics, conditional appends and faults."""
 
 from __future__ import annotations
 
@@ -18,26 +18,41 @@
 PAGE_RECORDS = 50
 STALL_BYTES = 64
 SLICE_S = 0.02
-"""Bodies at a pace are sent in slices of this time."""
+"""Rate-limited bodies are sent in slices, one per this time in seconds."""
 MAX_WAIT_S = 30.0
 OPERATOR_ONLY = ("keyed.op", "keyed.servers")
 
 
 class StoreFaults(Faults):
-    """Faults of the store."""
-
-    outage: str = ""  # "503", "429", "reset" or "silent" for every call.
-    slow_ms: float = 0.0  # Delay of each answer, after its effect.
-    lose_appends: int = 0  # The next N appends are done and not answered.
-    deaf: bool = False  # Reads that wait are not woken by records.
-    break_after_bytes: int = 0  # Reads break off after so much of their body.
-    stall: bool = False  # Bodies go silent after their first bytes.
-    bytes_per_s: float = 0.0  # Pace of bodies of reads on each connection.
-    stale_by: int = 0  # Reads show the topics without the last N records.
+    """Injectable faults of the metadata store."""
+
+    # Outcome of every call: "503", "429", "reset" or "silent" (no response).
+    outage: str = ""
+    # Delays each call by this time, before it takes effect.
+    slow_ms: float = 0.0
+    # The next N appends take effect, but the connection is reset.
+    lose_appends: int = 0
+    # Waiting reads are not woken by new records before their time is over.
+    deaf: bool = False
+    # Resets the connection after so many bytes of the body of a read.
+    break_after_bytes: int = 0
+    # Stops sending after the first bytes of the body of a read.
+    stall: bool = False
+    # Rate limit of each response body of a read.
+    bytes_per_s: float = 0.0
+    # Reads return a topic without its last N records.
+    stale_by: int = 0
 
 
 class Topic:
-    """Records of one topic's only partition."""
+    """A topic with a single partition of records.
+
+    Attributes:
+        is_keyed: Whether records have keys and the newest of each key stays.
+        first: Offset of the oldest retained record.
+        newest: Offset and value of the newest record of each key.
+        producers: Highest epoch and last sequence number of each producer.
+    """
 
     def __init__(self, name: str) -> None:
         self.is_keyed = name.startswith("keyed.")
@@ -49,11 +64,11 @@
 
     @property
     def end(self) -> int:
-        """Offset of the next record."""
+        """Offset that the next appended record will get."""
         return self.first + len(self._records)
 
     def append(self, records: list[bytes]) -> int:
-        """Adds records; returns the offset of the first."""
+        """Adds records and returns the offset of the first one."""
         offset = self.end
         for data in records:
             if self.is_keyed:
@@ -64,16 +79,16 @@
         return offset
 
     def read(self, offset: int, end: int) -> list[bytes]:
-        """Records from an offset up to an end."""
+        """Returns the records from `offset` up to, but not including, `end`."""
         return self._records[offset - self.first : end - self.first]
 
     def forget(self) -> None:
-        """Drops all records; the newest of each key stays."""
+        """Deletes all records, but keeps the newest value of each key."""
         self.first = self.end
         self._records.clear()
 
     async def wait(self, offset: int, wait_s: float) -> None:
-        """Returns when a record is there or the time is over."""
+        """Waits until the record at `offset` exists or the time is over."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
                 while self.end <= offset:
@@ -89,7 +104,13 @@
 
 
 class MetadataStore:
-    """The store and its HTTP handlers."""
+    """The metadata store's topics and HTTP handlers.
+
+    Attributes:
+        faults: Faults that are set now.
+        topics: Topics by name.
+        calls: Types of the calls so far: `append`, `read` or `newest`.
+    """
 
     def __init__(self) -> None:
         self.faults = StoreFaults()
@@ -97,16 +118,20 @@
         self.calls: list[str] = []
 
     def get_topic(self, name: str) -> Topic:
-        """A topic, created on first use."""
+        """Returns a topic, which is created on its first use."""
         return self.topics.setdefault(name, Topic(name))
 
     def put(self, topic: str, key: str, value: bytes) -> int:
-        """Writes a keyed record as operators and upstreams do."""
+        """Appends a keyed record, as operators and upstreams do.
+
+        Returns:
+            The offset of the record.
+        """
         data = bytes((len(key.encode()),)) + key.encode() + value
         return self.get_topic(topic).append([data])
 
     def make_app(self) -> web.Application:
-        """The application."""
+        """Creates the web application that serves the store."""
         app = make_app(self.faults, lambda: {"calls": len(self.calls)})
         app.router.add_post("/v1/log-append", self._handle_append)
         app.router.add_get("/v1/log-read", self._handle_read)
--- a/lab/models.py
+++ b/lab/models.py
@@ -1,4 +1,4 @@
-"""Loaded versions of a model engine and the orders that change them."""
+"""Loaded model versions of an engine and the orders that change them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Order(msgspec.Struct, kw_only=True):
-    """An order to load or unload a version, or to take a role."""
+    """An order to load or unload a model version or to change the role."""
 
     kind: Literal["load", "unload", "role"]
     model: str | None = None
@@ -29,18 +29,22 @@
 
     @property
     def base_id(self) -> str:
-        """`NAME@VERSION`."""
+        """The ordered model version as `NAME@VERSION`."""
         return f"{self.model}@{self.version}"
 
     @property
     def model_id(self) -> str:
-        """`NAME@VERSION`, with `+ADAPTER` where the order names one."""
+        """`NAME@VERSION`, followed by `+ADAPTER` if the order names one."""
         suffix = f"+{self.adapter}" if self.adapter else ""
         return self.base_id + suffix
 
 
 class WeightsThrottledError(Exception):
-    """The weight store refused the transfer for now."""
+    """The weight store refused a transfer because of its rate limit.
+
+    Attributes:
+        retry_after: Value of the store's Retry-After header.
+    """
 
     def __init__(self, retry_after: str) -> None:
         super().__init__(retry_after)
@@ -48,7 +52,12 @@
 
 
 class Models:
-    """The versions that are loaded or being loaded."""
+    """The model versions of an engine that are loaded or being loaded.
+
+    Attributes:
+        loaded: Loaded versions.
+        orders: Received orders with their outcomes.
+    """
 
     def __init__(
         self,
@@ -72,14 +81,14 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
-        """Ends what still loads."""
+        """Cancels all loads in progress and closes the HTTP session."""
         for task in self._loading.values():
             task.cancel()
         if self._session is not None:
             await self._session.close()
 
     def listing(self) -> dict[str, Any]:
-        """The loaded versions in OpenAI's form."""
+        """Returns the loaded versions in the format of OpenAI's API."""
         data = [
             {"id": name, "object": "model", "created": 0, "owned_by": "lab"}
             for name in sorted(self.loaded)
@@ -87,7 +96,11 @@
         return {"object": "list", "data": data}
 
     async def obey(self, order: Order) -> web.Response:
-        """Carries out an order and records what became of it."""
+        """Executes an order, records its outcome and returns the response.
+
+        An order with a fencing number below the highest of its model is
+        refused, unless the engine ignores fencing numbers.
+        """
         key = order.model or ""
         highest = self._fencing.get(key, order.fencing)
         stale = order.fencing < highest
@@ -154,7 +167,11 @@
         return _accepted("loading")
 
     async def _fetch(self, order: Order) -> aiohttp.ClientResponse | None:
-        """Starts the transfer; the store refuses it in the headers."""
+        """Starts a weight transfer; a refusal arrives with the headers.
+
+        Raises:
+            WeightsThrottledError: The store refused because of its rate limit.
+        """
         if self._weights_url is None or order.adapter:
             return None
         if self._session is None:
@@ -187,7 +204,8 @@
                 await asyncio.Event().wait()
             self.loaded.add(name)
         except aiohttp.ClientError:
-            pass  # The version stays unloaded; an order can come again.
+            # The version stays unloaded; the order can be sent again.
+            pass
         finally:
             if self._loading.get(name) is asyncio.current_task():
                 del self._loading[name]
--- a/lab/naive_fleet.py
+++ b/lab/naive_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the naive proxies: the same engines, no sidecars."""
+"""Baseline fleet with naive proxies: equal engines, but no sidecars."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class NaiveFleet(Fleet):
-    """Naive proxies in the place of entries.
+    """A fleet that runs naive proxies instead of entries.
 
-    Engines 0 and 1 are reached through relays, as the sidecars of the real
-    fleet are.
+    Engines 0 and 1 are reached through relays, as are the sidecars 0 and 1 of
+    the product's fleet, so that the same faults can be injected.
     """
 
     relays: dict[str, Relay]
 
     def start(self) -> None:
-        """Starts everything and waits until every proxy is ready."""
+        """Starts all processes and waits until every proxy is ready."""
         for name in ("log", "vms", "rater", "weights"):
             self._start_stand_in(name, name)
         self._wait_for_stand_ins()
@@ -40,7 +40,7 @@
             self.wait_until_ready(entry)
 
     def start_entry(self, index: int) -> Child:
-        """Starts a naive proxy."""
+        """Starts a naive proxy under the name of an entry."""
         urls = [
             f"http://{self.relays[name].address}"
             for name in sorted(self.relays)
--- a/lab/naive_proxy.py
+++ b/lab/naive_proxy.py
@@ -1,7 +1,8 @@
-"""Naive reverse proxy: round robin over engines, blind retry.
+"""Naive reverse proxy: round robin over engines with unconditional retries.
 
-It is the baseline of the failover experiment. It bills each answer in a
-batch of its own memory and reads withdrawals from the log every few seconds.
+It is the baseline of the failover experiment. It collects bills in memory,
+appends them to the log in batches, and polls the log every few seconds for
+withdrawn versions.
 """
 
 from __future__ import annotations
@@ -48,11 +49,11 @@
 
 
 class NaiveProxy:
-    """One proxy and its handlers.
+    """One naive proxy with its HTTP handlers.
 
     Args:
-        engines: Base URLs.
-        log_url: The log service.
+        engines: Base URLs of the engines.
+        log_url: URL of the log service.
     """
 
     def __init__(self, engines: list[str], log_url: str) -> None:
@@ -62,7 +63,7 @@
         self._bills: list[bytes] = []
 
     def app(self) -> web.Application:
-        """The application that serves this proxy."""
+        """Creates the web application that serves this proxy."""
         app = web.Application()
         app.router.add_get("/healthz", self._handle_health)
         app.router.add_post("/v1/chat/completions", self._handle_chat)
--- a/lab/pages.py
+++ b/lab/pages.py
@@ -1,4 +1,4 @@
-"""Writes the pages that are generated from the code."""
+"""Writes the documentation pages that are generated from the code."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 @dataclasses.dataclass(frozen=True, order=True)
 class LogEvent:
-    """One kind of log line.
+    """An event name that the product logs, as written by one module.
 
     Attributes:
-        name: Value of `event`.
-        level: Level it is written at.
-        module: Module that writes it.
-        fields: Its fields besides time, level, name, event and vm.
+        name: Value of the field `event`.
+        level: Level of the log line.
+        module: Module that writes the log line.
+        fields: Fields besides `time`, `level`, `name`, `event` and `vm`.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 
 def get_log_events() -> list[LogEvent]:
-    """Finds all log calls of the product."""
+    """Finds the log events in the product's source, sorted by name."""
     return sorted(
         {
             event
@@ -82,7 +82,7 @@
 
 
 def format_log_page() -> str:
-    """The page docs/LOGS.md."""
+    """Formats the page docs/LOGS.md."""
     rows = [
         f"| `{event.name}` | {event.level} | {event.module} |"
         f" {', '.join(event.fields)} |"
@@ -107,13 +107,13 @@
 
 
 def format_schema() -> str:
-    """The JSON Schema of service documents."""
+    """Formats the JSON Schema of service documents."""
     schema = msgspec.json.schema(ServiceDocument)
     return json.dumps(schema, indent=2) + "\n"
 
 
 def format_metrics_page() -> str:
-    """The page docs/METRICS.md."""
+    """Formats the page docs/METRICS.md."""
     sent = [
         f"| `{metric.value}` | {spec.kind.value} | {spec.unit} | {spec.text} |"
         for metric, spec in SPECS.items()
@@ -157,12 +157,12 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Adds no arguments."""
+    """Adds no arguments; the command has none."""
     del parser
 
 
 def run(args: argparse.Namespace) -> int:
-    """Writes all pages."""
+    """Writes all generated pages and returns 0."""
     del args
     for path, make in PAGES.items():
         (ROOT / path).write_text(make(), encoding="utf-8")
--- a/lab/plain.py
+++ b/lab/plain.py
@@ -1,4 +1,4 @@
-"""Plain service: one call with an effect and one without."""
+"""Plain service: a non-idempotent call, a read-only call and an echo."""
 
 from __future__ import annotations
 
@@ -15,17 +15,22 @@
 
 
 class PlainFaults(Faults):
-    """Faults of the plain service."""
+    """Injectable faults of the plain service."""
 
-    crash: bool = False  # Exits at the next call.
-    slow_ms: float = 0.0  # Delay between the run and the answer.
-    drop_after_run: int = 0  # The next N runs get no answer: cut off.
-    stall: bool = False  # No call runs or is answered.
-    outage: bool = False  # 503 to every call, which doesn't run.
+    # Exits the process at the next call.
+    crash: bool = False
+    # Delays each response by this time, after the call has run.
+    slow_ms: float = 0.0
+    # The next N calls run, but their connections are reset without a response.
+    drop_after_run: int = 0
+    # Calls neither run nor get a response.
+    stall: bool = False
+    # Answers 503 to every call, which does not run.
+    outage: bool = False
 
 
 class PlainService:
-    """The counts and the HTTP handlers."""
+    """The plain service's run counters and HTTP handlers."""
 
     def __init__(self) -> None:
         self.faults = PlainFaults()
@@ -35,7 +40,7 @@
         self._dropped = 0
 
     def app(self) -> web.Application:
-        """The application that serves this service."""
+        """Creates the web application that serves this service."""
         app = make_app(self.faults, self.stats)
         app.router.add_post("/charge", self._handle)
         app.router.add_get("/lookup", self._handle)
@@ -43,7 +48,7 @@
         return app
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns counts of runs by request id, key and path."""
         return {
             "runs": self._by_request_id,
             "runs_by_key": self._by_key,
@@ -57,7 +62,8 @@
             os._exit(1)
         if self.faults.stall:
             await hang(request)
-            # Also where the fault has been switched off in the meantime.
+            # The call does not run even if the fault has been switched off
+            # in the meantime.
             return error(503, "stall")
         if self.faults.outage:
             return error(503, "outage")
--- a/lab/ports.py
+++ b/lab/ports.py
@@ -1,4 +1,4 @@
-"""Ports for listeners of processes that are started side by side."""
+"""Allocates listener ports for processes that run concurrently on a machine."""
 
 from __future__ import annotations
 
@@ -14,25 +14,29 @@
 
 HOST = "127.0.0.1"
 LISTENER_PORTS = range(10_000, 32_000)
-"""Below the range for outgoing connections on Linux."""
+"""Ports for listeners, below Linux's default range for outgoing connections."""
 PORTS_PER_PROCESS = 400
-"""A test run's worker has a few dozen listeners open at a time."""
+"""Size of a process's share of the ports.
+
+It exceeds the few dozen listeners that a test worker has open at a time.
+"""
 
 
 class NoPortError(Exception):
-    """No port is left for a listener."""
+    """No port is available for a listener."""
 
 
 def get_free_port() -> int:
-    """Finds a port that nothing uses.
+    """Finds a port that no process uses.
 
-    A port that the kernel picks may be picked again for an outgoing
-    connection before the process that is to listen on it has started, which
-    then ends with "address already in use". The kernel picks none of these,
-    and this process gives each out again only after all the others.
+    The kernel may assign a port that it chose for a listener to an outgoing
+    connection before the listening process has started. This process then
+    fails with "address already in use". The kernel assigns no ports of
+    `LISTENER_PORTS` by itself, and this process returns a port again only
+    after all other ports of its share.
 
     Raises:
-        NoPortError: All are in use.
+        NoPortError: All ports of this process's share are in use.
     """
     for port in itertools.islice(_get_ports(), PORTS_PER_PROCESS):
         if _is_free(port, socket.SOCK_STREAM) and _is_free(
@@ -43,10 +47,11 @@
 
 
 def _is_free(port: int, kind: socket.SocketKind) -> bool:
-    """Whether nothing is bound to a port.
+    """Returns whether a port can be bound for one type of socket.
 
-    Gateways whose launcher was killed run on and hold a port for datagrams
-    alone; a gateway that is given it ends with "address already in use".
+    A gateway whose launcher was killed keeps running and may hold a port for
+    datagrams only. Another gateway that is given this port fails with "address
+    already in use".
     """
     with socket.socket(type=kind) as probe, contextlib.suppress(OSError):
         probe.bind((HOST, port))
@@ -61,14 +66,18 @@
 
 
 def claim_part() -> int:
-    """Claims a part of the ports for this process alone, until it ends.
+    """Claims a share of the ports for this process until the process ends.
+
+    If two launchers used the same ports, one could start a process on a port
+    where a process of the other launcher was just killed. Peers of the killed
+    process would connect to a process of a foreign fleet: commands wait for
+    processes that never answer, and requests are refused.
 
-    Two launchers with ports of one part would start a process where the other
-    one's has just been killed. Its peers then talk to a stranger: commands
-    wait for processes that never answer, and requests are refused.
+    Returns:
+        Index of the claimed share.
 
     Raises:
-        NoPortError: Other processes have claimed all parts.
+        NoPortError: Other processes have claimed all shares.
     """
     folder = pathlib.Path(tempfile.gettempdir()) / "lovagestage-ports"
     folder.mkdir(exist_ok=True)
@@ -79,6 +88,7 @@
         except BlockingIOError:
             os.close(descriptor)
             continue
-        # The lock lasts as long as the descriptor, and so as the process.
+        # The descriptor is never closed, so the process holds the lock until
+        # it ends.
         return part
     raise NoPortError("Other launchers have claimed all ports.")
--- a/lab/prefix_cache.py
+++ b/lab/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of a model engine and the events it tells of itself."""
+"""Prefix cache of a simulated model engine and the events that it reports."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def common_length(left: str, right: str) -> int:
-    """Length of the longest common prefix, by halving."""
+    """Returns the length of the longest common prefix, by binary search."""
     low, high = 0, min(len(left), len(right))
     while low < high:
         middle = (low + high + 1) // 2
@@ -26,10 +26,19 @@
 
 
 class PrefixCache:
-    """Bounded cache of prompts by their prefix; the least recent goes.
+    """Bounded LRU cache of prompts by the hash of their prefix.
 
-    Of the prompts with one prefix the latest is kept; a hit is worth what
-    the new prompt has in common with it.
+    Only the latest prompt with a given prefix is cached. A hit saves the
+    prefill of the tokens that the new prompt has in common with it.
+
+    Args:
+        capacity: Maximum number of cached prompts.
+        lag_ms: Delay in milliseconds until an event is reported.
+        gap_ratio: Share of the events that are omitted from reports.
+
+    Attributes:
+        hits: Number of prompts with a cached prefix.
+        misses: Number of prompts without a cached prefix.
     """
 
     def __init__(self, capacity: int, lag_ms: float, gap_ratio: float) -> None:
@@ -45,7 +54,7 @@
         self.misses = 0
 
     def use(self, model: str, prompt: str) -> int:
-        """Stores the prompt and returns how many of its tokens were there."""
+        """Stores a prompt and returns how many of its tokens were cached."""
         name = prefix_hash(model, prompt)
         known = self._prompts.get(name)
         self.store(name, prompt)
@@ -56,7 +65,7 @@
         return common_length(known, prompt[:MAX_KEPT_CHARS]) // CHARS_PER_TOKEN
 
     def store(self, name: str, prompt: str) -> None:
-        """Stores a prompt, and evicts the least recent when full."""
+        """Stores a prompt and evicts the least recently used when full."""
         if name not in self._prompts:
             self._tell("stored", name)
         self._prompts[name] = prompt[:MAX_KEPT_CHARS]
@@ -66,7 +75,7 @@
             self._tell("evicted", evicted)
 
     def events(self, start: int) -> dict[str, Any]:
-        """The events from seq `start` that are old enough to be told."""
+        """Returns the events from number `start` whose delay has passed."""
         limit_s = time.monotonic() - self._lag_ms / 1000
         due = [event for at_s, event in self._events if at_s <= limit_s]
         told = [event for event in due if event["seq"] >= start]
@@ -77,7 +86,8 @@
         }
 
     def _is_gap(self, event: dict[str, Any]) -> bool:
-        # The last events of each cycle are left out, the same in each run.
+        # The last events of each cycle are omitted, so every run omits events
+        # with the same numbers.
         place: int = event["seq"] % GAP_CYCLE
         return place >= GAP_CYCLE * (1 - self._gap_ratio)
 
--- a/lab/rater.py
+++ b/lab/rater.py
@@ -1,4 +1,4 @@
-"""Rater: scores a sample of the answers, late."""
+"""Rater: scores a sample of the answers after a delay."""
 
 from __future__ import annotations
 
@@ -22,17 +22,22 @@
 
 
 class RaterFaults(Faults):
-    """Faults of the rater."""
+    """Injectable faults of the rater."""
 
-    outage: bool = False  # 503 to every call.
-    stall: bool = False  # No answer to any call.
+    # Answers 503 to every call.
+    outage: bool = False
+    # Gives no response to any call.
+    stall: bool = False
+    # Replaces the mean score of versions, given as `NAME@VERSION`.
     quality: dict[str, float] = msgspec.field(default_factory=dict)
-    delay_s: float | None = None  # In place of the process's own delay.
-    sample_ratio: float | None = None  # In place of the process's own ratio.
+    # Replaces the delay that the process was started with.
+    delay_s: float | None = None
+    # Replaces the sampling ratio that the process was started with.
+    sample_ratio: float | None = None
 
 
 class RatingRequest(msgspec.Struct, kw_only=True):
-    """An answer to be rated."""
+    """An answer that is submitted for rating."""
 
     request_id: str
     model: str
@@ -43,15 +48,20 @@
 
 
 def unit_hash(salt: str, text: str) -> float:
-    """A number from 0 up to 1 that depends on the text only."""
+    """Hashes a salt and a text to a number from 0 to 1, without 1 itself."""
     digest = hashlib.blake2b(f"{salt}\n{text}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2.0**64
 
 
 def score(request_id: str, mean: float, answer: str) -> float:
-    """The score of an answer; `mean` is the mean over many requests.
+    """Returns the deterministic score of an answer.
 
-    An empty or garbled answer scores 0.
+    An empty answer or one with garbage tokens scores 0.
+
+    Args:
+        request_id: Request id, which determines the deviation from the mean.
+        mean: Mean score over many requests.
+        answer: Text of the answer.
     """
     if not answer or GARBAGE_TOKEN in answer:
         return 0.0
@@ -60,7 +70,7 @@
 
 
 class Rater:
-    """The ratings and their HTTP handlers."""
+    """The rater's ratings and HTTP handlers."""
 
     def __init__(
         self, quality: dict[str, float], delay_s: float, sample_ratio: float
@@ -75,18 +85,18 @@
         self._sampled = 0
 
     def app(self) -> web.Application:
-        """The application that serves this rater."""
+        """Creates the web application that serves this rater."""
         app = make_app(self.faults, self.stats)
         app.router.add_post("/v1/ratings", self._handle_post)
         app.router.add_get("/v1/ratings", self._handle_list)
         return app
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns the counts of received and sampled answers."""
         return {"received": self._received, "sampled": self._sampled}
 
     def mean(self, name: str) -> float:
-        """The mean score of `NAME@VERSION` as it now is."""
+        """Returns the current mean score of a version `NAME@VERSION`."""
         known = self._quality.get(name, DEFAULT_QUALITY)
         return self.faults.quality.get(name, known)
 
--- a/lab/recorded_runs.py
+++ b/lab/recorded_runs.py
@@ -1,4 +1,4 @@
-"""Runs that engines have counted in a file, so that a kill loses none."""
+"""Runs that engines record in a file, so that a killed engine loses none."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class RecordedRun(msgspec.Struct, array_like=True):
-    """One run at an engine.
+    """One run of a request at an engine.
 
     Attributes:
-        at_s: Unix time of its start.
-        request_id: Request id that the engine was given.
-        model: `NAME@VERSION`.
-        prompt: The prompt, which names the request.
+        at_s: Unix time at which the run started.
+        request_id: Request id that the engine received.
+        model: Model version as `NAME@VERSION`.
+        prompt: Prompt text, which contains the tag of the request.
     """
 
     at_s: float
@@ -25,7 +25,7 @@
 
 
 def append_run(path: pathlib.Path, run: RecordedRun) -> None:
-    """Appends a run in one write, which other processes can't interleave."""
+    """Appends a run in one write, so that processes do not mix their lines."""
     line = msgspec.json.encode(run) + b"\n"
     file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT)
     try:
@@ -35,7 +35,7 @@
 
 
 def read_runs(path: pathlib.Path) -> list[RecordedRun]:
-    """All runs so far, in order."""
+    """Reads all runs recorded so far, in order; empty without a file."""
     if not path.exists():
         return []
     decoder = msgspec.json.Decoder(RecordedRun)
--- a/lab/relay.py
+++ b/lab/relay.py
@@ -1,7 +1,8 @@
-"""TCP relay that loses track of its connections on command.
+"""TCP relay that drops the traffic of its open connections on command.
 
-It stands for anything between two ends that keeps state of connections and
-forgets it: bytes of existing connections vanish, and new connections work.
+It simulates a stateful network element, such as a firewall or NAT, that loses
+its connection state: bytes of existing connections are dropped without an
+error, while new connections work.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 
 
 class Relay:
-    """Relays from a port of its own to `target`; a context manager.
+    """Relays connections from its own port to `target`; a context manager.
 
     Args:
-        target: `HOST:PORT` to relay to.
+        target: `HOST:PORT` that connections are relayed to.
     """
 
     def __init__(self, target: str) -> None:
@@ -30,17 +31,19 @@
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._serve, daemon=True)
         self._port = 0
-        # A connection gone silent may be known to nobody but its own tasks.
+        # Strong references to the tasks. Otherwise, a connection whose bytes
+        # are dropped may be referenced by its own tasks only, and be garbage
+        # collected.
         self._connections: set[asyncio.Task[None] | None] = set()
 
     @property
     def address(self) -> str:
-        """`HOST:PORT` that the relay listens on."""
+        """Address `HOST:PORT` that the relay listens on."""
         return f"{HOST}:{self._port}"
 
     @property
     def accepted(self) -> int:
-        """How many connections it has taken."""
+        """Number of connections that the relay has accepted."""
         return self._accepted
 
     def __enter__(self) -> Relay:
@@ -56,7 +59,8 @@
     ) -> None:
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
-        # The open connections end here on purpose; nobody is to be told.
+        # Open connections are closed here on purpose, so the loop must not
+        # report their exceptions.
         self._loop.set_exception_handler(lambda loop, context: None)
         tasks = asyncio.all_tasks(self._loop)
         for task in tasks:
@@ -66,7 +70,7 @@
         )
 
     def swallow_existing(self) -> None:
-        """Drops every further byte of the connections that are open now."""
+        """Drops all further bytes of the connections that are open now."""
         self._live_from = self._accepted
 
     def _serve(self) -> None:
--- a/lab/server.py
+++ b/lab/server.py
@@ -1,4 +1,4 @@
-"""What every stand-in's process shares: its arguments, start and end."""
+"""Shared parts of the stand-ins: arguments, server start and shutdown."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def add_server_arguments(parser: argparse.ArgumentParser) -> None:
-    """Adds `--host` and `--port`."""
+    """Adds the arguments `--host` and `--port`."""
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0, help="0 picks one")
 
@@ -27,7 +27,12 @@
 def make_app(
     faults: Faults, stats: Callable[[], dict[str, Any]]
 ) -> web.Application:
-    """An application with the routes that every stand-in has."""
+    """Creates a web application with the routes that all stand-ins have.
+
+    Args:
+        faults: Faults that `POST /_faults` sets.
+        stats: Returns the counters that `GET /_stats` reports.
+    """
 
     async def handle_stats(_request: web.Request) -> web.Response:
         return web.json_response(stats())
@@ -43,13 +48,13 @@
 
 
 async def hang(request: web.Request) -> None:
-    """Says nothing until the client has gone."""
+    """Sends nothing and returns when the client has disconnected."""
     while request.transport is not None and not request.transport.is_closing():
         await asyncio.sleep(HANG_POLL_S)
 
 
 async def wait_for_signal() -> None:
-    """Returns at SIGTERM or SIGINT."""
+    """Waits for SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -60,7 +65,7 @@
 async def start_app(
     app: web.Application, host: str, port: int
 ) -> tuple[web.AppRunner, int]:
-    """Listens, and returns the runner with the port it got."""
+    """Starts a server; returns its runner and the port that it listens on."""
     runner = web.AppRunner(
         app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
     )
@@ -70,7 +75,10 @@
 
 
 def run_app(build: Callable[[], web.Application], host: str, port: int) -> int:
-    """Serves the application until SIGTERM."""
+    """Serves an application until SIGTERM or SIGINT; returns exit code 0.
+
+    The server prints `ready port=PORT` when it accepts connections.
+    """
 
     async def serve() -> None:
         runner, bound_port = await start_app(build(), host, port)
--- a/lab/shapes.py
+++ b/lab/shapes.py
@@ -10,16 +10,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """Size of a user's fleet.
+    """Size and service of a fleet.
 
     Attributes:
         service: Name of the service and of its example document.
-        zones: Availability zones.
+        zones: Availability zones, assigned to processes round robin.
         entries: Number of entry VMs.
-        engines: Model workers.
-        plains: Plain service workers.
+        engines: Number of model engines.
+        plains: Number of plain service workers.
         models: Versions that each engine has loaded at the start.
-        pool: Pool of the plain service.
+        pool: Name of the plain service's pool.
     """
 
     service: str
--- a/lab/stages.py
+++ b/lab/stages.py
@@ -1,4 +1,4 @@
-"""Where the time of requests goes, stage by stage, from gateways' lines."""
+"""Reports the times of requests by stage and route from gateway logs."""
 
 from __future__ import annotations
 
@@ -15,20 +15,24 @@
 
 EVENT = "request_ended"
 STAGES = ("begun_s", "connect_s", "head_s", "first_s", "time_s")
-"""From the request's head to its first attempt; until a connection is open;
-from sending to the answer's head; from the request's head to its stream's
-first event; and to its end."""
+"""Log fields with the times of a request, in seconds.
+
+In this order they measure: from the request's head to the first attempt; until
+a connection is open; from sending the request to the head of the answer; from
+the request's head to the first event of the stream; and from the request's
+head to the end.
+"""
 QUANTILES = (0.5, 0.99)
 
 
 @dataclasses.dataclass
 class KindTimes:
-    """Times of the answered requests of one route and number of attempts.
+    """Times of the answered requests of one route, and counts of all requests.
 
     Attributes:
-        times_s: Times by stage.
-        attempts: Attempts of all requests.
-        requests: Requests, answered or not.
+        times_s: Times of answered requests in seconds, by stage.
+        attempts: Number of attempts of all requests.
+        requests: Number of requests, answered or not.
     """
 
     times_s: dict[str, list[float]] = dataclasses.field(default_factory=dict)
@@ -37,7 +41,7 @@
 
 
 def collect(lines: Iterable[LogLine]) -> dict[str, KindTimes]:
-    """Sorts the requests of log lines by their route."""
+    """Collects times and counts of the requests in log lines, by route."""
     kinds: dict[str, KindTimes] = {}
     for line in lines:
         if line.event != EVENT:
@@ -56,13 +60,13 @@
 
 
 def get_quantile(values: list[float], quantile: float) -> float:
-    """The value that a part of the others lies below."""
+    """Returns the value that the given share of the values lies below."""
     ranked = sorted(values)
     return ranked[min(len(ranked) - 1, int(quantile * len(ranked)))]
 
 
 def format_table(kinds: dict[str, KindTimes]) -> str:
-    """A table with a row for each route, most requests first."""
+    """Formats a table with a row for each route, most requests first."""
     rows = []
     for route, kind in sorted(
         kinds.items(), key=lambda item: -item[1].requests
@@ -85,12 +89,17 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Adds the files."""
+    """Adds the argument for the log files."""
     parser.add_argument("logs", nargs="+", metavar="LOG", help="log files")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Prints the table, in ms at p50 / p99; 1 where no request is told."""
+    """Prints the table with times in milliseconds at p50 / p99.
+
+    Returns:
+        0 on success, 1 if the logs report no request, 2 if a log file cannot
+        be read.
+    """
     try:
         kinds = collect(read_logs(arguments.logs))
     except LogFileError as error:
--- a/lab/traffic.py
+++ b/lab/traffic.py
@@ -1,4 +1,4 @@
-"""Mixed traffic of callers that retry as they should, and what each saw."""
+"""Mixed traffic from callers that retry correctly, with recorded outcomes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 from lovagestage.decisions.sessions import HEADER_MOVED_FROM, HEADER_SESSION
 
 LEAVE_S = 3.0
-"""A caller that may send again leaves an entry that says nothing so long."""
+"""Time limit in seconds of a request without streaming that may be retried.
+
+The caller then closes the connection and retries at another entry.
+"""
 WAIT_S = 30.0
 GIVE_UP_S = 25.0
 HEALTH_S = 0.25
@@ -27,27 +30,27 @@
 
 
 class Kind(enum.Enum):
-    """Kinds of requests."""
+    """Kinds of requests in the traffic."""
 
     PLAIN = "plain"
     STREAM = "stream"
     KEYED = "keyed"
     KEYED_STREAM = "keyed_stream"
     ONCE = "once"
-    """No key, and may not run twice."""
+    """Has no idempotency key and may not run twice."""
     VERSION = "version"
-    """Names the version that will be withdrawn."""
+    """Requests the version that will be withdrawn."""
     TURN = "turn"
     """One request of a session."""
 
     @property
     def is_keyed(self) -> bool:
-        """Whether it comes with a request key."""
+        """Whether the request has an idempotency key."""
         return self in (Kind.KEYED, Kind.KEYED_STREAM)
 
     @property
     def runs_once(self) -> bool:
-        """Whether it may not run twice."""
+        """Whether the request may not run twice."""
         return self.is_keyed or self is Kind.ONCE
 
     @property
@@ -68,25 +71,26 @@
 
 @dataclasses.dataclass
 class Send:
-    """One HTTP request as its caller saw it.
+    """One HTTP request with the outcome that its caller observed.
 
     Attributes:
-        tag: Names the request at the engines; one for each send, but for
-            sends with the same key.
-        kind: Its kind.
-        entry: Where it went.
-        sent_s: Unix time of the start.
-        ended_s: Unix time of the end.
-        status: HTTP status; 0 where there was none.
+        tag: Identifies the request at the engines. Each HTTP request has its
+            own tag, except that requests with one idempotency key share it.
+        kind: Kind of the request.
+        entry: Name of the entry that the request was sent to.
+        sent_s: Unix time at which the request was sent.
+        ended_s: Unix time at which the request ended.
+        status: HTTP status; 0 if no response head was received.
         run: Run state of a refusal.
         code: Code of a refusal, or of the error that ended a stream.
-        request_id: Request that the answer is billed under.
-        version: Version that answered.
-        tokens: Tokens of a whole answer; 0 for any other.
-        is_wrong: The answer has bytes that it should not have.
-        is_cut: Broken after a part of the answer.
-        has_left: The caller did not wait for the end.
-        retry_after_s: When to come back; None where it makes no sense.
+        request_id: Request id that the answer is billed under.
+        version: Model version that answered.
+        tokens: Number of tokens of a complete answer; 0 for any other.
+        is_wrong: Whether the answer has unexpected bytes.
+        is_cut: Whether the connection broke after a part of the answer.
+        has_left: Whether the caller stopped waiting before the end.
+        retry_after_s: Time in seconds after which a retry is suggested; None
+            if the response suggests none.
     """
 
     tag: str
@@ -107,28 +111,42 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether the whole answer has come."""
+        """Whether the complete answer was received."""
         return self.status == 200 and self.tokens > 0
 
 
 @dataclasses.dataclass(frozen=True)
 class Served:
-    """A request over all its sends, for times without service."""
+    """A request with all its retries, to measure service interruptions.
+
+    Attributes:
+        kind: Kind of the request.
+        started_s: Unix time of the first attempt.
+        took_s: Time in seconds from the first attempt to the last outcome.
+        is_answered: Whether the last attempt was answered completely.
+        code: Error code of the last attempt if the caller gave up.
+    """
 
     kind: Kind
     started_s: float
     took_s: float
     is_answered: bool
     code: str
-    """Of the last refusal, where it was given up."""
 
 
 class Traffic:
-    """Open-loop traffic through all entries that look healthy.
+    """Open-loop traffic through the entries that pass their health checks.
 
     Args:
-        rng: Source of randomness.
-        get_urls: Tells the URLs of the entries by name, as they are now.
+        rng: Random generator of kinds, arrival times and entries.
+        get_urls: Returns the current URLs of the entries by name.
+
+    Attributes:
+        sends: HTTP requests that were sent.
+        served: Requests that have ended, with all their retries.
+        changed_sessions: Number of times that a session changed its version
+            without a notice in the response.
+        urls: Current URLs of the entries by name.
     """
 
     def __init__(
@@ -145,7 +163,12 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self, duration_s: float, rate_per_s: float) -> None:
-        """Sends for a time and waits for all ends."""
+        """Sends requests for a time and waits for the end of all of them.
+
+        Args:
+            duration_s: Time in seconds during which requests start.
+            rate_per_s: Mean number of new requests per second.
+        """
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
         async with aiohttp.ClientSession(connector=connector) as self._http:
             health = asyncio.create_task(self._watch_health())
--- a/lab/up.py
+++ b/lab/up.py
@@ -1,4 +1,4 @@
-"""Runs a user's fleet in the foreground until Ctrl-C."""
+"""Runs a fleet in the foreground until Ctrl-C or SIGTERM."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Adds `--fleet`."""
+    """Adds the argument `--fleet`."""
     parser.add_argument("--fleet", choices=sorted(SHAPES), default="lahore")
 
 
 def run(args: argparse.Namespace) -> int:
-    """Starts the fleet, prints its addresses and waits."""
+    """Starts the fleet, prints its addresses and waits for a signal to stop."""
     from lab.shapes import EXAMPLES
 
     shape = SHAPES[args.fleet]
@@ -31,8 +31,9 @@
             print(f"workspace={workspace} key=key-{workspace}")
         print(f"service={document.service}")
         print("ready", flush=True)
-        # A shell starts what runs in its background with SIGINT ignored, and
-        # an ignored signal ends no wait: the fleet would never be stopped.
+        # A shell starts background commands with SIGINT ignored, and an
+        # ignored signal does not end `sigwait`. Without this handler, SIGINT
+        # would never stop such a fleet.
         signal.signal(signal.SIGINT, signal.default_int_handler)
         signal.sigwait({signal.SIGINT, signal.SIGTERM})
     return 0
--- a/lab/usage.py
+++ b/lab/usage.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of processes, from /proc."""
+"""Reads CPU time and memory of processes from /proc."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Usage:
-    """What a process has used.
+    """CPU time and memory of a process.
 
     Attributes:
-        cpu_s: Processor time since its start.
-        resident_bytes: Resident memory now.
+        cpu_s: CPU time in seconds since the process started.
+        resident_bytes: Current resident memory in bytes.
     """
 
     cpu_s: float
@@ -24,7 +24,7 @@
 
 
 def get_usage(pid: int) -> Usage:
-    """Reads the usage of one process."""
+    """Reads the CPU time and memory of one process."""
     folder = pathlib.Path("/proc") / str(pid)
     fields = (folder / "stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
--- a/lab/vms.py
+++ b/lab/vms.py
@@ -1,4 +1,4 @@
-"""VM list: answers the state of some time ago."""
+"""VM list: reports the platform's VMs with a delay."""
 
 from __future__ import annotations
 
@@ -14,15 +14,18 @@
 
 
 class VmFaults(Faults):
-    """Faults of the VM list."""
+    """Injectable faults of the VM list."""
 
-    outage: bool = False  # 503 to every read.
-    stall: bool = False  # No answer to any read.
-    lag_s: float | None = None  # In place of the process's own lag.
+    # Answers 503 to every read.
+    outage: bool = False
+    # Gives no response to any read.
+    stall: bool = False
+    # Replaces the lag that the process was started with.
+    lag_s: float | None = None
 
 
 class Vm(msgspec.Struct, kw_only=True):
-    """One entry of the list."""
+    """One entry of the VM list."""
 
     vm: str
     role: Literal["entry", "sidecar"]
@@ -33,7 +36,11 @@
 
 
 class VmList:
-    """The true list, its past and the HTTP handlers."""
+    """The current VM list, its earlier states and the HTTP handlers.
+
+    Args:
+        lag_s: Age in seconds of the state that reads return.
+    """
 
     def __init__(self, lag_s: float) -> None:
         self.faults = VmFaults()
@@ -43,7 +50,7 @@
         self._reads = 0
 
     def app(self) -> web.Application:
-        """The application that serves this list."""
+        """Creates the web application that serves this list."""
         app = make_app(self.faults, self.stats)
         app.router.add_get("/v1/vms", self._handle_list)
         app.router.add_put("/v1/vms/{vm}", self._handle_put)
@@ -51,7 +58,7 @@
         return app
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns the number of reads and the names of the listed VMs."""
         return {"reads": self._reads, "vms": sorted(self._vms)}
 
     def _remember(self) -> None:
--- a/lab/weights.py
+++ b/lab/weights.py
@@ -1,4 +1,4 @@
-"""Weight store: transfers take time and their rate is limited."""
+"""Weight store: transfers take a set time and their rate is limited."""
 
 from __future__ import annotations
 
@@ -17,16 +17,20 @@
 
 
 class WeightFaults(Faults):
-    """Faults of the weight store."""
+    """Injectable faults of the weight store."""
 
-    outage: bool = False  # 503 to every fetch.
-    stall: bool = False  # Transfers start and never end.
-    throttle: bool = False  # 429 to every fetch.
-    transfer_s: float | None = None  # In place of the process's own time.
+    # Answers 503 to every fetch.
+    outage: bool = False
+    # Transfers start but do not end until the client disconnects.
+    stall: bool = False
+    # Answers 429 to every fetch.
+    throttle: bool = False
+    # Replaces the transfer time that the process was started with.
+    transfer_s: float | None = None
 
 
 class WeightStore:
-    """The store and its HTTP handler."""
+    """The weight store's counters and HTTP handler."""
 
     def __init__(
         self, transfer_s: float, rate_per_s: float, burst: float
@@ -39,13 +43,13 @@
         self._running = 0
 
     def app(self) -> web.Application:
-        """The application that serves this store."""
+        """Creates the web application that serves this store."""
         app = make_app(self.faults, self.stats)
         app.router.add_post("/v1/fetch", self._handle_fetch)
         return app
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns counts of fetches, refusals and transfers in progress."""
         return {
             "fetches": self._fetches,
             "throttled": self._throttled,
@@ -72,7 +76,7 @@
     async def _transfer(
         self, request: web.Request, body: dict[str, Any]
     ) -> web.StreamResponse:
-        """Answers the headers at once and the body after the transfer."""
+        """Sends the headers immediately and the body after the transfer."""
         response = web.StreamResponse()
         response.content_type = "application/json"
         transfer_s = self.faults.transfer_s
@@ -90,7 +94,7 @@
             await response.write(json.dumps(answer).encode())
             await response.write_eof()
         except ConnectionResetError:
-            pass  # The engine has gone.
+            pass  # The engine has disconnected.
         return response
 
 
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -1,4 +1,4 @@
-"""A worker of the users' platform, down to the bytes on its connections."""
+"""Scripted HTTP worker of the platform that controls each byte it sends."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """A request as the worker got it.
+    """An HTTP request as the worker received it.
 
     Attributes:
         method: HTTP method.
-        target: Path and query.
-        headers: Values by name in lower case.
-        body: The whole body.
+        target: Path and query string.
+        headers: Header values by lower-case name.
+        body: Complete request body.
     """
 
     method: str
@@ -31,7 +31,7 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's id of the attempt."""
+        """Id that the gateway gave to this attempt."""
         return self.headers.get("attempt-id", "")
 
 
@@ -39,17 +39,18 @@
 
 
 class Worker:
-    """Answers requests by scripts.
+    """HTTP server that answers each request with a script.
 
     Args:
-        instance: Its id; a request that expects another gets 421.
-        script: What it does with a request.
+        instance: Instance id; a request that expects another id gets 421.
+        script: Function that answers a request; `answer_plain` by default.
 
     Attributes:
-        arrivals: Requests that it got, also those that it refused.
-        started: Ids of requests that it began to run.
+        arrivals: Received requests, including those that were refused.
+        started: Ids of requests that the worker started to run.
         cancelled: Ids of requests whose connection closed before the end.
-        connections: Connections that it accepted.
+        connections: Number of accepted connections.
+        address: `HOST:PORT` of the listener; empty before the start.
     """
 
     def __init__(self, instance: str, script: Script | None = None) -> None:
@@ -64,7 +65,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, port: int = 0) -> None:
-        """Listens on the loopback."""
+        """Starts to listen on the loopback interface; port 0 picks a port."""
         self._server = await asyncio.start_server(
             self._serve, "127.0.0.1", port
         )
@@ -72,14 +73,14 @@
         self.address = f"{host}:{bound}"
 
     async def stop(self) -> None:
-        """Ends as a crash does: all connections are reset."""
+        """Stops as in a crash: closes the listener, resets all connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
             reset_connection(writer)
 
     async def drop_connections(self) -> None:
-        """Resets the open connections and stays up."""
+        """Resets all open connections but continues to listen."""
         for writer in list(self._writers):
             reset_connection(writer)
 
@@ -130,7 +131,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> Arrival | None:
-    """Reads one request; None at the end of the connection."""
+    """Reads one request; returns None at the end of the connection."""
     with contextlib.suppress(asyncio.IncompleteReadError):
         head = await reader.readuntil(b"\r\n\r\n")
         first, *lines = head.decode().split("\r\n")
@@ -147,7 +148,7 @@
 def make_head(
     status: int, arrival: Arrival, signed: bool = True, **more: str
 ) -> bytes:
-    """The head of an answer; `more` are headers with `_` for `-`."""
+    """Encodes a response head; keyword arguments become headers, `_` as `-`."""
     lines = [f"HTTP/1.1 {status} X"]
     lines.append(f"Attempt-Id: {arrival.request_id}")
     if signed:
@@ -164,7 +165,7 @@
     signed: bool = True,
     **more: str,
 ) -> None:
-    """Sends a whole answer with a length."""
+    """Sends a complete response with a Content-Length."""
     length = str(len(body))
     head = make_head(status, arrival, signed, Content_Length=length, **more)
     writer.write(head + body)
@@ -172,37 +173,37 @@
 
 
 async def answer_plain(arrival: Arrival, writer: asyncio.StreamWriter) -> None:
-    """A whole answer at once."""
+    """Script that sends a complete response immediately."""
     await send(writer, 200, arrival, b"done")
 
 
 async def refuse(arrival: Arrival, writer: asyncio.StreamWriter) -> None:
-    """Says that the request has not run."""
+    """Script that refuses a request and reports that it was not run."""
     await send(writer, 503, arrival, b"", signed=False, Not_Executed="1")
 
 
 async def fail(arrival: Arrival, writer: asyncio.StreamWriter) -> None:
-    """A failure of the worker's own; the request has run."""
+    """Script that answers 500: the request has run and the worker failed."""
     await send(writer, 500, arrival, b"bad")
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Resets a connection, as opposed to an orderly close."""
+    """Closes a connection with a TCP reset instead of an orderly close."""
     sock = writer.get_extra_info("socket")
     linger = struct.pack("ii", 1, 0)
-    # The other end may have closed it already.
+    # The other end may have closed the connection already.
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
 
 
 async def reset(_arrival: Arrival, writer: asyncio.StreamWriter) -> None:
-    """No answer; the connection is reset."""
+    """Script that resets the connection without a response."""
     reset_connection(writer)
 
 
 async def hang(_arrival: Arrival, _writer: asyncio.StreamWriter) -> None:
-    """No answer, and no end."""
+    """Script that sends no response and keeps the connection open."""
     await asyncio.sleep(3600)
 
 
@@ -213,14 +214,17 @@
     confidence: dict[str, int] | None = None,
     first_s: float = 0.0,
 ) -> Script:
-    """A stream of events with ids from 1; resumes where it is asked to.
+    """Makes a script that streams events with ids from 1.
+
+    The stream resumes after the event that the `Last-Event-ID` header names.
 
     Args:
         events: Id of the last event.
-        break_after: Id of an event in whose successor it resets.
-        pause_s: Pause before each event.
-        confidence: Opinion of the answer by model.
-        first_s: Time until the answer begins.
+        break_after: Id of the last complete event; the script resets the
+            connection within the next event. None for no reset.
+        pause_s: Pause in seconds before each event.
+        confidence: Value of the `Confidence` header by model.
+        first_s: Time in seconds until the response begins.
     """
 
     async def run(arrival: Arrival, writer: asyncio.StreamWriter) -> None:
--- a/lab/worth.py
+++ b/lab/worth.py
@@ -1,4 +1,4 @@
-"""Says where the worth of played days was lost, from their reports."""
+"""Breaks down by cause the worth that simulated days lost, from reports."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 import tabulate
 
 LATE_RATIO = 0.3
-"""Part of its worth that a late answer earns, about the same for all kinds."""
+"""Share of its worth that a late answer earns, about equal for all kinds."""
 SMALL = 0.0005
-"""Prices under this are added up."""
+"""Prices below this share of a day's worth are summed in one row."""
 WORST_WINDOWS = 2
 
 
 class ReportError(Exception):
-    """A file is no report of a played day."""
+    """A file is not the report of a simulated day."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -28,8 +28,8 @@
     """A part of the worth that a day lost.
 
     Attributes:
-        cause: What it was lost to.
-        worth: How much, of 1.
+        cause: Cause of the loss.
+        worth: Lost share of the day's maximum worth of 1.
     """
 
     cause: str
@@ -38,14 +38,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class KindLoss:
-    """What one kind of request lost, as parts of what it was owed.
+    """Losses of one kind of request, as shares of its maximum worth.
 
     Attributes:
-        name: The kind.
-        owed: Requests that were owed an answer.
-        failed: Lost to requests without an answer.
-        late: Lost to late answers.
-        poor: The rest: answers too poor for their request.
+        name: Name of the kind.
+        owed: Number of requests that were owed an answer.
+        failed: Share lost to requests without an answer.
+        late: Share lost to late answers.
+        poor: Remaining share, lost to answers of insufficient quality.
     """
 
     name: str
@@ -57,16 +57,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Day:
-    """A played day.
+    """Result of a simulated day.
 
     Attributes:
-        name: File name of its report.
-        worth: What it earned, of 1.
-        losses: What it lost, by part of the measure and by price; with the
-            worth they add up to 1.
-        kinds: The same by kind of request.
-        worst: Its worst windows: second and credit.
-        unserved: Requests without an answer, by how they ended.
+        name: File name of the day's report, without its extension.
+        worth: Earned share of the maximum worth of 1.
+        losses: Lost shares, by part of the measure and by price; together with
+            the worth they add up to 1.
+        kinds: Losses by kind of request.
+        worst: Time windows with the least worth, each as second and worth.
+        unserved: Number of requests without an answer, by outcome.
     """
 
     name: str
@@ -78,10 +78,10 @@
 
 
 def read_day(path: pathlib.Path) -> Day:
-    """Reads a report.
+    """Reads the report of a day.
 
     Raises:
-        ReportError: It is none.
+        ReportError: The file cannot be read or is not a day's report.
     """
     try:
         report = json.loads(path.read_text(encoding="utf-8"))
@@ -119,7 +119,7 @@
 
 
 def format_days(days: Iterable[Day]) -> str:
-    """Writes the days as Markdown tables."""
+    """Formats the results of days as Markdown tables."""
     days = list(days)
     causes: dict[str, None] = {}
     for day in days:
