--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -39,16 +39,16 @@
     Returns:
         The exit code.
     """
-    top = argparse.ArgumentParser(prog="lab", description=__doc__)
-    top.add_argument("command", choices=sorted(COMMANDS))
-    top.add_argument("rest", nargs=argparse.REMAINDER)
-    chosen = top.parse_args(argv)
-    module = importlib.import_module(COMMANDS[chosen.command])
+    command_parser = argparse.ArgumentParser(prog="lab", description=__doc__)
+    command_parser.add_argument("command", choices=sorted(COMMANDS))
+    command_parser.add_argument("rest", nargs=argparse.REMAINDER)
+    options = command_parser.parse_args(argv)
+    module = importlib.import_module(COMMANDS[options.command])
     parser = argparse.ArgumentParser(
-        prog=f"lab {chosen.command}", description=module.__doc__
+        prog=f"lab {options.command}", description=module.__doc__
     )
     module.add_arguments(parser)
-    status: int = module.run(parser.parse_args(chosen.rest))
+    status: int = module.run(parser.parse_args(options.rest))
     return status
 
 
--- a/lab/answers.py
+++ b/lab/answers.py
@@ -8,12 +8,15 @@
 from typing import Any
 
 CHARS_PER_TOKEN = 4
+"""Number of prompt characters that count as one token."""
 GARBAGE_TOKEN = "###"
+"""Token that a faulty version repeats; the rater scores it 0."""
 PREFIX_CHARS = 256
+"""Number of leading characters that identify a prompt's prefix."""
 VOCABULARY = 1000
 
-_LCG_FACTOR = 6364136223846793005
-_LCG_STEP = 1442695040888963407
+_LCG_MULTIPLIER = 6364136223846793005
+_LCG_INCREMENT = 1442695040888963407
 _LCG_MASK = (1 << 64) - 1
 
 
@@ -48,9 +51,9 @@
     state = int.from_bytes(seed.digest(), "big")
     tokens: list[str] = []
     for index in range(count):
-        state = (state * _LCG_FACTOR + _LCG_STEP) & _LCG_MASK
-        gap = " " if index else ""
-        tokens.append(f"{gap}w{(state >> 33) % VOCABULARY}")
+        state = (state * _LCG_MULTIPLIER + _LCG_INCREMENT) & _LCG_MASK
+        separator = " " if index else ""
+        tokens.append(f"{separator}w{(state >> 33) % VOCABULARY}")
     return tokens
 
 
@@ -90,18 +93,19 @@
             "created": created_s,
             "model": model,
         }
-        self._plain_head = head | {"object": "chat.completion"}
+        self._response_head = head | {"object": "chat.completion"}
         self._head = json.dumps(head, separators=(",", ":"))[:-1]
         self._tail = ',"usage":null}\n\n' if include_usage else "}\n\n"
         self.total = len(tokens) + (4 if include_usage else 3)
 
-    def events(self, start: int, end: int) -> bytes:
+    def encode_events(self, start: int, end: int) -> bytes:
         """Encodes the events from `start` up to, but not including, `end`."""
         return "".join(
-            f"id: {seq}\ndata: {self._data(seq)}" for seq in range(start, end)
+            f"id: {seq}\ndata: {self._get_event_data(seq)}"
+            for seq in range(start, end)
         ).encode()
 
-    def plain(self) -> dict[str, Any]:
+    def make_response_body(self) -> dict[str, Any]:
         """Returns the answer as the body of a non-streamed response."""
         message = {"role": "assistant", "content": "".join(self._tokens)}
         choice = {
@@ -109,23 +113,29 @@
             "message": message,
             "finish_reason": self._finish_reason,
         }
-        return {**self._plain_head, "choices": [choice], "usage": self._usage}
+        return {
+            **self._response_head,
+            "choices": [choice],
+            "usage": self._usage,
+        }
 
-    def _data(self, seq: int) -> str:
+    def _get_event_data(self, seq: int) -> str:
         count = len(self._tokens)
         if seq == 0:
-            return self._chunk('{"role":"assistant","content":""}', "null")
+            return self._format_chunk(
+                '{"role":"assistant","content":""}', "null"
+            )
         if seq <= count:
-            return self._chunk(
+            return self._format_chunk(
                 f'{{"content":"{self._tokens[seq - 1]}"}}', "null"
             )
         if seq == count + 1:
-            return self._chunk("{}", f'"{self._finish_reason}"')
+            return self._format_chunk("{}", f'"{self._finish_reason}"')
         if seq == count + 2 and self._include_usage:
             return self._usage_chunk
         return "[DONE]\n\n"
 
-    def _chunk(self, delta: str, finish_reason: str) -> str:
+    def _format_chunk(self, delta: str, finish_reason: str) -> str:
         return (
             f'{self._head},"choices":[{{"index":0,"delta":{delta},'
             f'"finish_reason":{finish_reason}}}]{self._tail}'
--- a/lab/audit.py
+++ b/lab/audit.py
@@ -11,15 +11,17 @@
 from lab.traffic import Kind, Send
 from lovagestage.decisions.billing import Bill, BillOutcome
 
-FORCE_S = 8.0
+PROPAGATION_S = 8.0
 """Time in seconds from the acceptance of a change until it applies everywhere.
 
 An engine run on a withdrawn version counts as a violation only after it.
 """
-SETTLE_S = 12.0
+FAULT_EFFECT_S = 12.0
 """Time in seconds for which an ended fault may still affect new requests."""
-_HARD = (FaultKind.KILL, FaultKind.PAUSE, FaultKind.SILENCE)
-_AT_LOG = (FaultKind.OUTAGE, FaultKind.LOST_ANSWERS, FaultKind.SLOW)
+# Faults that may break a connection or a stream, which the audit excuses.
+_PROCESS_FAULTS = (FaultKind.KILL, FaultKind.PAUSE, FaultKind.SILENCE)
+# Faults of the log, which do not make another fault's interruption concurrent.
+_LOG_FAULTS = (FaultKind.OUTAGE, FaultKind.LOST_ANSWERS, FaultKind.SLOW)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -75,7 +77,7 @@
     runs: dict[str, list[RecordedRun]] = defaultdict(list)
     for run in evidence.runs:
         runs[get_tag(run.prompt)].append(run)
-        is_late = run.at_s > evidence.withdrawn_s + FORCE_S
+        is_late = run.at_s > evidence.withdrawn_s + PROPAGATION_S
         if run.model == evidence.withdrawn and is_late:
             findings.work_on_withdrawn.append(get_tag(run.prompt))
     sends: dict[str, list[Send]] = defaultdict(list)
@@ -97,18 +99,18 @@
 
 def count_codes(sends: list[Send]) -> dict[str, int]:
     """Counts HTTP requests by their outcome."""
-    return dict(Counter(_get_end(send) for send in sends))
+    return dict(Counter(_get_outcome(send) for send in sends))
 
 
-def _get_end(send: Send) -> str:
+def _get_outcome(send: Send) -> str:
     if send.is_answered:
         return "answered"
-    if send.has_left:
+    if send.has_timed_out:
         return "left"
     if send.code:
         run = send.run or "no_state"
-        within = "stream:" if send.status == 200 else ""
-        return f"{within}{send.code}/{run}"
+        prefix = "stream:" if send.status == 200 else ""
+        return f"{prefix}{send.code}/{run}"
     return "broken" if send.status == 0 else "cut"
 
 
@@ -117,37 +119,43 @@
 ) -> None:
     if send.is_wrong:
         findings.wrong_bytes.append(send.tag)
-    if send.is_answered or send.has_left:
+    if send.is_answered or send.has_timed_out:
         return
-    broken = send.status == 0 or send.is_cut
-    if broken and not _acted(applied, send, _HARD, send.entry):
-        stopped = _acted(applied, send, (FaultKind.REPLACE,), send.entry)
+    is_broken = send.status == 0 or send.is_cut
+    if is_broken and not _has_overlapping_fault(
+        applied, send, _PROCESS_FAULTS, send.entry
+    ):
+        is_planned_stop = _has_overlapping_fault(
+            applied, send, (FaultKind.REPLACE,), send.entry
+        )
         # A refused connection has carried no data: the caller retries at
         # another entry immediately.
         if send.status == 0 and send.ended_s - send.sent_s < 0.1:
             return
-        kind = (
-            findings.cut_by_planned_stop if stopped else findings.lost_answers
+        violations = (
+            findings.cut_by_planned_stop
+            if is_planned_stop
+            else findings.lost_answers
         )
-        kind.append(send.tag)
+        violations.append(send.tag)
     elif send.status == 200 and send.code:
         # The stream ended with an error. Only the failure of a process during
         # the request excuses this.
-        if not _acted(applied, send, _HARD):
+        if not _has_overlapping_fault(applied, send, _PROCESS_FAULTS):
             findings.cut_by_planned_stop.append(send.tag)
 
 
-def _acted(
+def _has_overlapping_fault(
     applied: list[Applied],
     send: Send,
     kinds: tuple[FaultKind, ...],
     name: str = "",
 ) -> bool:
     return any(
-        each.fault.kind in kinds
-        and (not name or each.fault.name == name)
-        and each.overlaps(send.sent_s - SETTLE_S, send.ended_s)
-        for each in applied
+        injected.fault.kind in kinds
+        and (not name or injected.fault.name == name)
+        and injected.overlaps(send.sent_s - FAULT_EFFECT_S, send.ended_s)
+        for injected in applied
     )
 
 
@@ -204,29 +212,29 @@
         Sorted interruptions of kills without another process fault nearby,
         and sorted interruptions of kills close to another process fault.
     """
-    took_s = sorted(spent_s for _, spent_s, _ in served)
-    usual_s = took_s[len(took_s) // 2]
+    durations_s = sorted(duration_s for _, duration_s, _ in served)
+    median_s = durations_s[len(durations_s) // 2]
     alone: list[float] = []
-    together: list[float] = []
+    concurrent: list[float] = []
     for kill in applied:
         if kill.fault.kind is not FaultKind.KILL:
             continue
-        near = [
-            spent_s
-            for start_s, spent_s, _ in served
+        nearby_s = [
+            duration_s
+            for start_s, duration_s, _ in served
             if -0.2 < start_s - kill.began_s < 1.5
         ]
-        if not near:
+        if not nearby_s:
             continue
-        gap_s = max(0.0, max(near) - usual_s)
-        beside = any(
+        gap_s = max(0.0, max(nearby_s) - median_s)
+        is_concurrent = any(
             other is not kill
-            and other.fault.kind not in _AT_LOG
+            and other.fault.kind not in _LOG_FAULTS
             and other.overlaps(kill.began_s - 1.0, kill.began_s + 2.0)
             for other in applied
         )
-        (together if beside else alone).append(gap_s)
-    return sorted(alone), sorted(together)
+        (concurrent if is_concurrent else alone).append(gap_s)
+    return sorted(alone), sorted(concurrent)
 
 
 def is_plain(kind: Kind) -> bool:
--- a/lab/balancer.py
+++ b/lab/balancer.py
@@ -19,7 +19,9 @@
 )
 
 CHECK_INTERVAL_S = 0.5
+"""Pause between two health checks, and the time limit of one, in seconds."""
 CONNECT_TIMEOUT_S = 1.0
+"""Time limit in seconds to connect to a backend before the next is tried."""
 
 
 class BalancerFaults(Faults):
@@ -29,22 +31,22 @@
     freeze_health: bool = False
 
 
-class Relay(asyncio.Protocol):
+class ProxySide(asyncio.Protocol):
     """One side of a proxied connection: forwards its bytes to its peer side."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.peer: Relay | None = None
-        self._early: list[bytes] = []
+        self.peer: ProxySide | None = None
+        self._buffered: list[bytes] = []
         self._ended = False
 
-    def join(self, peer: Relay) -> None:
+    def pair_with(self, peer: ProxySide) -> None:
         """Connects two sides and forwards the bytes that arrived before."""
         self.peer, peer.peer = peer, self
         for side, other in ((self, peer), (peer, self)):
-            for data in side._early:
+            for data in side._buffered:
                 other.write(data)
-            side._early.clear()
+            side._buffered.clear()
             if side._ended:
                 other.close()
 
@@ -63,7 +65,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.peer is None:
-            self._early.append(data)
+            self._buffered.append(data)
         else:
             self.peer.write(data)
 
@@ -81,7 +83,7 @@
             self.peer.close()
 
 
-class ClientSide(Relay):
+class ClientSide(ProxySide):
     """The client's side of a connection: requests a backend on connect."""
 
     def __init__(self, balancer: Balancer) -> None:
@@ -101,7 +103,7 @@
         self.faults = BalancerFaults()
         self._backends = backends
         self._healthy: list[str] = []
-        self._turn = 0
+        self._next_index = 0
         self._connections: Counter[str] = Counter()
         self._refused = 0
 
@@ -117,30 +119,30 @@
         """Connects the client to the next backend that accepts a connection."""
         loop = asyncio.get_running_loop()
         for _ in range(len(self._healthy)):
-            backend = self._next()
+            backend = self._get_next_backend()
             if backend is None:
                 break
             host, _, port = backend.rpartition(":")
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    _, relay = await loop.create_connection(
-                        Relay, host, int(port)
+                    _, backend_side = await loop.create_connection(
+                        ProxySide, host, int(port)
                     )
             except OSError:  # Includes TimeoutError, which is a subclass.
                 continue
             self._connections[backend] += 1
-            client.join(relay)
+            client.pair_with(backend_side)
             return
         self._refused += 1
         client.close()
 
-    def _next(self) -> str | None:
+    def _get_next_backend(self) -> str | None:
         if not self._healthy:
             return None
-        self._turn += 1
-        return self._healthy[self._turn % len(self._healthy)]
+        self._next_index += 1
+        return self._healthy[self._next_index % len(self._healthy)]
 
-    async def check_for_ever(self) -> None:
+    async def run_health_checks(self) -> None:
         """Checks the health of all backends periodically, without end."""
         timeout = aiohttp.ClientTimeout(total=CHECK_INTERVAL_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
@@ -167,7 +169,7 @@
 
 async def _serve(balancer: Balancer, args: argparse.Namespace) -> None:
     loop = asyncio.get_running_loop()
-    checks = asyncio.create_task(balancer.check_for_ever())
+    checks = asyncio.create_task(balancer.run_health_checks())
     app = make_app(balancer.faults, balancer.stats)
     runner, control_port = await start_app(app, args.host, args.control_port)
     server = await loop.create_server(
@@ -185,7 +187,10 @@
     add_server_arguments(parser)
     parser.add_argument("--backends", required=True, help="HOST:PORT,...")
     parser.add_argument(
-        "--control-port", type=int, default=0, help="of /_faults and /_stats"
+        "--control-port",
+        type=int,
+        default=0,
+        help="port of /_faults and /_stats",
     )
 
 
--- a/lab/batch.py
+++ b/lab/batch.py
@@ -20,6 +20,7 @@
     "decode": (2.0, 0.5),
 }
 INTERVAL_WEIGHT = 0.2
+"""Weight of the latest step in the moving average of the token interval."""
 
 
 class Timing(msgspec.Struct, kw_only=True):
@@ -81,7 +82,7 @@
             return self.encoder.total
         return self.produced + 1 if self.produced else 0
 
-    def wake(self) -> None:
+    def notify_readers(self) -> None:
         """Wakes all tasks that wait for progress of the sequence."""
         self.progress.set()
         self.progress.clear()
@@ -140,7 +141,7 @@
         sequence.cancelled = True
         if sequence in self._running:
             self._running.remove(sequence)
-        sequence.wake()
+        sequence.notify_readers()
         self._admit()
 
     async def run(self) -> None:
@@ -154,39 +155,39 @@
                 self._work.clear()
                 await self._work.wait()
                 last_s = time.monotonic()
-            due_s = self._due_s(last_s)
+            due_s = self._get_due_s(last_s)
             await asyncio.sleep(due_s - time.monotonic())
             now_s = time.monotonic()
-            self._measure((now_s - last_s) * 1000)
+            self._update_token_interval((now_s - last_s) * 1000)
             # After a step that was late by over one step time, the schedule
             # restarts from now: no burst of steps catches up.
             last_s = due_s if now_s - due_s < due_s - last_s else now_s
             self._step(now_s)
 
-    def _due_s(self, last_s: float) -> float:
-        step_s = self._step_ms() / 1000
+    def _get_due_s(self, last_s: float) -> float:
+        step_s = self._get_step_ms() / 1000
         first_ready_s = min((s.ready_at_s for s in self._running), default=0.0)
         return max(last_s + step_s, first_ready_s)
 
-    def _step_ms(self) -> float:
+    def _get_step_ms(self) -> float:
         timing = self.timing
         step_ms = timing.token_ms + timing.token_ms_per_running * self.running
         return step_ms * ROLE_FACTORS[self.role][1] * self._slow_factor()
 
-    def _measure(self, interval_ms: float) -> None:
+    def _update_token_interval(self, interval_ms: float) -> None:
         change_ms = interval_ms - self.token_interval_ms
         self.token_interval_ms += INTERVAL_WEIGHT * change_ms
 
     def _step(self, now_s: float) -> None:
-        going: list[Sequence] = []
+        unfinished: list[Sequence] = []
         for sequence in self._running:
             if sequence.ready_at_s <= now_s:
                 sequence.produced += 1
                 self._on_token(sequence)
-                sequence.wake()
+                sequence.notify_readers()
             if not sequence.done:
-                going.append(sequence)
-        self._running = going
+                unfinished.append(sequence)
+        self._running = unfinished
         self._admit()
 
     def _admit(self) -> None:
@@ -194,19 +195,19 @@
             sequence = heapq.heappop(self._queue)[2]
             if sequence.cancelled:
                 continue
-            ttft_s = self._prefill_ms(sequence) / 1000
+            ttft_s = self._get_prefill_ms(sequence) / 1000
             sequence.ready_at_s = time.monotonic() + ttft_s
             self._running.append(sequence)
             self._on_admit(sequence)
 
-    def _prefill_ms(self, sequence: Sequence) -> float:
+    def _get_prefill_ms(self, sequence: Sequence) -> float:
         cached = self._cache.use(sequence.model, sequence.prompt)
-        fresh_tokens = max(0, sequence.prompt_tokens - cached)
+        uncached_tokens = max(0, sequence.prompt_tokens - cached)
         if sequence.request_id in self.prefilled:
             self.prefilled.discard(sequence.request_id)
-            fresh_tokens = 0
+            uncached_tokens = 0
         timing = self.timing
-        prefill_ms = timing.prefill_ms_per_token * fresh_tokens
+        prefill_ms = timing.prefill_ms_per_token * uncached_tokens
         factor = ROLE_FACTORS[self.role][0] * self._slow_factor()
         return (timing.base_ttft_ms + prefill_ms) * factor
 
@@ -214,29 +215,31 @@
 class LoadHistory:
     """Samples of an engine's load, so that it can be reported with a delay."""
 
-    def __init__(self, batch: Batch, interval_s: float, keep: int) -> None:
+    def __init__(
+        self, batch: Batch, interval_s: float, max_samples: int
+    ) -> None:
         self._batch = batch
         self._interval_s = interval_s
-        self._samples: deque[dict[str, float]] = deque(maxlen=keep)
-        self._samples.append(self._sample())
+        self._samples: deque[dict[str, float]] = deque(maxlen=max_samples)
+        self._samples.append(self._take_sample())
 
     async def run(self) -> None:
         """Samples the load periodically, without end."""
         while True:
             await asyncio.sleep(self._interval_s)
-            self._samples.append(self._sample())
+            self._samples.append(self._take_sample())
 
-    def seen(self, lag_ms: float) -> dict[str, float]:
+    def get_load(self, lag_ms: float) -> dict[str, float]:
         """Returns the load `lag_ms` milliseconds ago, or the oldest sample."""
         if lag_ms <= 0:
-            return self._sample()
+            return self._take_sample()
         limit_ms = time.time() * 1000 - lag_ms
         for sample in reversed(self._samples):
             if sample["at_ms"] <= limit_ms:
                 return sample
         return self._samples[0]
 
-    def _sample(self) -> dict[str, float]:
+    def _take_sample(self) -> dict[str, float]:
         return {
             "at_ms": time.time() * 1000,
             "running": self._batch.running,
--- a/lab/bench.py
+++ b/lab/bench.py
@@ -22,7 +22,7 @@
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Adds the arguments for experiment names and seeds."""
-    parser.add_argument("names", nargs="*", help="all where none is given")
+    parser.add_argument("names", nargs="*", help="all if none is given")
     parser.add_argument("--seeds", type=int, nargs="+", default=list(SEEDS))
 
 
@@ -30,7 +30,7 @@
     """Runs the experiments; returns 0 if every goal was met, else 1."""
     OUTPUT.mkdir(parents=True, exist_ok=True)
     results = [
-        _run_one(name, seed)
+        _run_experiment(name, seed)
         for name in args.names or get_names()
         for seed in args.seeds
     ]
@@ -40,17 +40,18 @@
     return 0 if all(result.ok for result in results) else 1
 
 
-def _run_one(name: str, seed: int) -> Result:
+def _run_experiment(name: str, seed: int) -> Result:
     start_s = time.monotonic()
     module = importlib.import_module(f"lab.experiments.{name}")
     result: Result = module.run(seed)
-    spent_s = time.monotonic() - start_s
+    elapsed_s = time.monotonic() - start_s
     (OUTPUT / f"{name}-{seed}.json").write_text(
         json.dumps(dataclasses.asdict(result), indent=2)
     )
-    state = "ok" if result.ok else "GOAL MISSED"
+    verdict = "ok" if result.ok else "GOAL MISSED"
     print(
-        f"{name} seed={seed} ratio={result.ratio:.3f} {state} {spent_s:.0f} s"
+        f"{name} seed={seed} ratio={result.ratio:.3f} {verdict}"
+        f" {elapsed_s:.0f} s"
     )
     return result
 
--- a/lab/bucket.py
+++ b/lab/bucket.py
@@ -12,19 +12,19 @@
         self._rate_per_s = rate_per_s
         self._burst = burst
         self._tokens = burst
-        self._filled_at_s = time.monotonic()
+        self._refilled_at_s = time.monotonic()
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes one token; returns whether one was available."""
         now_s = time.monotonic()
-        gained = (now_s - self._filled_at_s) * self._rate_per_s
-        self._tokens = min(self._burst, self._tokens + gained)
-        self._filled_at_s = now_s
+        refill = (now_s - self._refilled_at_s) * self._rate_per_s
+        self._tokens = min(self._burst, self._tokens + refill)
+        self._refilled_at_s = now_s
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
-    def wait_s(self) -> float:
+    def get_wait_s(self) -> float:
         """Returns the time in seconds until a token is available."""
         return max(0.0, (1 - self._tokens) / self._rate_per_s)
--- a/lab/caller.py
+++ b/lab/caller.py
@@ -6,6 +6,7 @@
 import dataclasses
 
 HOST = "ficu95.example"
+"""Value of the Host header."""
 
 
 @dataclasses.dataclass
@@ -31,7 +32,7 @@
     body: bytes = b"",
     request_id: str = "a1",
     key: str | None = None,
-    **more: str,
+    **extra_headers: str,
 ) -> bytes:
     """Encodes an HTTP request; keyword arguments become headers, `_` as `-`."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {HOST}"]
@@ -40,8 +41,10 @@
         lines.append(f"Authorization: Token {key}")
     if body:
         lines.append(f"Content-Length: {len(body)}")
-    more = {"Deadline_Ms": "4000", **more}
-    lines += [f"{name.replace('_', '-')}: {v}" for name, v in more.items()]
+    extra_headers = {"Deadline_Ms": "4000", **extra_headers}
+    lines += [
+        f"{name.replace('_', '-')}: {v}" for name, v in extra_headers.items()
+    ]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
@@ -53,10 +56,10 @@
             the response head, or of a body with a Content-Length.
     """
     head = await reader.readuntil(b"\r\n\r\n")
-    first, *lines = head.decode().split("\r\n")
+    status_line, *lines = head.decode().split("\r\n")
     pairs = (line.partition(":") for line in lines if line)
     headers = {name.lower(): value.strip() for name, _, value in pairs}
-    status = int(first.split(" ")[1])
+    status = int(status_line.split(" ")[1])
     if headers.get("transfer-encoding") == "chunked":
         return Reply(status, headers, *await _read_chunks(reader))
     length = int(headers.get("content-length", "0"))
--- a/lab/chat.py
+++ b/lab/chat.py
@@ -20,8 +20,10 @@
 from lab.server import hang
 
 DEFAULT_TOKENS = 16
+"""Length of an answer if the request sets no limit."""
 MAX_TOKENS = 4096
 DEFAULT_PRIORITY = 100
+"""Priority of requests without an X-Priority header; lower runs earlier."""
 
 
 class WrongRequestError(Exception):
@@ -48,7 +50,7 @@
         raise WrongRequestError("messages")
     model: str = body["model"]
     prompt = prompt_text(messages)
-    count, finish_reason = _token_count(body)
+    count, finish_reason = _get_token_count(body)
     if garbage:
         tokens = garbage_tokens(count)
     else:
@@ -61,7 +63,7 @@
         created_s=int(time.time()),
         tokens=tokens,
         finish_reason=finish_reason,
-        usage=_usage(prompt, tokens),
+        usage=_make_usage(prompt, tokens),
         include_usage=bool(options.get("include_usage")),
     )
     return Sequence(
@@ -70,7 +72,7 @@
         prompt=prompt,
         tokens=tokens,
         encoder=encoder,
-        priority=_priority(headers),
+        priority=_get_priority(headers),
     )
 
 
@@ -100,7 +102,7 @@
         while not sequence.cancelled and seq < limit:
             end = min(limit, sequence.available)
             if seq < end:
-                await response.write(sequence.encoder.events(seq, end))
+                await response.write(sequence.encoder.encode_events(seq, end))
                 seq = end
             else:
                 await sequence.progress.wait()
@@ -114,23 +116,23 @@
     return response
 
 
-def _token_count(body: dict[str, Any]) -> tuple[int, str]:
-    asked = body.get("max_completion_tokens", body.get("max_tokens"))
-    if asked is None:
+def _get_token_count(body: dict[str, Any]) -> tuple[int, str]:
+    requested = body.get("max_completion_tokens", body.get("max_tokens"))
+    if requested is None:
         return DEFAULT_TOKENS, "stop"
-    if not isinstance(asked, int) or asked < 1:
+    if not isinstance(requested, int) or requested < 1:
         raise WrongRequestError("max_tokens")
-    return min(asked, MAX_TOKENS), "length"
+    return min(requested, MAX_TOKENS), "length"
 
 
-def _priority(headers: Mapping[str, str]) -> int:
+def _get_priority(headers: Mapping[str, str]) -> int:
     try:
         return int(headers.get("X-Priority", DEFAULT_PRIORITY))
     except ValueError:
         raise WrongRequestError("X-Priority") from None
 
 
-def _usage(prompt: str, tokens: list[str]) -> dict[str, int]:
+def _make_usage(prompt: str, tokens: list[str]) -> dict[str, int]:
     prompt_tokens = count_tokens(prompt)
     return {
         "prompt_tokens": prompt_tokens,
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -20,6 +20,7 @@
 from lovagestage.state.document import ServiceDocument
 
 TIMEOUT_S = 30.0
+"""Time limit in seconds of an operator command and of a plain call's waits."""
 _ROOT = pathlib.Path(__file__).parent.parent
 
 
@@ -72,33 +73,42 @@
     try:
         with urllib.request.urlopen(request, timeout=TIMEOUT_S) as response:
             return Answer(response.status, "", response.read())
-    except urllib.error.HTTPError as refused:
-        run = refused.headers.get("X-Run-State", "")
-        return Answer(refused.code, run, refused.read())
+    except urllib.error.HTTPError as error:
+        run = error.headers.get("X-Run-State", "")
+        return Answer(error.code, run, error.read())
 
 
-def run_command(fleet: Fleet, *words: str) -> Any:
+def run_command(fleet: Fleet, *arguments: str) -> Any:
     """Runs an operator command as a process and returns its JSON output.
 
     Raises:
         CommandError: The command's exit code is not 0.
     """
     settings = fleet.make_operator_settings()
-    if words[0] == "usage":
-        where = ("--log", fleet.children["log"].url)
+    if arguments[0] == "usage":
+        target_options = ("--log", fleet.children["log"].url)
     else:
-        where = ("--settings", str(settings))
-    done = subprocess.run(
-        [sys.executable, "-m", "lovagestage", *words, "--json", *where],
+        target_options = ("--settings", str(settings))
+    completed = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "lovagestage",
+            *arguments,
+            "--json",
+            *target_options,
+        ],
         capture_output=True,
         text=True,
         timeout=TIMEOUT_S,
         check=False,
         env={**os.environ, "PYTHONPATH": f"{_ROOT / 'src'}"},
     )
-    if done.returncode != 0:
-        raise CommandError(f"{' '.join(words)}: {done.stderr or done.stdout}")
-    return json.loads(done.stdout)
+    if completed.returncode != 0:
+        raise CommandError(
+            f"{' '.join(arguments)}: {completed.stderr or completed.stdout}"
+        )
+    return json.loads(completed.stdout)
 
 
 Edit = Callable[[ServiceDocument], ServiceDocument]
@@ -107,9 +117,9 @@
 def edit_document(fleet: Fleet, edit: Edit) -> None:
     """Edits the fleet's service document with the operator commands."""
     service = fleet.shape.service
-    shown = run_command(fleet, "service", "get", service)
-    document = msgspec.convert(shown["document"], ServiceDocument)
+    output = run_command(fleet, "service", "get", service)
+    document = msgspec.convert(output["document"], ServiceDocument)
     path = fleet.folder / "edited.json"
     path.write_bytes(msgspec.json.encode(edit(document)))
-    base = str(shown["revision"])
+    base = str(output["revision"])
     run_command(fleet, "service", "put", str(path), "--base", base)
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -14,12 +14,12 @@
 from lab.clients import make_client as make_client
 from lab.demo_operations import OPERATION_ROWS
 from lab.demo_requests import REQUEST_ROWS
-from lab.demo_stage import Row, Stage
+from lab.demo_stage import DemoEnvironment, Row
 from lab.fleet import Fleet
 from lab.shapes import SHAPES
 
 ROW = "{:<30} {:<6} {:>6} ms  {}"
-STAGES = {
+ENVIRONMENTS = {
     "lahore": ("audit", "policy-draft"),
     "tasmania": ("buyers", "gift-wrap"),
 }
@@ -33,12 +33,14 @@
         type=pathlib.Path,
         help="run the daemons from this file instead of the source",
     )
-    parser.add_argument("--fleet", choices=sorted(STAGES), help="only this one")
+    parser.add_argument(
+        "--fleet", choices=sorted(ENVIRONMENTS), help="only this one"
+    )
 
 
 def run(args: argparse.Namespace) -> int:
     """Runs all rows on each fleet; returns 0 only if every row passed."""
-    names = [args.fleet] if args.fleet else list(STAGES)
+    names = [args.fleet] if args.fleet else list(ENVIRONMENTS)
     with concurrent.futures.ThreadPoolExecutor(len(names)) as pool:
         runs = [pool.submit(_run_fleet, name, args.binary) for name in names]
         failures = sum(run.result() for run in runs)
@@ -51,33 +53,33 @@
     start_s = time.monotonic()
     options = {"billing_interval_s": 1.0}
     with Fleet(shape, binary=binary, entry_options=options) as fleet:
-        spent_s = time.monotonic() - start_s
+        elapsed_s = time.monotonic() - start_s
         _print_line(
             name,
             f"{shape.entries} entries, {shape.engines} engines,"
             f" {shape.plains} plain services in {len(shape.zones)} zones,"
-            f" started in {spent_s:.1f} s",
+            f" started in {elapsed_s:.1f} s",
         )
-        stage = Stage(fleet, *STAGES[name])
+        environment = DemoEnvironment(fleet, *ENVIRONMENTS[name])
         rows = (*REQUEST_ROWS, *OPERATION_ROWS)
-        return sum(not _run_row(name, row, stage) for row in rows)
+        return sum(not _run_row(name, row, environment) for row in rows)
 
 
-def _run_row(fleet: str, row: Row, stage: Stage) -> bool:
+def _run_row(fleet: str, row: Row, environment: DemoEnvironment) -> bool:
     start_s = time.monotonic()
     try:
-        shown, held = row.check(stage), True
+        summary, has_passed = row.check(environment), True
     except (
         AssertionError,
         CommandError,
         openai.OpenAIError,
         OSError,
     ) as error:
-        shown, held = f"{type(error).__name__}: {error}", False
-    spent_ms = round((time.monotonic() - start_s) * 1000)
-    status = "held" if held else "FAILED"
-    _print_line(fleet, ROW.format(row.name, status, spent_ms, shown))
-    return held
+        summary, has_passed = f"{type(error).__name__}: {error}", False
+    elapsed_ms = round((time.monotonic() - start_s) * 1000)
+    status = "held" if has_passed else "FAILED"
+    _print_line(fleet, ROW.format(row.name, status, elapsed_ms, summary))
+    return has_passed
 
 
 def _print_line(fleet: str, text: str) -> None:
--- a/lab/demo_requests.py
+++ b/lab/demo_requests.py
@@ -8,14 +8,14 @@
 import openai
 
 from lab.clients import call_plain, make_client
-from lab.demo_stage import MESSAGE, Row, Stage, ask
+from lab.demo_stage import MESSAGE, DemoEnvironment, Row, ask
 from lab.fleet import Child
 
 
-def check_plain(stage: Stage) -> str:
+def check_plain(environment: DemoEnvironment) -> str:
     """Checks the answer to a request that names a service as its model."""
-    answer = stage.make_client().chat.completions.create(
-        model=stage.fleet.shape.service,
+    answer = environment.make_client().chat.completions.create(
+        model=environment.fleet.shape.service,
         messages=[{"role": "user", "content": MESSAGE}],
     )
     text = answer.choices[0].message.content or ""
@@ -24,9 +24,9 @@
     return f"{answer.model}, {answer.usage.completion_tokens} tokens"
 
 
-def check_streamed(stage: Stage) -> str:
+def check_streamed(environment: DemoEnvironment) -> str:
     """Checks that a streamed answer is complete and reports its usage."""
-    stream = stage.make_client(entry=1).chat.completions.create(
+    stream = environment.make_client(entry=1).chat.completions.create(
         model="large@1",
         messages=[{"role": "user", "content": MESSAGE}],
         stream=True,
@@ -42,17 +42,19 @@
     return f"{usage.completion_tokens} tokens, usage in the last chunk"
 
 
-def check_models(stage: Stage) -> str:
+def check_models(environment: DemoEnvironment) -> str:
     """Checks that a workspace sees only the models that it may use."""
-    names = [m.id for m in make_client(stage.fleet, "trial").models.list()]
-    assert names == [stage.fleet.shape.service, "small@1"], names
+    names = [
+        m.id for m in make_client(environment.fleet, "trial").models.list()
+    ]
+    assert names == [environment.fleet.shape.service, "small@1"], names
     return ", ".join(names)
 
 
-def check_refused(stage: Stage) -> str:
+def check_refused(environment: DemoEnvironment) -> str:
     """Checks that a model forbidden to the workspace is refused and not run."""
     try:
-        make_client(stage.fleet, "trial").chat.completions.create(
+        make_client(environment.fleet, "trial").chat.completions.create(
             model="large@1", messages=[{"role": "user", "content": MESSAGE}]
         )
     except openai.PermissionDeniedError as error:
@@ -61,62 +63,77 @@
     raise AssertionError("The request was not refused.")
 
 
-def check_once(stage: Stage) -> str:
+def check_idempotency(environment: DemoEnvironment) -> str:
     """Checks that requests with one key through two entries run only once."""
     headers = {
         "Idempotency-Key": "demo-draft",
-        "X-Request-Class": stage.once_class,
+        "X-Request-Class": environment.once_class,
     }
     with concurrent.futures.ThreadPoolExecutor(4) as pool:
         replies = list(
             pool.map(
-                lambda i: ask(stage, "large@1", i % 2, 40, headers), range(4)
+                lambda i: ask(environment, "large@1", i % 2, 40, headers),
+                range(4),
             )
         )
-    runs = _count(stage, stage.fleet.engines, "runs", replies[0].request_id)
+    runs = _count_runs(
+        environment, environment.fleet.engines, "runs", replies[0].request_id
+    )
     assert len({(r.request_id, r.text) for r in replies}) == 1
     assert runs == 1, f"it ran {runs} times"
-    return f"4 equal answers through 2 entries, class {stage.once_class}, 1 run"
+    return (
+        f"4 equal answers through 2 entries, class {environment.once_class},"
+        " 1 run"
+    )
 
 
-def check_charge(stage: Stage) -> str:
+def check_charge(environment: DemoEnvironment) -> str:
     """Checks that a charge repeated with its idempotency key runs only once."""
     urls = [
-        f"{entry.url}/{stage.fleet.shape.pool}/charge" for entry in _two(stage)
+        f"{entry.url}/{environment.fleet.shape.pool}/charge"
+        for entry in _get_two_entries(environment)
     ]
     answers = [
-        call_plain(url, stage.workspace, "demo-charge", b"5")
+        call_plain(url, environment.workspace, "demo-charge", b"5")
         for url in (*urls, *urls)
     ]
     assert [a.status for a in answers] == [200] * 4, answers
     assert {json.loads(a.body)["body"] for a in answers} == {"5"}
-    runs = _count(stage, stage.fleet.plains, "runs_by_key", "demo-charge")
+    runs = _count_runs(
+        environment, environment.fleet.plains, "runs_by_key", "demo-charge"
+    )
     assert runs == 1, f"it ran {runs} times"
     return "sent 4 times through 2 entries, 1 run"
 
 
-def check_dropped_charge(stage: Stage) -> str:
+def check_dropped_charge(environment: DemoEnvironment) -> str:
     """Checks that a charge without a key is not retried after a lost answer."""
-    url = f"{stage.route_url}/charge"
-    before = _count(stage, stage.fleet.plains, "runs_by_path", "/charge")
-    for plain in stage.fleet.plains:
-        stage.fleet.set_fault(plain.name, drop_after_run=1)
-    answer = call_plain(url, stage.workspace)
-    for plain in stage.fleet.plains:
-        stage.fleet.set_fault(plain.name, drop_after_run=0)
-    after = _count(stage, stage.fleet.plains, "runs_by_path", "/charge")
+    url = f"{environment.route_url}/charge"
+    before = _count_runs(
+        environment, environment.fleet.plains, "runs_by_path", "/charge"
+    )
+    for plain in environment.fleet.plains:
+        environment.fleet.set_fault(plain.name, drop_after_run=1)
+    answer = call_plain(url, environment.workspace)
+    for plain in environment.fleet.plains:
+        environment.fleet.set_fault(plain.name, drop_after_run=0)
+    after = _count_runs(
+        environment, environment.fleet.plains, "runs_by_path", "/charge"
+    )
     assert answer.run == "unknown", answer
     assert after - before == 1, f"it ran {after - before} times"
     return f"{answer.status}, unknown, 1 run"
 
 
-def _two(stage: Stage) -> list[Child]:
-    return stage.fleet.entries[:2]
+def _get_two_entries(environment: DemoEnvironment) -> list[Child]:
+    return environment.fleet.entries[:2]
 
 
-def _count(stage: Stage, children: list[Child], kind: str, name: str) -> int:
+def _count_runs(
+    environment: DemoEnvironment, children: list[Child], counter: str, name: str
+) -> int:
     return sum(
-        stage.fleet.get_stats(child.name)[kind].get(name, 0)
+        environment.fleet.get_stats(child.name)[counter].get(name, 0)
         for child in children
     )
 
@@ -126,7 +143,7 @@
     Row("streamed", check_streamed),
     Row("models of a workspace", check_models),
     Row("refused", check_refused),
-    Row("non-idempotent", check_once),
+    Row("non-idempotent", check_idempotency),
     Row("plain service, charge", check_charge),
     Row("plain service, answer dropped", check_dropped_charge),
 )
--- a/lab/demo_stage.py
+++ b/lab/demo_stage.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Stage:
+class DemoEnvironment:
     """A fleet with the workspace and request class that the demo uses on it.
 
     Attributes:
@@ -49,7 +49,7 @@
     """
 
     name: str
-    check: Callable[[Stage], str]
+    check: Callable[[DemoEnvironment], str]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -70,7 +70,7 @@
 
 
 def ask(
-    stage: Stage,
+    environment: DemoEnvironment,
     model: str,
     entry: int = 0,
     tokens: int = 8,
@@ -81,7 +81,9 @@
     Raises:
         openai.OpenAIError: The request failed or was refused.
     """
-    raw = stage.make_client(entry).chat.completions.with_raw_response.create(
+    raw = environment.make_client(
+        entry
+    ).chat.completions.with_raw_response.create(
         model=model,
         messages=[{"role": "user", "content": MESSAGE}],
         max_tokens=tokens,
@@ -95,9 +97,11 @@
     )
 
 
-def read_stream(stage: Stage, model: str, entry: int, tokens: int) -> int:
+def read_stream(
+    environment: DemoEnvironment, model: str, entry: int, tokens: int
+) -> int:
     """Reads a streamed answer to its end and returns its number of words."""
-    stream = stage.make_client(entry).chat.completions.create(
+    stream = environment.make_client(entry).chat.completions.create(
         model=model,
         messages=[{"role": "user", "content": MESSAGE}],
         max_tokens=tokens,
@@ -107,18 +111,22 @@
     return len("".join(parts).split())
 
 
-def wait_until(is_so: Callable[[], bool], timeout_s: float, what: str) -> None:
+def wait_until(
+    condition: Callable[[], bool], timeout_s: float, description: str
+) -> None:
     """Polls a condition until it is true.
 
     Args:
-        is_so: The condition.
+        condition: Returns whether to stop waiting.
         timeout_s: Longest time to wait, in seconds.
-        what: Description of the awaited event for the error message.
+        description: Description of the awaited event for the error message.
 
     Raises:
         AssertionError: The condition was not true in time.
     """
     end_s = time.monotonic() + timeout_s
-    while not is_so():
-        assert time.monotonic() < end_s, f"{what} took over {timeout_s} s"
+    while not condition():
+        assert time.monotonic() < end_s, (
+            f"{description} took over {timeout_s} s"
+        )
         time.sleep(POLL_S)
--- a/lab/engine.py
+++ b/lab/engine.py
@@ -25,10 +25,14 @@
 from lab.recorded_runs import RecordedRun, append_run
 from lab.server import add_server_arguments, hang, make_app, run_app
 
-MAX_KEPT_STREAMS = 8192
+MAX_RETAINED_STREAMS = 8192
+"""Maximum number of ended streams that are retained for a resume."""
 LOAD_SAMPLE_S = 0.02
+"""Interval in seconds between two load samples."""
 LOAD_SAMPLES = 1500
-SWEEP_S = 1.0
+"""Number of retained load samples, which limits the load lag to 30 s."""
+EVICTION_INTERVAL_S = 1.0
+"""Interval in seconds between two evictions of ended streams."""
 
 
 class EngineFaults(Faults):
@@ -106,7 +110,7 @@
             weights_url=options.weights_url,
             load_ms=options.load_ms,
             checks_fencing=options.checks_fencing,
-            hangs=lambda: self.faults.hang_load,
+            is_load_hung=lambda: self.faults.hang_load,
         )
         self._history = LoadHistory(self.batch, LOAD_SAMPLE_S, LOAD_SAMPLES)
         self._streams: dict[str, Sequence] = {}
@@ -154,21 +158,25 @@
         }
 
     async def _run_loops(self, _app: web.Application) -> AsyncIterator[None]:
-        loops = (self.batch.run(), self._history.run(), self._sweep())
+        loops = (
+            self.batch.run(),
+            self._history.run(),
+            self._evict_ended_streams(),
+        )
         tasks = [asyncio.create_task(loop) for loop in loops]
         yield
         for task in tasks:
             task.cancel()
         await self.models.close()
 
-    async def _sweep(self) -> None:
+    async def _evict_ended_streams(self) -> None:
         """Evicts streams that ended over `keep_streams_s` ago, or too many."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(EVICTION_INTERVAL_S)
             limit_s = time.monotonic() - self._options.keep_streams_s
             while self._ended and (
                 self._ended[0][0] < limit_s
-                or len(self._ended) > MAX_KEPT_STREAMS
+                or len(self._ended) > MAX_RETAINED_STREAMS
             ):
                 sequence = self._ended.popleft()[1]
                 if self._streams.get(sequence.request_id) is sequence:
@@ -220,7 +228,7 @@
             await hang(request)
         if sequence.cancelled:
             return error(409, "cancelled")
-        return web.json_response(sequence.encoder.plain())
+        return web.json_response(sequence.encoder.make_response_body())
 
     async def _handle_resume(self, request: web.Request) -> web.StreamResponse:
         sequence = self._streams.get(request.match_info["request_id"])
@@ -248,7 +256,7 @@
         lag_ms = self.faults.lag_ms
         if lag_ms is None:
             lag_ms = self._options.load_lag_ms
-        return web.json_response(self._history.seen(lag_ms))
+        return web.json_response(self._history.get_load(lag_ms))
 
     async def _handle_cache_events(self, request: web.Request) -> web.Response:
         start = request.query.get("from", "0")
@@ -282,7 +290,7 @@
             order = msgspec.json.decode(await request.read(), type=Order)
         except (msgspec.DecodeError, msgspec.ValidationError) as wrong:
             return error(400, "wrong_order", detail=str(wrong))
-        return await self.models.obey(order)
+        return await self.models.execute(order)
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
--- a/lab/fault_driver.py
+++ b/lab/fault_driver.py
@@ -10,6 +10,7 @@
 from lab.fleet import Fleet
 from lab.relay import Relay
 
+# Settings of the log stand-in for each fault of the log.
 LOG_FAULTS: dict[FaultKind, dict[str, object]] = {
     FaultKind.OUTAGE: {"outage": True},
     FaultKind.LOST_ANSWERS: {"lose_answer": 4},
@@ -53,8 +54,8 @@
         self.failures: list[str] = []
         self._fleet = fleet
         self._relays = relays
-        self._starting = threading.Lock()
-        self._busy: set[str] = set()
+        self._start_lock = threading.Lock()
+        self._affected: set[str] = set()
         self._threads: list[threading.Thread] = []
 
     def run(self, plan: list[Fault], start_s: float) -> None:
@@ -68,57 +69,57 @@
         """
         for fault in plan:
             time.sleep(max(0.0, start_s + fault.at_s - time.time()))
-            if not self._may_act(fault):
+            if not self._can_apply(fault):
                 continue
-            self._busy.add(fault.name)
+            self._affected.add(fault.name)
             thread = threading.Thread(target=self._apply, args=(fault,))
             thread.start()
             self._threads.append(thread)
         for thread in self._threads:
             thread.join()
 
-    def _may_act(self, fault: Fault) -> bool:
-        is_there = fault.name in self._fleet.children
-        return is_there and fault.name not in self._busy
+    def _can_apply(self, fault: Fault) -> bool:
+        is_running = fault.name in self._fleet.children
+        return is_running and fault.name not in self._affected
 
     def _apply(self, fault: Fault) -> None:
         began_s = time.time()
         try:
-            self._act(fault)
+            self._execute(fault)
         except Exception as error:  # Reported as a failure of the experiment.
             self.failures.append(f"{fault.kind.value} {fault.name}: {error!r}")
         self.applied.append(Applied(fault, began_s, time.time()))
-        self._busy.discard(fault.name)
+        self._affected.discard(fault.name)
 
-    def _act(self, fault: Fault) -> None:
+    def _execute(self, fault: Fault) -> None:
         fleet = self._fleet
         if fault.kind is FaultKind.KILL:
             port = fleet.children[fault.name].port
             fleet.kill(fault.name)
-            time.sleep(fault.lasts_s)
-            self._start(fault.name, port)
+            time.sleep(fault.duration_s)
+            self._start_process(fault.name, port)
         elif fault.kind is FaultKind.REPLACE:
             code = fleet.stop(fault.name)
             if code != 0:
                 self.failures.append(f"{fault.name} stopped with {code}")
-            time.sleep(fault.lasts_s)
-            self._start(fault.name, 0)
+            time.sleep(fault.duration_s)
+            self._start_process(fault.name, 0)
         elif fault.kind is FaultKind.PAUSE:
             fleet.suspend(fault.name)
-            time.sleep(fault.lasts_s)
+            time.sleep(fault.duration_s)
             fleet.resume(fault.name)
         elif fault.kind is FaultKind.SILENCE:
             self._relays[fault.name].swallow_existing()
-            time.sleep(fault.lasts_s)
+            time.sleep(fault.duration_s)
         else:
             faults = LOG_FAULTS[fault.kind]
             fleet.set_fault(fault.name, **faults)
-            time.sleep(fault.lasts_s)
+            time.sleep(fault.duration_s)
             fleet.set_fault(fault.name, **dict.fromkeys(faults))
 
-    def _start(self, name: str, port: int) -> None:
+    def _start_process(self, name: str, port: int) -> None:
         role, _, index = name.rpartition("-")
-        with self._starting:
+        with self._start_lock:
             if role == "engine":
                 self._fleet.restart_engine(int(index), port)
             elif role == "sidecar":
--- a/lab/fault_plan.py
+++ b/lab/fault_plan.py
@@ -6,16 +6,21 @@
 import enum
 import random
 
-QUIET_START_S = 5.0
-QUIET_END_S = 14.0
-MIN_GAP_S = 2.5
-MAX_GAP_S = 5.0
-TOGETHER_SHARE = 0.35
+FAULT_FREE_START_S = 5.0
+"""Time in seconds without new faults at the start of the traffic."""
+FAULT_FREE_END_S = 14.0
+"""Time in seconds without new faults at the end of the traffic."""
+MIN_INTERVAL_S = 2.5
+"""Shortest and longest time in seconds between two injections."""
+MAX_INTERVAL_S = 5.0
+PAIR_PROBABILITY = 0.35
 """Probability that two faults are injected at the same time."""
 MIN_PAUSE_S = 1.0
+"""Shortest and longest duration in seconds of faults without a restart."""
 MAX_PAUSE_S = 8.0
-MIN_AWAY_S = 0.3
-MAX_AWAY_S = 1.5
+MIN_DOWNTIME_S = 0.3
+"""Shortest and longest time in seconds until a process is started again."""
+MAX_DOWNTIME_S = 1.5
 
 
 class FaultKind(enum.Enum):
@@ -46,10 +51,11 @@
     at_s: float
     kind: FaultKind
     name: str
-    lasts_s: float
+    duration_s: float
 
 
-_RELAYED = ("0", "1")
+# Sidecars whose connections pass through a relay, which SILENCE requires.
+_RELAYED_SIDECARS = ("0", "1")
 _KILLS = (
     [(FaultKind.KILL, f"entry-{i}") for i in range(3)]
     + [(FaultKind.KILL, f"sidecar-{i}") for i in (2, 3)]
@@ -60,7 +66,7 @@
     + [(FaultKind.PAUSE, f"entry-{i}") for i in range(3)]
     + [(FaultKind.PAUSE, f"sidecar-{i}") for i in range(4)]
     + [(FaultKind.PAUSE, f"engine-{i}") for i in (0, 3)]
-    + [(FaultKind.SILENCE, f"sidecar-{i}") for i in _RELAYED] * 2
+    + [(FaultKind.SILENCE, f"sidecar-{i}") for i in _RELAYED_SIDECARS] * 2
     + [(FaultKind.REPLACE, f"entry-{i}") for i in range(3)]
     + [(FaultKind.REPLACE, f"sidecar-{i}") for i in (2, 3)]
     + [(kind, "log") for kind in list(FaultKind)[4:]] * 2
@@ -75,17 +81,17 @@
         duration_s: Duration of the traffic.
     """
     rng = random.Random(seed)
-    at_s = QUIET_START_S
+    at_s = FAULT_FREE_START_S
     faults = []
-    while at_s < duration_s - QUIET_END_S:
-        count = 2 if rng.random() < TOGETHER_SHARE else 1
+    while at_s < duration_s - FAULT_FREE_END_S:
+        count = 2 if rng.random() < PAIR_PROBABILITY else 1
         for kind, name in rng.sample(_TARGETS, count):
-            faults.append(Fault(at_s, kind, name, _get_length_s(rng, kind)))
-        at_s += rng.uniform(MIN_GAP_S, MAX_GAP_S)
+            faults.append(Fault(at_s, kind, name, _draw_duration_s(rng, kind)))
+        at_s += rng.uniform(MIN_INTERVAL_S, MAX_INTERVAL_S)
     return faults
 
 
-def _get_length_s(rng: random.Random, kind: FaultKind) -> float:
+def _draw_duration_s(rng: random.Random, kind: FaultKind) -> float:
     if kind in (FaultKind.KILL, FaultKind.REPLACE):
-        return rng.uniform(MIN_AWAY_S, MAX_AWAY_S)
+        return rng.uniform(MIN_DOWNTIME_S, MAX_DOWNTIME_S)
     return rng.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
--- a/lab/faults.py
+++ b/lab/faults.py
@@ -30,29 +30,32 @@
             msgspec.ValidationError: A value has the wrong type; nothing was
                 changed.
         """
-        fresh = type(self)()
+        defaults = type(self)()
         fields = {f.name: f for f in msgspec.structs.fields(type(self))}
-        checked: dict[str, Any] = {}
+        validated: dict[str, Any] = {}
         for name, value in changes.items():
             if name not in fields:
                 raise UnknownFaultError(name)
             if value is None:
-                checked[name] = getattr(fresh, name)
+                validated[name] = getattr(defaults, name)
             else:
-                checked[name] = msgspec.convert(value, fields[name].type)
-        for name, value in checked.items():
+                validated[name] = msgspec.convert(value, fields[name].type)
+        for name, value in validated.items():
             setattr(self, name, value)
 
 
-def error(status: int, code: str, **more: Any) -> web.Response:
+def error(status: int, code: str, **extra_fields: Any) -> web.Response:
     """Creates the JSON error response that all stand-ins use.
 
     Args:
         status: HTTP status.
         code: Error code; also used as the message and the type.
-        **more: Further fields of the JSON object.
+        **extra_fields: Further fields of the JSON object.
     """
-    body = {"error": {"code": code, "message": code, "type": code}, **more}
+    body = {
+        "error": {"code": code, "message": code, "type": code},
+        **extra_fields,
+    }
     return web.json_response(body, status=status)
 
 
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -39,8 +39,11 @@
 from lovagestage.types import ChangeId
 
 READY_TIMEOUT_S = 30.0
+"""Time limit in seconds until a process answers its health check."""
 STOP_TIMEOUT_S = 20.0
+"""Time limit in seconds until a stopped or killed process has ended."""
 POLL_S = 0.05
+"""Interval in seconds between two health checks of a starting process."""
 
 
 @dataclasses.dataclass
@@ -204,26 +207,29 @@
             index: Number of the sidecar; the sidecars of engines come first,
                 followed by those of plain services.
         """
-        plain = index - self.shape.engines
-        if plain < 0:
+        plain_index = index - self.shape.engines
+        if plain_index < 0:
             upstream = self.children[f"engine-{index}"]
-            role = {"upstream_url": upstream.url}
+            role_settings = {"upstream_url": upstream.url}
         else:
-            upstream = self.children[f"plain-{plain}"]
-            role = {"upstream_url": upstream.url, "pool": self.shape.pool}
-        return self._start_daemon("sidecar", index, {"sidecar": role})
+            upstream = self.children[f"plain-{plain_index}"]
+            role_settings = {
+                "upstream_url": upstream.url,
+                "pool": self.shape.pool,
+            }
+        return self._start_daemon("sidecar", index, {"sidecar": role_settings})
 
     def start_entry(self, index: int) -> Child:
         """Starts an entry on a free port."""
         port = get_free_port()
-        role = {
+        role_settings = {
             "entry": {
                 "http_host": HOST,
                 "http_port": port,
                 **self.entry_options,
             }
         }
-        child = self._start_daemon("entry", index, role)
+        child = self._start_daemon("entry", index, role_settings)
         child.port = port
         return child
 
@@ -301,7 +307,7 @@
         """
         child = self.children.pop(name)
         child.process.terminate()
-        self._forget_vm(child)
+        self._deregister_vm(child)
         return child.process.wait(STOP_TIMEOUT_S)
 
     def kill(self, name: str) -> None:
@@ -383,7 +389,9 @@
             if child.port == 0 and child.process.stdout is not None:
                 line = child.process.stdout.readline()
                 if not line.startswith("ready port="):
-                    raise FleetError(f"{child.name} said {line!r}.")
+                    raise FleetError(
+                        f"{child.name} printed {line!r}, not its port."
+                    )
                 child.port = int(line.split()[1].partition("=")[2])
 
     def _start_daemon(
@@ -417,7 +425,7 @@
         entry = {"vm": name, "role": "sidecar", "zone": zone, "bus": bus}
         self.tell_vm(name, {**entry, "state": "live"})
 
-    def _forget_vm(self, child: Child) -> None:
+    def _deregister_vm(self, child: Child) -> None:
         if child.bus:
             call("DELETE", f"{self.children['vms'].url}/v1/vms/{child.name}")
 
--- a/lab/fleet_settings.py
+++ b/lab/fleet_settings.py
@@ -15,6 +15,7 @@
 from lovagestage.settings import BusSettings
 
 OPERATOR = "lab"
+"""Name of the operator that signs the fleet's service documents."""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/lab/history.py
+++ b/lab/history.py
@@ -17,6 +17,7 @@
 from lab.fleet import Child, Fleet
 
 TIMEOUT_S = 30.0
+"""Time limit in seconds of each socket operation of a request."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -63,7 +64,7 @@
     def __init__(self, fleet: Fleet) -> None:
         self.sent: list[Sent] = []
         self._fleet = fleet
-        self._before = get_runs(fleet)
+        self._initial_runs = get_runs(fleet)
         self._threads: list[threading.Thread] = []
 
     def send(
@@ -91,10 +92,12 @@
         self.sent.append(sent)
         return sent
 
-    def start(self, entry: Child, key: str, prompt: str, **more: int) -> None:
+    def start(
+        self, entry: Child, key: str, prompt: str, **options: int
+    ) -> None:
         """Sends one request in a thread without waiting for its end."""
         thread = threading.Thread(
-            target=self.send, args=(entry, key, prompt), kwargs=more
+            target=self.send, args=(entry, key, prompt), kwargs=options
         )
         thread.start()
         self._threads.append(thread)
@@ -107,11 +110,11 @@
 
     def get_new_runs(self) -> int:
         """Returns the number of engine runs since this history was created."""
-        return sum((get_runs(self._fleet) - self._before).values())
+        return sum((get_runs(self._fleet) - self._initial_runs).values())
 
     def get_running_engine(self) -> str:
         """Returns the name of an engine that ran one of the requests."""
-        name = next(iter(get_runs(self._fleet) - self._before))
+        name = next(iter(get_runs(self._fleet) - self._initial_runs))
         return name.partition("/")[0]
 
     def find_faults(self) -> list[str]:
@@ -120,22 +123,24 @@
         All requests of one history must be of a class that may not be
         retried: each key accounts for at most one run.
         """
-        faults = []
+        violations = []
         by_key: dict[str, list[Sent]] = defaultdict(list)
         for sent in self.sent:
             by_key[sent.key].append(sent)
         runs = self.get_new_runs()
         if runs > len(by_key):
-            faults.append(f"{len(by_key)} keys ran {runs} times")
-        proved = 0
+            violations.append(f"{len(by_key)} keys ran {runs} times")
+        reported_runs = 0
         for key, group in by_key.items():
-            faults += _check_key(key, group)
-            proved += any(_has_run(sent) for sent in group)
-        if runs < proved:
-            faults.append(f"{proved} keys are said to have run, {runs} did")
+            violations += _check_key(key, group)
+            reported_runs += any(_is_reported_as_run(sent) for sent in group)
+        if runs < reported_runs:
+            violations.append(
+                f"{reported_runs} keys are reported as run, {runs} ran"
+            )
         if all(s.run == "not_run" for s in self.sent) and runs:
-            faults.append(f"all were refused as not run, {runs} ran")
-        return faults
+            violations.append(f"all were refused as not run, {runs} ran")
+        return violations
 
 
 def get_runs(fleet: Fleet) -> Counter[str]:
@@ -147,27 +152,27 @@
     return runs
 
 
-def _has_run(sent: Sent) -> bool:
+def _is_reported_as_run(sent: Sent) -> bool:
     return sent.status == 200 or sent.run == "ran"
 
 
 def _check_key(key: str, group: list[Sent]) -> list[str]:
-    faults = []
+    violations = []
     answers = {sent.body for sent in group if sent.status == 200}
     if len(answers) > 1:
-        faults.append(f"{key}: {len(answers)} different answers")
+        violations.append(f"{key}: {len(answers)} different answers")
     billed = {sent.request_id for sent in group if sent.status == 200}
     if len(billed) > 1:
-        faults.append(f"{key}: billed under {len(billed)} request ids")
+        violations.append(f"{key}: billed under {len(billed)} request ids")
     for refused in group:
         earlier = [
             sent
             for sent in group
-            if _has_run(sent) and sent.ended_s < refused.sent_s
+            if _is_reported_as_run(sent) and sent.ended_s < refused.sent_s
         ]
         if refused.run == "not_run" and earlier:
-            faults.append(f"{key}: 'not run' is said after it has run")
-    return faults
+            violations.append(f"{key}: refused as 'not run' after it has run")
+    return violations
 
 
 def _post(
--- a/lab/load.py
+++ b/lab/load.py
@@ -20,8 +20,11 @@
 from hdrh.histogram import HdrHistogram
 
 HISTOGRAM_MAX_US = 600_000_000
+"""Largest latency in microseconds that a histogram can record."""
 HISTOGRAM_DIGITS = 3
+"""Number of significant digits of recorded latencies."""
 PROGRESS_S = 1.0
+"""Interval in seconds between two progress lines."""
 PERCENTILES = (50.0, 95.0, 99.0, 99.9)
 
 
--- a/lab/log.py
+++ b/lab/log.py
@@ -15,7 +15,9 @@
 from lab.server import add_server_arguments, hang, make_app, run_app
 
 MAX_WAIT_MS = 30_000.0
+"""Longest time in milliseconds that a read may wait for a record."""
 DEFAULT_LIMIT = 1000
+"""Number of records returned by a read without a limit."""
 MAX_LIMIT = 10_000
 
 
@@ -106,13 +108,13 @@
             "lost": self._lost,
         }
 
-    def _stream(self, request: web.Request) -> Stream:
+    def _get_stream(self, request: web.Request) -> Stream:
         name = request.match_info["stream"]
         if name not in self._streams:
             self._streams[name] = Stream(self._retain_records)
         return self._streams[name]
 
-    async def _refusal(self, request: web.Request) -> web.Response | None:
+    async def _check_faults(self, request: web.Request) -> web.Response | None:
         if self.faults.stall:
             await hang(request)
         if self.faults.outage or self.faults.stall:
@@ -121,14 +123,14 @@
 
     async def _handle_append(self, request: web.Request) -> web.Response:
         data = await request.read()
-        refusal = await self._refusal(request)
+        refusal = await self._check_faults(request)
         if refusal is not None:
             return refusal
-        if not self._bucket.take():
+        if not self._bucket.try_acquire():
             self._rejected += 1
-            wait_ms = self._bucket.wait_s() * 1000
+            wait_ms = self._bucket.get_wait_s() * 1000
             return error(429, "append_rate", retry_after_ms=wait_ms)
-        offset = self._stream(request).append(data)
+        offset = self._get_stream(request).append(data)
         name = request.match_info["stream"]
         self._appends[name] = self._appends.get(name, 0) + 1
         lost = self.faults.lose_answer > 0
@@ -141,7 +143,7 @@
         return web.json_response({"offset": offset})
 
     async def _handle_read(self, request: web.Request) -> web.Response:
-        refusal = await self._refusal(request)
+        refusal = await self._check_faults(request)
         if refusal is not None:
             return refusal
         try:
@@ -152,16 +154,16 @@
             return error(400, "wrong_query")
         if start < 0 or limit < 1 or not 0 <= wait_ms <= MAX_WAIT_MS:
             return error(400, "wrong_query")
-        stream = self._stream(request)
+        stream = self._get_stream(request)
         await stream.wait_for(start, wait_ms / 1000)
         await asyncio.sleep(self.faults.slow_ms / 1000)
-        refusal = await self._refusal(request)
+        refusal = await self._check_faults(request)
         if refusal is not None:
             return refusal
-        return _read_answer(stream, start, min(limit, MAX_LIMIT))
+        return _make_read_response(stream, start, min(limit, MAX_LIMIT))
 
 
-def _read_answer(stream: Stream, start: int, limit: int) -> web.Response:
+def _make_read_response(stream: Stream, start: int, limit: int) -> web.Response:
     first_offset = stream.first_offset
     if start < first_offset:
         return error(410, "below_horizon", first_offset=first_offset)
--- a/lab/metadata_store.py
+++ b/lab/metadata_store.py
@@ -16,10 +16,13 @@
 _LENGTH = struct.Struct(">I")
 _READ_HEAD = struct.Struct(">QQ")
 PAGE_RECORDS = 50
+"""Maximum number of keys in a page of newest values."""
 STALL_BYTES = 64
+"""Number of body bytes that are sent before a stall."""
 SLICE_S = 0.02
 """Rate-limited bodies are sent in slices, one per this time in seconds."""
 MAX_WAIT_S = 30.0
+"""Longest time in seconds that a read waits for a record."""
 OPERATOR_ONLY = ("keyed.op", "keyed.servers")
 
 
@@ -72,7 +75,7 @@
         offset = self.end
         for data in records:
             if self.is_keyed:
-                self._note_newest(data)
+                self._update_newest(data)
             self._records.append(data)
         self._appended.set()
         self._appended = asyncio.Event()
@@ -94,7 +97,7 @@
                 while self.end <= offset:
                     await self._appended.wait()
 
-    def _note_newest(self, data: bytes) -> None:
+    def _update_newest(self, data: bytes) -> None:
         end = 1 + data[0]
         key, value = data[1:end].decode(), data[end:]
         if value:
@@ -143,11 +146,11 @@
         name = request.query["Topic"]
         if name in OPERATOR_ONLY:
             return web.json_response({}, status=403)
-        failure = await self._fail(request)
+        failure = await self._apply_faults(request)
         if failure is not None:
             return failure
         topic = self.get_topic(name)
-        records = _split(await request.read())
+        records = _decode_records(await request.read())
         if "At" in request.query and int(request.query["At"]) != topic.end:
             return web.json_response({"EndOffset": topic.end}, status=412)
         refusal = self._check_producer(topic, request, len(records))
@@ -156,7 +159,7 @@
         offset = topic.append(records)
         if self.faults.lose_appends:
             self.faults.lose_appends -= 1
-            await self._reset(request)
+            await self._reset_connection(request)
         return web.json_response({"Offset": offset, "EndOffset": topic.end})
 
     def _check_producer(
@@ -167,10 +170,10 @@
             return None
         epoch = int(request.query["epoch"])
         sequence = int(request.query["Sequence"])
-        known_epoch, known = topic.producers.get(producer, (-1, -1))
+        known_epoch, known_sequence = topic.producers.get(producer, (-1, -1))
         if epoch < known_epoch:
             return web.json_response({"Reason": "fenced"}, status=409)
-        if epoch == known_epoch and sequence != known + 1:
+        if epoch == known_epoch and sequence != known_sequence + 1:
             return web.json_response({"Reason": "seq"}, status=409)
         if count:
             topic.producers[producer] = (epoch, sequence)
@@ -178,7 +181,7 @@
 
     async def _handle_read(self, request: web.Request) -> web.StreamResponse:
         self.calls.append("read")
-        failure = await self._fail(request)
+        failure = await self._apply_faults(request)
         if failure is not None:
             return failure
         topic = self.get_topic(request.query["Topic"])
@@ -207,8 +210,8 @@
         position = 0
         while position < min(len(body), limit_bytes):
             size = limit_bytes - position
-            if pace := self.faults.bytes_per_s:
-                size = min(size, int(pace * SLICE_S))
+            if rate := self.faults.bytes_per_s:
+                size = min(size, int(rate * SLICE_S))
                 await asyncio.sleep(SLICE_S)
             if self.faults.stall:
                 size = min(size, STALL_BYTES)
@@ -217,12 +220,12 @@
             if self.faults.stall and position < len(body):
                 await hang(request)
         if position < len(body):
-            await self._reset(request)
+            await self._reset_connection(request)
         return response
 
     async def _handle_newest(self, request: web.Request) -> web.StreamResponse:
         self.calls.append("newest")
-        failure = await self._fail(request)
+        failure = await self._apply_faults(request)
         if failure is not None:
             return failure
         topic = self.get_topic(request.query["Topic"])
@@ -243,25 +246,25 @@
         }
         return await self._send_body(request, json.dumps(page).encode())
 
-    async def _fail(self, request: web.Request) -> web.Response | None:
+    async def _apply_faults(self, request: web.Request) -> web.Response | None:
         if self.faults.slow_ms:
             await asyncio.sleep(self.faults.slow_ms / 1000)
         outage = self.faults.outage
         if outage == "silent":
             await hang(request)
         if outage == "reset":
-            await self._reset(request)
+            await self._reset_connection(request)
         if outage:
             status = int(outage) if outage.isdigit() else 503
             return web.json_response({}, status=status)
         return None
 
-    async def _reset(self, request: web.Request) -> None:
+    async def _reset_connection(self, request: web.Request) -> None:
         if request.transport is not None:
             request.transport.abort()
 
 
-def _split(body: bytes) -> list[bytes]:
+def _decode_records(body: bytes) -> list[bytes]:
     records = []
     position = 0
     while position < len(body):
--- a/lab/models.py
+++ b/lab/models.py
@@ -14,7 +14,9 @@
 from lab.faults import error
 
 ADAPTER_LOAD_RATIO = 0.1
+"""Load time of an adapter, as a share of the load time of its base version."""
 HEADER_TIMEOUT_S = 5.0
+"""Time limit in seconds until the weight store sends response headers."""
 
 
 class Order(msgspec.Struct, kw_only=True):
@@ -67,7 +69,7 @@
         weights_url: str | None,
         load_ms: float,
         checks_fencing: bool,
-        hangs: Callable[[], bool],
+        is_load_hung: Callable[[], bool],
     ) -> None:
         self.loaded = set(loaded)
         self.orders: list[dict[str, Any]] = []
@@ -75,7 +77,7 @@
         self._weights_url = weights_url
         self._load_ms = load_ms
         self._checks_fencing = checks_fencing
-        self._hangs = hangs
+        self._is_load_hung = is_load_hung
         self._loading: dict[str, asyncio.Task[None]] = {}
         self._fencing: dict[str, int] = {}
         self._session: aiohttp.ClientSession | None = None
@@ -95,7 +97,7 @@
         ]
         return {"object": "list", "data": data}
 
-    async def obey(self, order: Order) -> web.Response:
+    async def execute(self, order: Order) -> web.Response:
         """Executes an order, records its outcome and returns the response.
 
         An order with a fencing number below the highest of its model is
@@ -103,40 +105,40 @@
         """
         key = order.model or ""
         highest = self._fencing.get(key, order.fencing)
-        stale = order.fencing < highest
+        is_stale = order.fencing < highest
         self._fencing[key] = max(highest, order.fencing)
-        if stale and self._checks_fencing:
+        if is_stale and self._checks_fencing:
             answer = error(409, "stale_fencing", highest=highest)
         else:
-            answer = await self._carry_out(order)
+            answer = await self._apply_order(order)
         record = msgspec.structs.asdict(order)
-        record |= {"stale": stale, "status": answer.status}
+        record |= {"stale": is_stale, "status": answer.status}
         self.orders.append(record)
         return answer
 
-    async def _carry_out(self, order: Order) -> web.Response:
+    async def _apply_order(self, order: Order) -> web.Response:
         if order.kind == "role":
-            return self._take_role(order)
+            return self._change_role(order)
         if not order.model or not order.version:
             return error(400, "wrong_order")
         if order.kind == "unload":
             return self._unload(order)
         return await self._load(order)
 
-    def _take_role(self, order: Order) -> web.Response:
+    def _change_role(self, order: Order) -> web.Response:
         if order.role not in ROLE_FACTORS:
             return error(400, "wrong_order")
         self._batch.role = order.role
         return _accepted("done")
 
     def _unload(self, order: Order) -> web.Response:
-        gone = {order.model_id}
+        removed = {order.model_id}
         if not order.adapter:
             adapters = f"{order.base_id}+"
             names = [*self.loaded, *self._loading]
-            gone |= {name for name in names if name.startswith(adapters)}
-        self.loaded -= gone
-        for name in gone:
+            removed |= {name for name in names if name.startswith(adapters)}
+        self.loaded -= removed
+        for name in removed:
             task = self._loading.pop(name, None)
             if task is not None:
                 task.cancel()
@@ -155,18 +157,20 @@
         if order.adapter:
             load_ms *= ADAPTER_LOAD_RATIO
         try:
-            transfer = await self._fetch(order)
+            transfer = await self._start_transfer(order)
         except WeightsThrottledError as throttled:
             answer = error(503, "weights_throttled")
             answer.headers["Retry-After"] = throttled.retry_after
             return answer
         except (aiohttp.ClientError, TimeoutError):
             return error(503, "weights_unavailable")
-        task = asyncio.create_task(self._finish(name, transfer, load_ms))
+        task = asyncio.create_task(self._finish_load(name, transfer, load_ms))
         self._loading[name] = task
         return _accepted("loading")
 
-    async def _fetch(self, order: Order) -> aiohttp.ClientResponse | None:
+    async def _start_transfer(
+        self, order: Order
+    ) -> aiohttp.ClientResponse | None:
         """Starts a weight transfer; a refusal arrives with the headers.
 
         Raises:
@@ -190,7 +194,7 @@
         response.raise_for_status()
         return response
 
-    async def _finish(
+    async def _finish_load(
         self,
         name: str,
         transfer: aiohttp.ClientResponse | None,
@@ -200,7 +204,7 @@
             if transfer is not None:
                 await transfer.read()
             await asyncio.sleep(load_ms / 1000)
-            if self._hangs():
+            if self._is_load_hung():
                 await asyncio.Event().wait()
             self.loaded.add(name)
         except aiohttp.ClientError:
--- a/lab/naive_proxy.py
+++ b/lab/naive_proxy.py
@@ -39,11 +39,16 @@
 )
 from lovagestage.types import Offset, RequestId, ServiceId, WorkspaceId
 
-TRIES = 3
+MAX_ATTEMPTS = 3
+"""Maximum number of attempts of a request."""
 TIMEOUT_S = 30.0
-POLL_S = 2.0
-FLUSH_S = 4.0
+"""Time limit in seconds of one attempt."""
+POLL_INTERVAL_S = 2.0
+"""Interval in seconds between two reads of the control stream."""
+FLUSH_INTERVAL_S = 4.0
+"""Interval in seconds between two appends of bills."""
 READ_LIMIT = 500
+"""Maximum number of records per read of the control stream."""
 CLASS_MODELS = {"policy-draft": "large@1"}
 DEFAULT_MODEL = "small@1"
 
@@ -93,7 +98,7 @@
         if body["model"] in self._withdrawn:
             return error(403, "version_withdrawn")
         request_id = secrets.token_hex(16)
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                 return await self._forward(request, body, request_id)
         return error(503, "no_capacity", run="not_run")
@@ -113,29 +118,31 @@
             url, json=body, headers=headers
         ) as answer:
             answer.raise_for_status()
-            sent = {
+            response_headers = {
                 "X-Request-Id": request_id,
                 "X-Model-Version": body["model"],
             }
             if not body.get("stream"):
                 data = await answer.read()
-                self._bill(request_id, body["model"])
+                self._record_bill(request_id, body["model"])
                 return web.Response(
-                    body=data, headers=sent, content_type="application/json"
+                    body=data,
+                    headers=response_headers,
+                    content_type="application/json",
                 )
-            response = web.StreamResponse(headers=sent)
+            response = web.StreamResponse(headers=response_headers)
             response.content_type = "text/event-stream"
             await response.prepare(request)
             try:
-                async for part in answer.content.iter_any():
-                    await response.write(part)
+                async for chunk in answer.content.iter_any():
+                    await response.write(chunk)
             except (aiohttp.ClientError, TimeoutError):
                 return response
-            self._bill(request_id, body["model"])
+            self._record_bill(request_id, body["model"])
             await response.write_eof()
             return response
 
-    def _bill(self, request_id: str, model: str) -> None:
+    def _record_bill(self, request_id: str, model: str) -> None:
         bill = Bill(
             RequestId(request_id),
             WorkspaceId("audit"),
@@ -149,7 +156,7 @@
 
     async def _append_bills(self) -> None:
         while True:
-            await asyncio.sleep(FLUSH_S)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             bills, self._bills = self._bills, []
             if bills:
                 batch = Batch(len(bills), bills)
@@ -163,12 +170,12 @@
                 page = await self._log.read(
                     CONTROL_STREAM, offset, READ_LIMIT, 0.0
                 )
-                for at, data in page.records:
-                    self._apply(data)
-                    offset = Offset(at + 1)
-            await asyncio.sleep(POLL_S)
+                for record_offset, data in page.records:
+                    self._apply_record(data)
+                    offset = Offset(record_offset + 1)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _apply(self, data: bytes) -> None:
+    def _apply_record(self, data: bytes) -> None:
         with contextlib.suppress(CodecError):
             record = decode_record(data)
             if isinstance(record, DocumentChange):
--- a/lab/plain.py
+++ b/lab/plain.py
@@ -67,7 +67,7 @@
             return error(503, "stall")
         if self.faults.outage:
             return error(503, "outage")
-        self._count(request)
+        self._count_run(request)
         if self.faults.drop_after_run > 0:
             self.faults.drop_after_run -= 1
             self._dropped += 1
@@ -88,7 +88,7 @@
         response.set_cookie("b", "2")
         return response
 
-    def _count(self, request: web.Request) -> None:
+    def _count_run(self, request: web.Request) -> None:
         self._by_path[request.path] += 1
         request_id = request.headers.get("X-Request-Id")
         if request_id is not None:
--- a/lab/ports.py
+++ b/lab/ports.py
@@ -61,11 +61,11 @@
 
 @functools.cache
 def _get_ports() -> Iterator[int]:
-    first = LISTENER_PORTS[claim_part() * PORTS_PER_PROCESS]
+    first = LISTENER_PORTS[claim_share() * PORTS_PER_PROCESS]
     return itertools.cycle(range(first, first + PORTS_PER_PROCESS))
 
 
-def claim_part() -> int:
+def claim_share() -> int:
     """Claims a share of the ports for this process until the process ends.
 
     If two launchers used the same ports, one could start a process on a port
@@ -81,8 +81,8 @@
     """
     folder = pathlib.Path(tempfile.gettempdir()) / "lovagestage-ports"
     folder.mkdir(exist_ok=True)
-    for part in range(len(LISTENER_PORTS) // PORTS_PER_PROCESS):
-        descriptor = os.open(folder / f"{part}.lock", os.O_RDWR | os.O_CREAT)
+    for share in range(len(LISTENER_PORTS) // PORTS_PER_PROCESS):
+        descriptor = os.open(folder / f"{share}.lock", os.O_RDWR | os.O_CREAT)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -90,5 +90,5 @@
             continue
         # The descriptor is never closed, so the process holds the lock until
         # it ends.
-        return part
+        return share
     raise NoPortError("Other launchers have claimed all ports.")
--- a/lab/prefix_cache.py
+++ b/lab/prefix_cache.py
@@ -9,11 +9,14 @@
 from lab.answers import CHARS_PER_TOKEN, prefix_hash
 
 MAX_EVENTS = 10_000
-MAX_KEPT_CHARS = 65_536
-GAP_CYCLE = 100
+"""Number of retained events."""
+MAX_CACHED_CHARS = 65_536
+"""Number of characters of a prompt that are cached."""
+OMISSION_CYCLE = 100
+"""Number of successive events of which a fixed share is omitted."""
 
 
-def common_length(left: str, right: str) -> int:
+def get_common_length(left: str, right: str) -> int:
     """Returns the length of the longest common prefix, by binary search."""
     low, high = 0, min(len(left), len(right))
     while low < high:
@@ -56,42 +59,47 @@
     def use(self, model: str, prompt: str) -> int:
         """Stores a prompt and returns how many of its tokens were cached."""
         name = prefix_hash(model, prompt)
-        known = self._prompts.get(name)
+        cached = self._prompts.get(name)
         self.store(name, prompt)
-        if known is None:
+        if cached is None:
             self.misses += 1
             return 0
         self.hits += 1
-        return common_length(known, prompt[:MAX_KEPT_CHARS]) // CHARS_PER_TOKEN
+        return (
+            get_common_length(cached, prompt[:MAX_CACHED_CHARS])
+            // CHARS_PER_TOKEN
+        )
 
     def store(self, name: str, prompt: str) -> None:
         """Stores a prompt and evicts the least recently used when full."""
         if name not in self._prompts:
-            self._tell("stored", name)
-        self._prompts[name] = prompt[:MAX_KEPT_CHARS]
+            self._record_event("stored", name)
+        self._prompts[name] = prompt[:MAX_CACHED_CHARS]
         self._prompts.move_to_end(name)
         while len(self._prompts) > self._capacity:
             evicted, _ = self._prompts.popitem(last=False)
-            self._tell("evicted", evicted)
+            self._record_event("evicted", evicted)
 
     def events(self, start: int) -> dict[str, Any]:
         """Returns the events from number `start` whose delay has passed."""
         limit_s = time.monotonic() - self._lag_ms / 1000
         due = [event for at_s, event in self._events if at_s <= limit_s]
-        told = [event for event in due if event["seq"] >= start]
+        requested = [event for event in due if event["seq"] >= start]
         end = due[-1]["seq"] + 1 if due else 0
         return {
             "next": max(start, end),
-            "events": [event for event in told if not self._is_gap(event)],
+            "events": [
+                event for event in requested if not self._is_omitted(event)
+            ],
         }
 
-    def _is_gap(self, event: dict[str, Any]) -> bool:
+    def _is_omitted(self, event: dict[str, Any]) -> bool:
         # The last events of each cycle are omitted, so every run omits events
         # with the same numbers.
-        place: int = event["seq"] % GAP_CYCLE
-        return place >= GAP_CYCLE * (1 - self._gap_ratio)
+        position: int = event["seq"] % OMISSION_CYCLE
+        return position >= OMISSION_CYCLE * (1 - self._gap_ratio)
 
-    def _tell(self, kind: str, name: str) -> None:
+    def _record_event(self, kind: str, name: str) -> None:
         event = {"seq": self._next_seq, "kind": kind, "prefix_hash": name}
         self._next_seq += 1
         self._events.append((time.monotonic(), event))
--- a/lab/rater.py
+++ b/lab/rater.py
@@ -17,8 +17,11 @@
 from lab.server import add_server_arguments, hang, make_app, run_app
 
 DEFAULT_QUALITY = 0.8
+"""Mean score of versions without a configured quality."""
 MAX_SPREAD = 0.2
+"""Largest deviation of a score from its version's mean score."""
 MAX_ANSWERED = 1000
+"""Maximum number of ratings in one response."""
 
 
 class RaterFaults(Faults):
@@ -47,13 +50,13 @@
     answer: str
 
 
-def unit_hash(salt: str, text: str) -> float:
+def hash_to_unit(salt: str, text: str) -> float:
     """Hashes a salt and a text to a number from 0 to 1, without 1 itself."""
     digest = hashlib.blake2b(f"{salt}\n{text}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2.0**64
 
 
-def score(request_id: str, mean: float, answer: str) -> float:
+def compute_score(request_id: str, mean: float, answer: str) -> float:
     """Returns the deterministic score of an answer.
 
     An empty answer or one with garbage tokens scores 0.
@@ -66,7 +69,7 @@
     if not answer or GARBAGE_TOKEN in answer:
         return 0.0
     spread = min(MAX_SPREAD, mean, 1 - mean)
-    return mean + (2 * unit_hash("score", request_id) - 1) * spread
+    return mean + (2 * hash_to_unit("score", request_id) - 1) * spread
 
 
 class Rater:
@@ -97,10 +100,10 @@
 
     def mean(self, name: str) -> float:
         """Returns the current mean score of a version `NAME@VERSION`."""
-        known = self._quality.get(name, DEFAULT_QUALITY)
-        return self.faults.quality.get(name, known)
+        configured = self._quality.get(name, DEFAULT_QUALITY)
+        return self.faults.quality.get(name, configured)
 
-    async def _refusal(self, request: web.Request) -> web.Response | None:
+    async def _check_faults(self, request: web.Request) -> web.Response | None:
         if self.faults.stall:
             await hang(request)
         if self.faults.outage or self.faults.stall:
@@ -108,34 +111,36 @@
         return None
 
     async def _handle_post(self, request: web.Request) -> web.Response:
-        refusal = await self._refusal(request)
+        refusal = await self._check_faults(request)
         if refusal is not None:
             return refusal
         try:
-            asked = msgspec.json.decode(
+            rating_request = msgspec.json.decode(
                 await request.read(), type=RatingRequest
             )
         except (msgspec.DecodeError, msgspec.ValidationError) as wrong:
             return error(400, "wrong_rating", detail=str(wrong))
-        self._received[f"{asked.model}@{asked.version}"] += 1
+        self._received[f"{rating_request.model}@{rating_request.version}"] += 1
         ratio = self.faults.sample_ratio
         if ratio is None:
             ratio = self._sample_ratio
-        if unit_hash("sample", asked.request_id) < ratio:
-            self._rate(asked)
+        if hash_to_unit("sample", rating_request.request_id) < ratio:
+            self._rate(rating_request)
         return web.json_response({}, status=202)
 
-    def _rate(self, asked: RatingRequest) -> None:
+    def _rate(self, rating_request: RatingRequest) -> None:
         delay_s = self.faults.delay_s
         if delay_s is None:
             delay_s = self._delay_s
-        mean = self.mean(f"{asked.model}@{asked.version}")
+        mean = self.mean(f"{rating_request.model}@{rating_request.version}")
         rating = {
-            "request_id": asked.request_id,
-            "model": asked.model,
-            "version": asked.version,
-            "class": asked.request_class,
-            "score": score(asked.request_id, mean, asked.answer),
+            "request_id": rating_request.request_id,
+            "model": rating_request.model,
+            "version": rating_request.version,
+            "class": rating_request.request_class,
+            "score": compute_score(
+                rating_request.request_id, mean, rating_request.answer
+            ),
         }
         due_s = time.monotonic() + delay_s
         heapq.heappush(self._pending, (due_s, self._sampled, rating))
@@ -148,7 +153,7 @@
             self._ratings.append({"seq": len(self._ratings), **rating})
 
     async def _handle_list(self, request: web.Request) -> web.Response:
-        refusal = await self._refusal(request)
+        refusal = await self._check_faults(request)
         if refusal is not None:
             return refusal
         start_text = request.query.get("from", "0")
--- a/lab/relay.py
+++ b/lab/relay.py
@@ -25,7 +25,7 @@
     def __init__(self, target: str) -> None:
         self._host, _, port = target.rpartition(":")
         self._target_port = int(port)
-        self._live_from = 0
+        self._first_live_number = 0
         self._accepted = 0
         self._started = threading.Event()
         self._loop = asyncio.new_event_loop()
@@ -71,11 +71,11 @@
 
     def swallow_existing(self) -> None:
         """Drops all further bytes of the connections that are open now."""
-        self._live_from = self._accepted
+        self._first_live_number = self._accepted
 
     def _serve(self) -> None:
-        start = asyncio.start_server(self._on_connection, HOST, 0)
-        server = self._loop.run_until_complete(start)
+        starting_server = asyncio.start_server(self._on_connection, HOST, 0)
+        server = self._loop.run_until_complete(starting_server)
         self._port = server.sockets[0].getsockname()[1]
         self._started.set()
         self._loop.run_forever()
@@ -87,15 +87,15 @@
         number = self._accepted
         self._accepted += 1
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 self._host, self._target_port
             )
         except OSError:
             writer.close()
             return
         await asyncio.gather(
-            self._copy(number, reader, far_writer),
-            self._copy(number, far_reader, writer),
+            self._copy(number, reader, target_writer),
+            self._copy(number, target_reader, writer),
         )
 
     async def _copy(
@@ -106,9 +106,9 @@
     ) -> None:
         try:
             while data := await reader.read(READ_BYTES):
-                if number >= self._live_from:
+                if number >= self._first_live_number:
                     writer.write(data)
         except OSError:
             pass
-        if number >= self._live_from:
+        if number >= self._first_live_number:
             writer.close()
--- a/lab/server.py
+++ b/lab/server.py
@@ -13,9 +13,13 @@
 from lab.faults import Faults, add_fault_route
 
 BACKLOG = 1024
+"""Number of connections that may wait to be accepted."""
 SHUTDOWN_TIMEOUT_S = 0.2
+"""Time in seconds that open requests get at shutdown."""
 HANG_POLL_S = 0.1
+"""Interval in seconds between two checks whether the client is connected."""
 MAX_BODY_BYTES = 16 * 1024 * 1024
+"""Largest request body in bytes that a stand-in accepts."""
 
 
 def add_server_arguments(parser: argparse.ArgumentParser) -> None:
--- a/lab/stages.py
+++ b/lab/stages.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass
-class KindTimes:
+class RouteTimes:
     """Times of the answered requests of one route, and counts of all requests.
 
     Attributes:
@@ -40,23 +40,23 @@
     requests: int = 0
 
 
-def collect(lines: Iterable[LogLine]) -> dict[str, KindTimes]:
+def collect(lines: Iterable[LogLine]) -> dict[str, RouteTimes]:
     """Collects times and counts of the requests in log lines, by route."""
-    kinds: dict[str, KindTimes] = {}
+    routes: dict[str, RouteTimes] = {}
     for line in lines:
         if line.event != EVENT:
             continue
-        kind = kinds.setdefault(line.get("route"), KindTimes())
-        kind.requests += 1
+        times = routes.setdefault(line.get("route"), RouteTimes())
+        times.requests += 1
         upstreams = line.get("upstreams")
-        kind.attempts += len(upstreams.split(",")) if upstreams else 0
+        times.attempts += len(upstreams.split(",")) if upstreams else 0
         if line.get("outcome") != "answered":
             continue
         for stage in STAGES:
             if stage in line.fields:
-                times_s = kind.times_s.setdefault(stage, [])
+                times_s = times.times_s.setdefault(stage, [])
                 times_s.append(float(line.get(stage)))
-    return kinds
+    return routes
 
 
 def get_quantile(values: list[float], quantile: float) -> float:
@@ -65,16 +65,16 @@
     return ranked[min(len(ranked) - 1, int(quantile * len(ranked)))]
 
 
-def format_table(kinds: dict[str, KindTimes]) -> str:
+def format_table(routes: dict[str, RouteTimes]) -> str:
     """Formats a table with a row for each route, most requests first."""
     rows = []
-    for route, kind in sorted(
-        kinds.items(), key=lambda item: -item[1].requests
+    for route, times in sorted(
+        routes.items(), key=lambda item: -item[1].requests
     ):
-        ratio = kind.attempts / kind.requests
-        row: list[str | int] = [route, kind.requests, f"{ratio:.2f}"]
+        ratio = times.attempts / times.requests
+        row: list[str | int] = [route, times.requests, f"{ratio:.2f}"]
         for stage in STAGES:
-            values = kind.times_s.get(stage)
+            values = times.times_s.get(stage)
             row.append(
                 " / ".join(
                     f"{1000 * get_quantile(values, q):.1f}" for q in QUANTILES
@@ -101,12 +101,12 @@
         be read.
     """
     try:
-        kinds = collect(read_logs(arguments.logs))
+        routes = collect(read_logs(arguments.logs))
     except LogFileError as error:
         print(error.message, file=sys.stderr)
         return 2
-    if not kinds:
-        print("No line tells of a request's end.", file=sys.stderr)
+    if not routes:
+        print("No log line reports the end of a request.", file=sys.stderr)
         return 1
-    print(format_table(kinds))
+    print(format_table(routes))
     return 0
--- a/lab/traffic.py
+++ b/lab/traffic.py
@@ -16,17 +16,23 @@
 from lab.answers import answer_tokens, prompt_text
 from lovagestage.decisions.sessions import HEADER_MOVED_FROM, HEADER_SESSION
 
-LEAVE_S = 3.0
+RETRY_TIMEOUT_S = 3.0
 """Time limit in seconds of a request without streaming that may be retried.
 
 The caller then closes the connection and retries at another entry.
 """
-WAIT_S = 30.0
-GIVE_UP_S = 25.0
-HEALTH_S = 0.25
+RESPONSE_TIMEOUT_S = 30.0
+"""Time limit in seconds of streams, session requests and unretryable requests."""
+MAX_RETRY_S = 25.0
+"""Time in seconds since its start after which a request is not retried."""
+HEALTH_INTERVAL_S = 0.25
+"""Interval in seconds between two health checks of each entry."""
 HEALTH_TIMEOUT_S = 1.0
+"""Time limit in seconds of a health check."""
 TURNS = 5
+"""Number of requests in a session."""
 TURN_PAUSE_S = 0.7
+"""Pause in seconds between two requests of a session."""
 
 
 class Kind(enum.Enum):
@@ -106,7 +112,7 @@
     tokens: int = 0
     is_wrong: bool = False
     is_cut: bool = False
-    has_left: bool = False
+    has_timed_out: bool = False
     retry_after_s: float | None = None
 
     @property
@@ -159,7 +165,7 @@
         self._get_urls = get_urls
         self._rng = rng
         self._healthy: set[str] = set(self.urls)
-        self._count = 0
+        self._tag_count = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self, duration_s: float, rate_per_s: float) -> None:
@@ -178,22 +184,22 @@
             while due_s < end_s:
                 await asyncio.sleep(max(0.0, due_s - time.time()))
                 (kind,) = self._rng.choices(kinds, weights)
-                self._start(self._serve(kind))
+                self._start_task(self._run_request(kind))
                 if self._rng.random() < 1.0 / rate_per_s:
-                    self._start(self._hold_session())
+                    self._start_task(self._run_session())
                 due_s += self._rng.expovariate(rate_per_s)
             await asyncio.gather(*self._tasks)
             health.cancel()
 
-    def _start(self, work: Any) -> None:
-        self._tasks.append(asyncio.create_task(work))
+    def _start_task(self, coroutine: Any) -> None:
+        self._tasks.append(asyncio.create_task(coroutine))
 
     async def _watch_health(self) -> None:
         while True:
             self.urls = self._get_urls()
             for name, url in self.urls.items():
-                self._start(self._check_health(name, url))
-            await asyncio.sleep(HEALTH_S)
+                self._start_task(self._check_health(name, url))
+            await asyncio.sleep(HEALTH_INTERVAL_S)
 
     async def _check_health(self, name: str, url: str) -> None:
         timeout = aiohttp.ClientTimeout(total=HEALTH_TIMEOUT_S)
@@ -207,24 +213,24 @@
         if self.urls.get(name) == url:
             (self._healthy.add if is_healthy else self._healthy.discard)(name)
 
-    def _choose_entry(self, last: str) -> str:
+    def _choose_entry(self, last_entry: str) -> str:
         names = sorted(self._healthy & set(self.urls)) or sorted(self.urls)
-        others = [name for name in names if name != last] or names
+        others = [name for name in names if name != last_entry] or names
         return self._rng.choice(others)
 
     def _make_tag(self) -> str:
-        self._count += 1
-        return f"r{self._count}"
+        self._tag_count += 1
+        return f"r{self._tag_count}"
 
-    async def _serve(self, kind: Kind) -> None:
+    async def _run_request(self, kind: Kind) -> None:
         started_s = time.time()
-        tag, last = self._make_tag(), ""
+        tag, last_entry = self._make_tag(), ""
         tokens = 30 if kind.is_stream else 6
         while True:
-            last = self._choose_entry(last)
-            send = await self._send(kind, tag, last, tokens)
+            last_entry = self._choose_entry(last_entry)
+            send = await self._send(kind, tag, last_entry, tokens)
             waited_s = time.time() - started_s
-            if not _may_send_again(send) or waited_s > GIVE_UP_S:
+            if not _may_retry(send) or waited_s > MAX_RETRY_S:
                 break
             if not kind.is_keyed:
                 tag = self._make_tag()
@@ -236,16 +242,18 @@
             Served(kind, started_s, took_s, send.is_answered, send.code)
         )
 
-    async def _hold_session(self) -> None:
+    async def _run_session(self) -> None:
         model = self._rng.choice(["vault", "large@1", "large@2"])
-        token, version, last = "", "", ""
+        token, version, last_entry = "", "", ""
         for _ in range(TURNS):
-            last = self._choose_entry(last)
-            send, fresh, moved = await self._send_turn(last, model, token)
+            last_entry = self._choose_entry(last_entry)
+            send, new_token, moved_from = await self._send_turn(
+                last_entry, model, token
+            )
             if send.is_answered:
-                if version and version != send.version and not moved:
+                if version and version != send.version and not moved_from:
                     self.changed_sessions += 1
-                token, version = fresh or token, send.version
+                token, version = new_token or token, send.version
             await asyncio.sleep(TURN_PAUSE_S)
 
     async def _send_turn(
@@ -253,7 +261,7 @@
     ) -> tuple[Send, str, str]:
         headers = {HEADER_SESSION: token} if token else {}
         send = Send(self._make_tag(), Kind.TURN, entry, time.time())
-        answer = await self._post(send, model, 6, headers, WAIT_S)
+        answer = await self._post(send, model, 6, headers, RESPONSE_TIMEOUT_S)
         return (
             send,
             answer.get(HEADER_SESSION, ""),
@@ -270,7 +278,11 @@
             headers["Idempotency-Key"] = f"key-{tag}"
         if kind.runs_once:
             headers["X-Request-Class"] = "policy-draft"
-        wait_s = WAIT_S if kind is Kind.ONCE or kind.is_stream else LEAVE_S
+        wait_s = (
+            RESPONSE_TIMEOUT_S
+            if kind is Kind.ONCE or kind.is_stream
+            else RETRY_TIMEOUT_S
+        )
         await self._post(send, model, tokens, headers, wait_s)
         return send
 
@@ -290,7 +302,7 @@
             "stream": send.kind.is_stream,
         }
         data = b""
-        sent: Mapping[str, str] = {}
+        response_headers: Mapping[str, str] = {}
         url = f"{self.urls[send.entry]}/v1/chat/completions"
         headers = {**headers, "Authorization": "Bearer key-audit"}
         self.sends.append(send)
@@ -300,22 +312,24 @@
                 self._http.post(url, json=body, headers=headers) as answer,
             ):
                 send.status = answer.status
-                sent = answer.headers
-                send.request_id = sent.get("X-Request-Id", "")
-                send.version = sent.get("X-Model-Version", "")
-                async for part in answer.content.iter_any():
-                    data += part
+                response_headers = answer.headers
+                send.request_id = response_headers.get("X-Request-Id", "")
+                send.version = response_headers.get("X-Model-Version", "")
+                async for chunk in answer.content.iter_any():
+                    data += chunk
         except TimeoutError:
-            send.has_left = True
+            send.has_timed_out = True
         except aiohttp.ClientError:
             send.is_cut = send.status != 0
         send.ended_s = time.time()
         text = prompt_text(messages)
-        _judge(send, data, text, tokens, sent.get("Retry-After"))
-        return sent
+        _check_answer(
+            send, data, text, tokens, response_headers.get("Retry-After")
+        )
+        return response_headers
 
 
-def _may_send_again(send: Send) -> bool:
+def _may_retry(send: Send) -> bool:
     if send.is_answered:
         return False
     if send.kind.runs_once and send.run == "ran":
@@ -327,33 +341,33 @@
     return send.retry_after_s is not None
 
 
-def _judge(
+def _check_answer(
     send: Send, data: bytes, prompt: str, tokens: int, retry_after: str | None
 ) -> None:
     send.retry_after_s = float(retry_after) if retry_after else None
     if send.status not in (0, 200):
-        if not send.is_cut and not send.has_left:
+        if not send.is_cut and not send.has_timed_out:
             error = json.loads(data)["error"]
             send.run, send.code = error.get("run", ""), error["code"]
         return
     if not data:
         return
-    wanted = answer_tokens(prompt, send.version, tokens)
+    expected = answer_tokens(prompt, send.version, tokens)
     if send.kind.is_stream:
-        _judge_stream(send, data, wanted)
-    elif not send.has_left and not send.is_cut:
+        _check_stream(send, data, expected)
+    elif not send.has_timed_out and not send.is_cut:
         message = json.loads(data)["choices"][0]["message"]
-        send.is_wrong = message["content"] != "".join(wanted)
+        send.is_wrong = message["content"] != "".join(expected)
         send.tokens = tokens
 
 
-def _judge_stream(send: Send, data: bytes, wanted: list[str]) -> None:
+def _check_stream(send: Send, data: bytes, expected: list[str]) -> None:
     text = ""
     for line in data[: data.rfind(b"\n\n") + 1].splitlines():
         if not line.startswith(b"data: "):
             continue
         if line == b"data: [DONE]":
-            send.tokens = len(wanted)
+            send.tokens = len(expected)
             continue
         event = json.loads(line[6:])
         if "error" in event:
@@ -362,6 +376,10 @@
             continue
         for choice in event["choices"]:
             text += choice["delta"].get("content", "")
-    whole = "".join(wanted)
-    send.is_wrong = text != whole if send.tokens else not whole.startswith(text)
-    send.is_cut = not send.tokens and not send.code and not send.has_left
+    expected_text = "".join(expected)
+    send.is_wrong = (
+        text != expected_text
+        if send.tokens
+        else not expected_text.startswith(text)
+    )
+    send.is_cut = not send.tokens and not send.code and not send.has_timed_out
--- a/lab/vms.py
+++ b/lab/vms.py
@@ -61,10 +61,10 @@
         """Returns the number of reads and the names of the listed VMs."""
         return {"reads": self._reads, "vms": sorted(self._vms)}
 
-    def _remember(self) -> None:
+    def _record_state(self) -> None:
         self._history.append((time.monotonic(), list(self._vms.values())))
 
-    def _seen(self) -> list[Vm]:
+    def _get_reported(self) -> list[Vm]:
         lag_s = self._lag_s if self.faults.lag_s is None else self.faults.lag_s
         limit_s = time.monotonic() - lag_s
         past = [vms for at_s, vms in self._history if at_s <= limit_s]
@@ -76,7 +76,7 @@
             await hang(request)
         if self.faults.outage or self.faults.stall:
             return error(503, "outage")
-        vms = [msgspec.structs.asdict(vm) for vm in self._seen()]
+        vms = [msgspec.structs.asdict(vm) for vm in self._get_reported()]
         return web.json_response({"vms": vms})
 
     async def _handle_put(self, request: web.Request) -> web.Response:
@@ -87,13 +87,13 @@
         if vm.vm != request.match_info["vm"]:
             return error(400, "wrong_vm", detail="the path names another VM")
         self._vms[vm.vm] = vm
-        self._remember()
+        self._record_state()
         return web.json_response(msgspec.structs.asdict(vm))
 
     async def _handle_delete(self, request: web.Request) -> web.Response:
         if self._vms.pop(request.match_info["vm"], None) is None:
             return error(404, "unknown_vm")
-        self._remember()
+        self._record_state()
         return web.json_response({})
 
 
--- a/lab/weights.py
+++ b/lab/weights.py
@@ -60,10 +60,10 @@
         body = await read_object(request)
         if self.faults.outage:
             return error(503, "outage")
-        if self.faults.throttle or not self._bucket.take():
+        if self.faults.throttle or not self._bucket.try_acquire():
             self._throttled += 1
             answer = error(429, "throttled")
-            wait_s = max(1, math.ceil(self._bucket.wait_s()))
+            wait_s = max(1, math.ceil(self._bucket.get_wait_s()))
             answer.headers["Retry-After"] = str(wait_s)
             return answer
         self._fetches[f"{body.get('model')}@{body.get('version')}"] += 1
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -10,6 +10,7 @@
 from collections.abc import Awaitable, Callable
 
 SIGNATURE = "3e1b.07.5a2.600.0.c9f2a4d1"
+"""Value of the Response-Signature header of all signed responses."""
 _CRLF = b"\r\n"
 
 
@@ -134,8 +135,8 @@
     """Reads one request; returns None at the end of the connection."""
     with contextlib.suppress(asyncio.IncompleteReadError):
         head = await reader.readuntil(b"\r\n\r\n")
-        first, *lines = head.decode().split("\r\n")
-        method, target, _ = first.split(" ")
+        request_line, *lines = head.decode().split("\r\n")
+        method, target, _ = request_line.split(" ")
         pairs = (line.partition(":") for line in lines if line)
         headers = {n.strip().lower(): v.strip() for n, _, v in pairs}
         length = int(headers.get("content-length", "0"))
@@ -146,14 +147,16 @@
 
 
 def make_head(
-    status: int, arrival: Arrival, signed: bool = True, **more: str
+    status: int, arrival: Arrival, signed: bool = True, **extra_headers: str
 ) -> bytes:
     """Encodes a response head; keyword arguments become headers, `_` as `-`."""
     lines = [f"HTTP/1.1 {status} X"]
     lines.append(f"Attempt-Id: {arrival.request_id}")
     if signed:
         lines.append(f"Response-Signature: {SIGNATURE}")
-    lines += [f"{name.replace('_', '-')}: {v}" for name, v in more.items()]
+    lines += [
+        f"{name.replace('_', '-')}: {v}" for name, v in extra_headers.items()
+    ]
     return "\r\n".join(lines).encode() + _CRLF + _CRLF
 
 
@@ -163,11 +166,13 @@
     arrival: Arrival,
     body: bytes,
     signed: bool = True,
-    **more: str,
+    **extra_headers: str,
 ) -> None:
     """Sends a complete response with a Content-Length."""
     length = str(len(body))
-    head = make_head(status, arrival, signed, Content_Length=length, **more)
+    head = make_head(
+        status, arrival, signed, Content_Length=length, **extra_headers
+    )
     writer.write(head + body)
     await writer.drain()
 
@@ -230,11 +235,11 @@
     async def run(arrival: Arrival, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(first_s)
         model = arrival.headers.get("model-name", "")
-        more = {"Content_Type": "text/event-stream"}
+        extra_headers = {"Content_Type": "text/event-stream"}
         if confidence and model in confidence:
-            more["Confidence"] = str(confidence[model])
+            extra_headers["Confidence"] = str(confidence[model])
         head = make_head(
-            200, arrival, True, Transfer_Encoding="chunked", **more
+            200, arrival, True, Transfer_Encoding="chunked", **extra_headers
         )
         writer.write(head)
         await writer.drain()
--- a/lab/worth.py
+++ b/lab/worth.py
@@ -14,9 +14,10 @@
 
 LATE_RATIO = 0.3
 """Share of its worth that a late answer earns, about equal for all kinds."""
-SMALL = 0.0005
+MIN_LISTED_PRICE = 0.0005
 """Prices below this share of a day's worth are summed in one row."""
 WORST_WINDOWS = 2
+"""Number of windows with the least worth that are shown for each day."""
 
 
 class ReportError(Exception):
@@ -96,9 +97,13 @@
         for part, weight, value in report["parts"]
     ]
     prices = [Loss(price, cost) for price, _, cost in report["prices"]]
-    large = [price for price in prices if price.worth >= SMALL]
-    rest = sum(price.worth for price in prices if price.worth < SMALL)
-    losses = [*parts, *large, Loss("other prices", rest)]
+    large_prices = [
+        price for price in prices if price.worth >= MIN_LISTED_PRICE
+    ]
+    small_prices = sum(
+        price.worth for price in prices if price.worth < MIN_LISTED_PRICE
+    )
+    losses = [*parts, *large_prices, Loss("other prices", small_prices)]
     windows = sorted((w["worth"], w["name"]) for w in report["windows"])
     return Day(
         name,
@@ -124,15 +129,17 @@
     causes: dict[str, None] = {}
     for day in days:
         causes.update(dict.fromkeys(loss.cause for loss in day.losses))
-    lost = [{loss.cause: loss.worth for loss in day.losses} for day in days]
+    losses_by_day = [
+        {loss.cause: loss.worth for loss in day.losses} for day in days
+    ]
     rows: list[list[object]] = [["worth", *(day.worth for day in days)]]
-    rows += [[c, *(each.get(c, 0.0) for each in lost)] for c in causes]
+    rows += [[c, *(each.get(c, 0.0) for each in losses_by_day)] for c in causes]
     kinds = [
         [day.name, kind.name, kind.owed, kind.failed, kind.late, kind.poor]
         for day in days
         for kind in day.kinds
     ]
-    moments = [
+    window_rows = [
         [
             day.name,
             ", ".join(
@@ -148,7 +155,7 @@
             _format_table(
                 ["day", "kind", "owed", "failed", "late", "too poor"], kinds
             ),
-            _format_table(["day", "worst windows", "not served"], moments),
+            _format_table(["day", "worst windows", "not served"], window_rows),
         )
     )
 
