--- a/lab/traffic.py
+++ b/lab/traffic.py
@@ -22,7 +22,7 @@
 The caller then closes the connection and retries at another entry.
 """
 RESPONSE_TIMEOUT_S = 30.0
-"""Time limit in seconds of streams, session requests and unretryable requests."""
+"""Time limit in seconds of streams, session turns and unretryable requests."""
 MAX_RETRY_S = 25.0
 """Time in seconds since its start after which a request is not retried."""
 HEALTH_INTERVAL_S = 0.25
