--- a/lab/balancer.py
+++ b/lab/balancer.py
@@ -97,7 +97,11 @@
 
 
 class Balancer:
-    """Health checks of the backends and the round-robin choice among them."""
+    """Health checks of the backends and the round-robin choice among them.
+
+    Args:
+        backends: Addresses `HOST:PORT` of the backends.
+    """
 
     def __init__(self, backends: list[str]) -> None:
         self.faults = BalancerFaults()
--- a/lab/batch.py
+++ b/lab/batch.py
@@ -24,7 +24,17 @@
 
 
 class Timing(msgspec.Struct, kw_only=True):
-    """Batch size, KV cache capacity and durations of prefill and decoding."""
+    """Batch size, KV cache capacity and durations of prefill and decoding.
+
+    Attributes:
+        max_batch: Maximum number of running sequences.
+        base_ttft_ms: Time to the first token, excluding the prefill of prompt
+            tokens.
+        prefill_ms_per_token: Prefill time of a prompt token that is not cached.
+        token_ms: Duration of a decode step, in milliseconds.
+        token_ms_per_running: Addition to a decode step per running sequence.
+        kv_capacity_tokens: Capacity of the KV cache in tokens.
+    """
 
     max_batch: int = 32
     base_ttft_ms: float = 20.0
@@ -37,6 +47,14 @@
 class Sequence:
     """One request in the engine, with the tokens of its answer.
 
+    Args:
+        request_id: Id of the request.
+        model: Model version as `NAME@VERSION`.
+        prompt: Text of the whole conversation.
+        tokens: Tokens of the answer, which the batch releases one by one.
+        encoder: Encoder of the answer's events.
+        priority: Queue priority; a lower number is admitted earlier.
+
     Attributes:
         produced: Number of tokens generated so far.
         ready_at_s: Monotonic time at which the prefill ends.
@@ -89,7 +107,21 @@
 
 
 class Batch:
-    """Running sequences, queued sequences and the loop that decodes tokens."""
+    """Running sequences, queued sequences and the loop that decodes tokens.
+
+    Args:
+        timing: Batch size and durations.
+        cache: Prefix cache, which shortens prefills.
+        on_admit: Called when a sequence starts to run.
+        on_token: Called for each generated token.
+        slow_factor: Returns the factor that all durations are multiplied by.
+
+    Attributes:
+        role: Key of `ROLE_FACTORS`.
+        token_interval_ms: Moving average of the time between two steps.
+        prefilled: Ids of requests whose KV cache was imported; their next
+            admission needs no prefill.
+    """
 
     def __init__(
         self,
@@ -213,7 +245,13 @@
 
 
 class LoadHistory:
-    """Samples of an engine's load, so that it can be reported with a delay."""
+    """Samples of an engine's load, so that it can be reported with a delay.
+
+    Args:
+        batch: Batch whose load is sampled.
+        interval_s: Interval in seconds between two samples.
+        max_samples: Number of retained samples.
+    """
 
     def __init__(
         self, batch: Batch, interval_s: float, max_samples: int
--- a/lab/bucket.py
+++ b/lab/bucket.py
@@ -6,7 +6,12 @@
 
 
 class TokenBucket:
-    """Admits `rate_per_s` operations on average and `burst` in one go."""
+    """Token bucket: admits operations at a mean rate with limited bursts.
+
+    Args:
+        rate_per_s: Mean number of admitted operations per second.
+        burst: Maximum number of operations admitted without a pause.
+    """
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
         self._rate_per_s = rate_per_s
--- a/lab/fault_plan.py
+++ b/lab/fault_plan.py
@@ -45,7 +45,7 @@
         at_s: Time of the fault in seconds since the start of the traffic.
         kind: Type of the fault.
         name: Name of the affected process.
-        lasts_s: Time in seconds until the fault is undone.
+        duration_s: Time in seconds until the fault is undone.
     """
 
     at_s: float
--- a/lab/log.py
+++ b/lab/log.py
@@ -35,7 +35,11 @@
 
 
 class Stream:
-    """Records of one stream; the oldest records expire."""
+    """Records of one stream; the oldest records expire.
+
+    Args:
+        retain_records: Number of records that can still be read.
+    """
 
     def __init__(self, retain_records: int) -> None:
         self._retain_records = retain_records
@@ -79,7 +83,13 @@
 
 
 class LogService:
-    """The log's streams and their HTTP handlers."""
+    """The log's streams and their HTTP handlers.
+
+    Args:
+        append_rate_per_s: Mean number of admitted appends per second.
+        burst: Maximum number of appends admitted without a pause.
+        retain_records: Number of records that each stream retains.
+    """
 
     def __init__(
         self, append_rate_per_s: float, burst: float, retain_records: int
--- a/lab/models.py
+++ b/lab/models.py
@@ -20,7 +20,17 @@
 
 
 class Order(msgspec.Struct, kw_only=True):
-    """An order to load or unload a model version or to change the role."""
+    """An order to load or unload a model version or to change the role.
+
+    Attributes:
+        kind: Type of the order.
+        model: Name of the model; None for a change of the role.
+        version: Version of the model; None for a change of the role.
+        adapter: Adapter of the version; None for the version itself.
+        role: New role; a key of `ROLE_FACTORS`.
+        fencing: Fencing number, which must not decrease among the orders for a
+            model.
+    """
 
     kind: Literal["load", "unload", "role"]
     model: str | None = None
@@ -56,6 +66,14 @@
 class Models:
     """The model versions of an engine that are loaded or being loaded.
 
+    Args:
+        batch: Batch whose role the orders change.
+        loaded: Versions that are loaded at the start.
+        weights_url: URL of the weight store; None loads without a transfer.
+        load_ms: Time in milliseconds to load a version after its transfer.
+        checks_fencing: Whether orders with a stale fencing number are refused.
+        is_load_hung: Returns whether loads never finish.
+
     Attributes:
         loaded: Loaded versions.
         orders: Received orders with their outcomes.
--- a/lab/rater.py
+++ b/lab/rater.py
@@ -73,7 +73,13 @@
 
 
 class Rater:
-    """The rater's ratings and HTTP handlers."""
+    """The rater's ratings and HTTP handlers.
+
+    Args:
+        quality: Mean score by version, given as `NAME@VERSION`.
+        delay_s: Time in seconds until the rating of an answer is published.
+        sample_ratio: Share of the submitted answers that are rated.
+    """
 
     def __init__(
         self, quality: dict[str, float], delay_s: float, sample_ratio: float
--- a/lab/traffic.py
+++ b/lab/traffic.py
@@ -94,7 +94,7 @@
         tokens: Number of tokens of a complete answer; 0 for any other.
         is_wrong: Whether the answer has unexpected bytes.
         is_cut: Whether the connection broke after a part of the answer.
-        has_left: Whether the caller stopped waiting before the end.
+        has_timed_out: Whether the caller stopped waiting before the end.
         retry_after_s: Time in seconds after which a retry is suggested; None
             if the response suggests none.
     """
--- a/lab/vms.py
+++ b/lab/vms.py
@@ -25,7 +25,16 @@
 
 
 class Vm(msgspec.Struct, kw_only=True):
-    """One entry of the VM list."""
+    """One entry of the VM list.
+
+    Attributes:
+        vm: Name of the VM.
+        role: Role of the process on the VM.
+        zone: Availability zone.
+        state: `live`, or `leaving` if the VM is about to be removed.
+        bus: `HOST:PORT` of its message listener.
+        http: Address of its HTTP listener; empty if not listed.
+    """
 
     vm: str
     role: Literal["entry", "sidecar"]
--- a/lab/weights.py
+++ b/lab/weights.py
@@ -30,7 +30,13 @@
 
 
 class WeightStore:
-    """The weight store's counters and HTTP handler."""
+    """The weight store's counters and HTTP handler.
+
+    Args:
+        transfer_s: Duration of a transfer in seconds.
+        rate_per_s: Mean number of admitted transfers per second.
+        burst: Maximum number of transfers admitted without a pause.
+    """
 
     def __init__(
         self, transfer_s: float, rate_per_s: float, burst: float
