--- a/lab/batch.py
+++ b/lab/batch.py
@@ -30,9 +30,11 @@
         max_batch: Maximum number of running sequences.
         base_ttft_ms: Time to the first token, excluding the prefill of prompt
             tokens.
-        prefill_ms_per_token: Prefill time of a prompt token that is not cached.
+        prefill_ms_per_token: Prefill time in milliseconds of a prompt token
+            that is not cached.
         token_ms: Duration of a decode step, in milliseconds.
-        token_ms_per_running: Addition to a decode step per running sequence.
+        token_ms_per_running: Milliseconds added to a decode step per running
+            sequence.
         kv_capacity_tokens: Capacity of the KV cache in tokens.
     """
 
--- a/lab/engine.py
+++ b/lab/engine.py
@@ -59,15 +59,17 @@
 
     Attributes:
         models: Versions that are loaded at the start, as `NAME@VERSION`.
+        timing: Batch size and durations of the simulated batch.
         prices: Price of a token, by version.
         weights_url: URL of the weight store; None loads without a transfer.
-        load_ms: Time to load a version after its transfer.
+        load_ms: Time in milliseconds to load a version after its transfer.
         checks_fencing: Whether orders with a stale fencing number are refused.
-        load_lag_ms: Delay of the reported load.
-        cache_prefixes: Capacity of the prefix cache.
-        cache_lag_ms: Delay of the reported cache events.
+        load_lag_ms: Delay in milliseconds of the reported load.
+        cache_prefixes: Capacity of the prefix cache in prompts.
+        cache_lag_ms: Delay in milliseconds of the reported cache events.
         cache_gap_ratio: Share of the cache events that are omitted.
-        keep_streams_s: Time for which an ended stream can be resumed.
+        keep_streams_s: Time in seconds for which an ended stream can be
+            resumed.
         runs_file: File to which each run is appended as a line, so that the
             records survive the process; none if empty.
     """
--- a/lab/fault_driver.py
+++ b/lab/fault_driver.py
@@ -61,7 +61,7 @@
     def run(self, plan: list[Fault], start_s: float) -> None:
         """Injects the faults of a plan; returns when all of them are undone.
 
-        A fault is skipped if its process does not exist or still has one.
+        A fault is skipped if its process does not run or has another fault.
 
         Args:
             plan: Faults in the order of their times.
