--- a/lab/caller.py
+++ b/lab/caller.py
@@ -1,4 +1,4 @@
-"""A caller of a gateway, down to the bytes on its connection."""
+"""Low-level HTTP client of a gateway that controls each byte it sends."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 import dataclasses
 
 HOST = "ficu95.example"
+"""Value of the Host header."""
 
 
 @dataclasses.dataclass
 class Reply:
-    """An answer as its caller got it.
+    """An HTTP response as its caller received it.
 
     Attributes:
         status: HTTP status.
-        headers: Values by name in lower case.
-        body: What came of the body.
-        whole: Whether the body came whole.
+        headers: Header values by lower-case name.
+        body: The received part of the body.
+        whole: Whether the body was received completely.
     """
 
     status: int
@@ -31,32 +32,34 @@
     body: bytes = b"",
     request_id: str = "a1",
     key: str | None = None,
-    **more: str,
+    **extra_headers: str,
 ) -> bytes:
-    """A whole request; `more` are headers with `_` for `-`."""
+    """Encodes an HTTP request; keyword arguments become headers, `_` as `-`."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {HOST}"]
     lines.append(f"Attempt-Id: {request_id}")
     if key:
         lines.append(f"Authorization: Token {key}")
     if body:
         lines.append(f"Content-Length: {len(body)}")
-    more = {"Deadline_Ms": "4000", **more}
-    lines += [f"{name.replace('_', '-')}: {v}" for name, v in more.items()]
+    extra_headers = {"Deadline_Ms": "4000", **extra_headers}
+    lines += [
+        f"{name.replace('_', '-')}: {v}" for name, v in extra_headers.items()
+    ]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
 async def read_reply(reader: asyncio.StreamReader) -> Reply:
-    """Reads an answer.
+    """Reads one HTTP response.
 
     Raises:
-        asyncio.IncompleteReadError: It broke off before the end of its head,
-            or of a body with a length.
+        asyncio.IncompleteReadError: The connection closed before the end of
+            the response head, or of a body with a Content-Length.
     """
     head = await reader.readuntil(b"\r\n\r\n")
-    first, *lines = head.decode().split("\r\n")
+    status_line, *lines = head.decode().split("\r\n")
     pairs = (line.partition(":") for line in lines if line)
     headers = {name.lower(): value.strip() for name, _, value in pairs}
-    status = int(first.split(" ")[1])
+    status = int(status_line.split(" ")[1])
     if headers.get("transfer-encoding") == "chunked":
         return Reply(status, headers, *await _read_chunks(reader))
     length = int(headers.get("content-length", "0"))
--- a/lab/chat.py
+++ b/lab/chat.py
@@ -1,4 +1,4 @@
-"""Chat requests of a model engine: read them and send their events."""
+"""Chat requests of a model engine: parses requests and streams answers."""
 
 from __future__ import annotations
 
@@ -20,21 +20,28 @@
 from lab.server import hang
 
 DEFAULT_TOKENS = 16
+"""Length of an answer if the request sets no limit."""
 MAX_TOKENS = 4096
 DEFAULT_PRIORITY = 100
+"""Priority of requests without an X-Priority header; lower runs earlier."""
 
 
 class WrongRequestError(Exception):
-    """A request body that the engine doesn't take."""
+    """A chat request has a field that the engine does not accept."""
 
 
 def read_sequence(
     headers: Mapping[str, str], body: dict[str, Any], *, garbage: bool
 ) -> Sequence:
-    """The sequence that a request asks for.
+    """Creates the sequence for a chat request.
+
+    Args:
+        headers: Request headers.
+        body: Decoded JSON body of the request.
+        garbage: Whether to generate the tokens of a faulty version.
 
     Raises:
-        WrongRequestError: where a field has a wrong form.
+        WrongRequestError: A field has a wrong type or value.
     """
     messages = body.get("messages")
     if not isinstance(messages, list) or not all(
@@ -43,7 +50,7 @@
         raise WrongRequestError("messages")
     model: str = body["model"]
     prompt = prompt_text(messages)
-    count, finish_reason = _token_count(body)
+    count, finish_reason = _get_token_count(body)
     if garbage:
         tokens = garbage_tokens(count)
     else:
@@ -56,7 +63,7 @@
         created_s=int(time.time()),
         tokens=tokens,
         finish_reason=finish_reason,
-        usage=_usage(prompt, tokens),
+        usage=_make_usage(prompt, tokens),
         include_usage=bool(options.get("include_usage")),
     )
     return Sequence(
@@ -65,7 +72,7 @@
         prompt=prompt,
         tokens=tokens,
         encoder=encoder,
-        priority=_priority(headers),
+        priority=_get_priority(headers),
     )
 
 
@@ -75,7 +82,15 @@
     seq: int,
     silent_after_tokens: int | None,
 ) -> web.StreamResponse:
-    """Sends the events from `seq` on as they come."""
+    """Streams the events of a sequence as they are generated.
+
+    Args:
+        request: The HTTP request to answer.
+        sequence: The sequence to stream.
+        seq: Number of the first event to send.
+        silent_after_tokens: Number of tokens after which the stream stops
+            sending but keeps its connection open; None for no such fault.
+    """
     response = web.StreamResponse()
     response.content_type = "text/event-stream"
     response.headers["Cache-Control"] = "no-cache"
@@ -87,7 +102,7 @@
         while not sequence.cancelled and seq < limit:
             end = min(limit, sequence.available)
             if seq < end:
-                await response.write(sequence.encoder.events(seq, end))
+                await response.write(sequence.encoder.encode_events(seq, end))
                 seq = end
             else:
                 await sequence.progress.wait()
@@ -95,27 +110,29 @@
             await hang(request)
         await response.write_eof()
     except ConnectionResetError:
-        pass  # The client has gone; the sequence goes on for a resume.
+        # The client has disconnected; the sequence continues, so that the
+        # client can resume the stream.
+        pass
     return response
 
 
-def _token_count(body: dict[str, Any]) -> tuple[int, str]:
-    asked = body.get("max_completion_tokens", body.get("max_tokens"))
-    if asked is None:
+def _get_token_count(body: dict[str, Any]) -> tuple[int, str]:
+    requested = body.get("max_completion_tokens", body.get("max_tokens"))
+    if requested is None:
         return DEFAULT_TOKENS, "stop"
-    if not isinstance(asked, int) or asked < 1:
+    if not isinstance(requested, int) or requested < 1:
         raise WrongRequestError("max_tokens")
-    return min(asked, MAX_TOKENS), "length"
+    return min(requested, MAX_TOKENS), "length"
 
 
-def _priority(headers: Mapping[str, str]) -> int:
+def _get_priority(headers: Mapping[str, str]) -> int:
     try:
         return int(headers.get("X-Priority", DEFAULT_PRIORITY))
     except ValueError:
         raise WrongRequestError("X-Priority") from None
 
 
-def _usage(prompt: str, tokens: list[str]) -> dict[str, int]:
+def _make_usage(prompt: str, tokens: list[str]) -> dict[str, int]:
     prompt_tokens = count_tokens(prompt)
     return {
         "prompt_tokens": prompt_tokens,
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -1,4 +1,4 @@
-"""HTTP clients of a fleet: the OpenAI library, plain calls, the commands."""
+"""Clients of a fleet: the OpenAI library, plain HTTP and operator commands."""
 
 from __future__ import annotations
 
@@ -20,20 +20,21 @@
 from lovagestage.state.document import ServiceDocument
 
 TIMEOUT_S = 30.0
+"""Time limit in seconds of an operator command and of a plain call's waits."""
 _ROOT = pathlib.Path(__file__).parent.parent
 
 
 class CommandError(Exception):
-    """A command of the operator ended with an error."""
+    """An operator command ended with a non-zero exit code."""
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """The answer to a plain call.
+    """The response to a call of a plain service.
 
     Attributes:
         status: HTTP status.
-        run: What a refusal says of the run; empty for an answer.
-        body: The body.
+        run: Run state reported with a refusal; empty for an answer.
+        body: Response body.
     """
 
     status: int
@@ -44,20 +45,27 @@
 def make_client(
     fleet: Fleet, workspace: str = "audit", entry: int = 0
 ) -> openai.OpenAI:
-    """An unmodified OpenAI client for one workspace."""
+    """Returns an unmodified OpenAI client for one workspace and one entry."""
     return _open_client(f"{fleet.entries[entry].url}/v1", f"key-{workspace}")
 
 
 @functools.lru_cache(maxsize=64)
 def _open_client(url: str, key: str) -> openai.OpenAI:
-    # A client costs some 40 ms of processor time to make.
+    # Clients are cached: creating one takes some 40 ms of CPU time.
     return openai.OpenAI(base_url=url, api_key=key)
 
 
 def call_plain(
     url: str, workspace: str, key: str = "", body: bytes = b""
 ) -> Answer:
-    """Posts to a plain service through an entry."""
+    """Sends a POST request to a plain service through an entry.
+
+    Args:
+        url: URL of the service at the entry.
+        workspace: Workspace whose API key is used.
+        key: Idempotency key; none is sent if empty.
+        body: Request body.
+    """
     headers = {"Authorization": f"Bearer key-{workspace}"}
     if key:
         headers["Idempotency-Key"] = key
@@ -65,44 +73,53 @@
     try:
         with urllib.request.urlopen(request, timeout=TIMEOUT_S) as response:
             return Answer(response.status, "", response.read())
-    except urllib.error.HTTPError as refused:
-        run = refused.headers.get("X-Run-State", "")
-        return Answer(refused.code, run, refused.read())
+    except urllib.error.HTTPError as error:
+        run = error.headers.get("X-Run-State", "")
+        return Answer(error.code, run, error.read())
 
 
-def run_command(fleet: Fleet, *words: str) -> Any:
-    """Runs one of the operator's commands as a process; returns its JSON.
+def run_command(fleet: Fleet, *arguments: str) -> Any:
+    """Runs an operator command as a process and returns its JSON output.
 
     Raises:
-        CommandError: Its exit code is not 0.
+        CommandError: The command's exit code is not 0.
     """
     settings = fleet.make_operator_settings()
-    if words[0] == "usage":
-        where = ("--log", fleet.children["log"].url)
+    if arguments[0] == "usage":
+        target_options = ("--log", fleet.children["log"].url)
     else:
-        where = ("--settings", str(settings))
-    done = subprocess.run(
-        [sys.executable, "-m", "lovagestage", *words, "--json", *where],
+        target_options = ("--settings", str(settings))
+    completed = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "lovagestage",
+            *arguments,
+            "--json",
+            *target_options,
+        ],
         capture_output=True,
         text=True,
         timeout=TIMEOUT_S,
         check=False,
         env={**os.environ, "PYTHONPATH": f"{_ROOT / 'src'}"},
     )
-    if done.returncode != 0:
-        raise CommandError(f"{' '.join(words)}: {done.stderr or done.stdout}")
-    return json.loads(done.stdout)
+    if completed.returncode != 0:
+        raise CommandError(
+            f"{' '.join(arguments)}: {completed.stderr or completed.stdout}"
+        )
+    return json.loads(completed.stdout)
 
 
 Edit = Callable[[ServiceDocument], ServiceDocument]
 
 
 def edit_document(fleet: Fleet, edit: Edit) -> None:
-    """Edits the fleet's document through the commands."""
+    """Edits the fleet's service document with the operator commands."""
     service = fleet.shape.service
-    shown = run_command(fleet, "service", "get", service)
-    document = msgspec.convert(shown["document"], ServiceDocument)
+    output = run_command(fleet, "service", "get", service)
+    document = msgspec.convert(output["document"], ServiceDocument)
     path = fleet.folder / "edited.json"
     path.write_bytes(msgspec.json.encode(edit(document)))
-    base = str(shown["revision"])
+    base = str(output["revision"])
     run_command(fleet, "service", "put", str(path), "--base", base)
--- a/lab/engine.py
+++ b/lab/engine.py
@@ -1,4 +1,4 @@
-"""Model engine: OpenAI's HTTP form over a simulated batch."""
+"""Model engine: an OpenAI-compatible HTTP API over a simulated batch."""
 
 from __future__ import annotations
 
@@ -25,26 +25,54 @@
 from lab.recorded_runs import RecordedRun, append_run
 from lab.server import add_server_arguments, hang, make_app, run_app
 
-MAX_KEPT_STREAMS = 8192
+MAX_RETAINED_STREAMS = 8192
+"""Maximum number of ended streams that are retained for a resume."""
 LOAD_SAMPLE_S = 0.02
+"""Interval in seconds between two load samples."""
 LOAD_SAMPLES = 1500
-SWEEP_S = 1.0
+"""Number of retained load samples, which limits the load lag to 30 s."""
+EVICTION_INTERVAL_S = 1.0
+"""Interval in seconds between two evictions of ended streams."""
 
 
 class EngineFaults(Faults):
-    """Faults of the engine; versions are given as `NAME@VERSION`."""
-
-    crash_on: str | None = None  # Exits at the first token of such a prompt.
-    silent_after_tokens: int | None = None  # The connection stays open.
-    refuse_model: str | None = None  # Answers 500.
-    bad_version: str | None = None  # Answers garbage.
-    slow_factor: float = 1.0  # On all times.
-    hang_load: bool = False  # Load orders never come to an end.
-    lag_ms: float | None = None  # In place of the process's own load lag.
+    """Injectable faults of the engine; versions are given as `NAME@VERSION`."""
+
+    # Exits at the first token of a prompt that contains this text.
+    crash_on: str | None = None
+    # Stops sending after so many tokens; the connection stays open.
+    silent_after_tokens: int | None = None
+    # Answers 500 to requests for this version.
+    refuse_model: str | None = None
+    # Answers requests for this version with garbage.
+    bad_version: str | None = None
+    # Multiplies all prefill and step times.
+    slow_factor: float = 1.0
+    # Orders to load a version never finish.
+    hang_load: bool = False
+    # Replaces the load lag that the process was started with.
+    lag_ms: float | None = None
 
 
 class EngineOptions(msgspec.Struct, kw_only=True):
-    """What an engine is started with."""
+    """Options that an engine is started with.
+
+    Attributes:
+        models: Versions that are loaded at the start, as `NAME@VERSION`.
+        timing: Batch size and durations of the simulated batch.
+        prices: Price of a token, by version.
+        weights_url: URL of the weight store; None loads without a transfer.
+        load_ms: Time in milliseconds to load a version after its transfer.
+        checks_fencing: Whether orders with a stale fencing number are refused.
+        load_lag_ms: Delay in milliseconds of the reported load.
+        cache_prefixes: Capacity of the prefix cache in prompts.
+        cache_lag_ms: Delay in milliseconds of the reported cache events.
+        cache_gap_ratio: Share of the cache events that are omitted.
+        keep_streams_s: Time in seconds for which an ended stream can be
+            resumed.
+        runs_file: File to which each run is appended as a line, so that the
+            records survive the process; none if empty.
+    """
 
     models: list[str]
     timing: Timing = msgspec.field(default_factory=Timing)
@@ -57,11 +85,11 @@
     cache_lag_ms: float = 200.0
     cache_gap_ratio: float = 0.05
     keep_streams_s: float = 60.0
-    runs_file: str = ""  # Takes each run as a line; outlives the process.
+    runs_file: str = ""
 
 
 class Engine:
-    """One engine and its HTTP handlers."""
+    """One simulated engine with its HTTP handlers."""
 
     def __init__(self, options: EngineOptions) -> None:
         self.faults = EngineFaults()
@@ -84,7 +112,7 @@
             weights_url=options.weights_url,
             load_ms=options.load_ms,
             checks_fencing=options.checks_fencing,
-            hangs=lambda: self.faults.hang_load,
+            is_load_hung=lambda: self.faults.hang_load,
         )
         self._history = LoadHistory(self.batch, LOAD_SAMPLE_S, LOAD_SAMPLES)
         self._streams: dict[str, Sequence] = {}
@@ -96,7 +124,7 @@
         self._resumes = 0
 
     def app(self) -> web.Application:
-        """The application that serves this engine."""
+        """Creates the web application that serves this engine."""
         app = make_app(self.faults, self.stats)
         router = app.router
         router.add_post("/v1/chat/completions", self._handle_chat)
@@ -112,7 +140,7 @@
         return app
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns the engine's counters, role and orders for `/_stats`."""
         prices = self._options.prices
         return {
             "runs": self._runs,
@@ -132,21 +160,25 @@
         }
 
     async def _run_loops(self, _app: web.Application) -> AsyncIterator[None]:
-        loops = (self.batch.run(), self._history.run(), self._sweep())
+        loops = (
+            self.batch.run(),
+            self._history.run(),
+            self._evict_ended_streams(),
+        )
         tasks = [asyncio.create_task(loop) for loop in loops]
         yield
         for task in tasks:
             task.cancel()
         await self.models.close()
 
-    async def _sweep(self) -> None:
-        """Forgets streams that ended some time ago."""
+    async def _evict_ended_streams(self) -> None:
+        """Evicts streams that ended over `keep_streams_s` ago, or too many."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(EVICTION_INTERVAL_S)
             limit_s = time.monotonic() - self._options.keep_streams_s
             while self._ended and (
                 self._ended[0][0] < limit_s
-                or len(self._ended) > MAX_KEPT_STREAMS
+                or len(self._ended) > MAX_RETAINED_STREAMS
             ):
                 sequence = self._ended.popleft()[1]
                 if self._streams.get(sequence.request_id) is sequence:
@@ -198,7 +230,7 @@
             await hang(request)
         if sequence.cancelled:
             return error(409, "cancelled")
-        return web.json_response(sequence.encoder.plain())
+        return web.json_response(sequence.encoder.make_response_body())
 
     async def _handle_resume(self, request: web.Request) -> web.StreamResponse:
         sequence = self._streams.get(request.match_info["request_id"])
@@ -226,7 +258,7 @@
         lag_ms = self.faults.lag_ms
         if lag_ms is None:
             lag_ms = self._options.load_lag_ms
-        return web.json_response(self._history.seen(lag_ms))
+        return web.json_response(self._history.get_load(lag_ms))
 
     async def _handle_cache_events(self, request: web.Request) -> web.Response:
         start = request.query.get("from", "0")
@@ -260,7 +292,7 @@
             order = msgspec.json.decode(await request.read(), type=Order)
         except (msgspec.DecodeError, msgspec.ValidationError) as wrong:
             return error(400, "wrong_order", detail=str(wrong))
-        return await self.models.obey(order)
+        return await self.models.execute(order)
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
--- a/lab/history.py
+++ b/lab/history.py
@@ -1,7 +1,8 @@
-"""Checks a recorded history of requests against what the engines counted.
+"""Checks a recorded history of requests against the engines' run counts.
 
-For each key that callers used: at most one run where it may not be repeated,
-equal bytes in all whole answers, and refusals whose run state is true.
+The checks for each idempotency key are: at most one run if the request may not
+be retried, equal bytes in all complete answers, and refusals that report the
+correct run state.
 """
 
 from __future__ import annotations
@@ -16,24 +17,25 @@
 from lab.fleet import Child, Fleet
 
 TIMEOUT_S = 30.0
+"""Time limit in seconds of each socket operation of a request."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Sent:
-    """One request as its caller saw it.
+    """One HTTP request with the outcome that its caller observed.
 
     Attributes:
-        key: Request key.
-        prompt: Text that names the request at the engines.
-        entry: Where it was sent.
-        sent_s: Monotonic time of the start.
-        ended_s: Monotonic time of the end.
-        status: HTTP status; 0 where the connection broke.
+        key: Idempotency key.
+        prompt: Text that identifies the request at the engines.
+        entry: Name of the entry that the request was sent to.
+        sent_s: Monotonic time at which the request was sent.
+        ended_s: Monotonic time at which the request ended.
+        status: HTTP status; 0 if the connection broke.
         run: Run state of a refusal; empty for an answer.
-        code: Code of a refusal; empty for an answer.
-        retry_after: The refusal's Retry-After; empty where it has none.
-        request_id: Request that the answer is billed under.
-        body: The answer.
+        code: Error code of a refusal; empty for an answer.
+        retry_after: Retry-After header; empty if the response has none.
+        request_id: Request id that the answer is billed under.
+        body: Response body.
     """
 
     key: str
@@ -50,16 +52,19 @@
 
 
 class History:
-    """Sends requests and records what their callers saw.
+    """Sends requests and records the outcomes that their callers observed.
 
     Args:
-        fleet: Where to send them.
+        fleet: Fleet that the requests are sent to.
+
+    Attributes:
+        sent: Requests that have ended.
     """
 
     def __init__(self, fleet: Fleet) -> None:
         self.sent: list[Sent] = []
         self._fleet = fleet
-        self._before = get_runs(fleet)
+        self._initial_runs = get_runs(fleet)
         self._threads: list[threading.Thread] = []
 
     def send(
@@ -71,7 +76,7 @@
         max_tokens: int = 8,
         stream: bool = False,
     ) -> Sent:
-        """Sends one request and waits for its end."""
+        """Sends one request, waits for its end and records the outcome."""
         body = {
             "model": "vault",
             "messages": [{"role": "user", "content": prompt}],
@@ -87,55 +92,59 @@
         self.sent.append(sent)
         return sent
 
-    def start(self, entry: Child, key: str, prompt: str, **more: int) -> None:
-        """Sends one request without waiting for its end."""
+    def start(
+        self, entry: Child, key: str, prompt: str, **options: int
+    ) -> None:
+        """Sends one request in a thread without waiting for its end."""
         thread = threading.Thread(
-            target=self.send, args=(entry, key, prompt), kwargs=more
+            target=self.send, args=(entry, key, prompt), kwargs=options
         )
         thread.start()
         self._threads.append(thread)
 
     def wait(self) -> None:
-        """Waits for the requests that were started."""
+        """Waits for the end of all requests sent with `start`."""
         for thread in self._threads:
             thread.join()
         self._threads.clear()
 
     def get_new_runs(self) -> int:
-        """Runs that the engines counted since the start of the history."""
-        return sum((get_runs(self._fleet) - self._before).values())
+        """Returns the number of engine runs since this history was created."""
+        return sum((get_runs(self._fleet) - self._initial_runs).values())
 
     def get_running_engine(self) -> str:
-        """An engine that counted a run since the start of the history."""
-        name = next(iter(get_runs(self._fleet) - self._before))
+        """Returns the name of an engine that ran one of the requests."""
+        name = next(iter(get_runs(self._fleet) - self._initial_runs))
         return name.partition("/")[0]
 
     def find_faults(self) -> list[str]:
-        """What is wrong; empty where every promise was kept.
+        """Returns descriptions of all violations; empty if there are none.
 
-        All requests of one history have to be of a class that may not be
-        repeated, and each key counts for one run at most.
+        All requests of one history must be of a class that may not be
+        retried: each key accounts for at most one run.
         """
-        faults = []
+        violations = []
         by_key: dict[str, list[Sent]] = defaultdict(list)
         for sent in self.sent:
             by_key[sent.key].append(sent)
         runs = self.get_new_runs()
         if runs > len(by_key):
-            faults.append(f"{len(by_key)} keys ran {runs} times")
-        proved = 0
+            violations.append(f"{len(by_key)} keys ran {runs} times")
+        reported_runs = 0
         for key, group in by_key.items():
-            faults += _check_key(key, group)
-            proved += any(_has_run(sent) for sent in group)
-        if runs < proved:
-            faults.append(f"{proved} keys are said to have run, {runs} did")
+            violations += _check_key(key, group)
+            reported_runs += any(_is_reported_as_run(sent) for sent in group)
+        if runs < reported_runs:
+            violations.append(
+                f"{reported_runs} keys are reported as run, {runs} ran"
+            )
         if all(s.run == "not_run" for s in self.sent) and runs:
-            faults.append(f"all were refused as not run, {runs} ran")
-        return faults
+            violations.append(f"all were refused as not run, {runs} ran")
+        return violations
 
 
 def get_runs(fleet: Fleet) -> Counter[str]:
-    """Runs by engine and request id."""
+    """Returns the number of runs by `ENGINE/REQUEST_ID`."""
     runs: Counter[str] = Counter()
     for engine in fleet.engines:
         for name, count in fleet.get_stats(engine.name)["runs"].items():
@@ -143,27 +152,27 @@
     return runs
 
 
-def _has_run(sent: Sent) -> bool:
+def _is_reported_as_run(sent: Sent) -> bool:
     return sent.status == 200 or sent.run == "ran"
 
 
 def _check_key(key: str, group: list[Sent]) -> list[str]:
-    faults = []
+    violations = []
     answers = {sent.body for sent in group if sent.status == 200}
     if len(answers) > 1:
-        faults.append(f"{key}: {len(answers)} different answers")
+        violations.append(f"{key}: {len(answers)} different answers")
     billed = {sent.request_id for sent in group if sent.status == 200}
     if len(billed) > 1:
-        faults.append(f"{key}: billed under {len(billed)} request ids")
+        violations.append(f"{key}: billed under {len(billed)} request ids")
     for refused in group:
         earlier = [
             sent
             for sent in group
-            if _has_run(sent) and sent.ended_s < refused.sent_s
+            if _is_reported_as_run(sent) and sent.ended_s < refused.sent_s
         ]
         if refused.run == "not_run" and earlier:
-            faults.append(f"{key}: 'not run' is said after it has run")
-    return faults
+            violations.append(f"{key}: refused as 'not run' after it has run")
+    return violations
 
 
 def _post(
--- a/lab/log.py
+++ b/lab/log.py
@@ -1,4 +1,4 @@
-"""Log service: append-only streams in memory with a limit on appends."""
+"""Log service: append-only streams in memory with a rate limit on appends."""
 
 from __future__ import annotations
 
@@ -15,21 +15,31 @@
 from lab.server import add_server_arguments, hang, make_app, run_app
 
 MAX_WAIT_MS = 30_000.0
+"""Longest time in milliseconds that a read may wait for a record."""
 DEFAULT_LIMIT = 1000
+"""Number of records returned by a read without a limit."""
 MAX_LIMIT = 10_000
 
 
 class LogFaults(Faults):
-    """Faults of the log service."""
+    """Injectable faults of the log service."""
 
-    outage: bool = False  # 503 to every call.
-    slow_ms: float = 0.0  # Delay of each answer, after its effect.
-    lose_answer: int = 0  # The next N appends take effect and answer 500.
-    stall: bool = False  # No call has an effect or an answer.
+    # Answers 503 to every call.
+    outage: bool = False
+    # Delays each response by this time, after the call took effect.
+    slow_ms: float = 0.0
+    # The next N appends take effect but are answered with 500.
+    lose_answer: int = 0
+    # Calls neither take effect nor get a response.
+    stall: bool = False
 
 
 class Stream:
-    """Records of one stream; the oldest expire."""
+    """Records of one stream; the oldest records expire.
+
+    Args:
+        retain_records: Number of records that can still be read.
+    """
 
     def __init__(self, retain_records: int) -> None:
         self._retain_records = retain_records
@@ -39,16 +49,16 @@
 
     @property
     def next_offset(self) -> int:
-        """The offset that the next append gets."""
+        """Offset that the next appended record will get."""
         return self._base_offset + len(self._records)
 
     @property
     def first_offset(self) -> int:
-        """The offset of the oldest record that is kept."""
+        """Offset of the oldest retained record."""
         return max(0, self.next_offset - self._retain_records)
 
     def append(self, data: bytes) -> int:
-        """Adds a record and wakes the readers."""
+        """Adds a record, wakes waiting readers and returns the offset."""
         offset = self.next_offset
         self._records.append(data)
         if len(self._records) > 2 * self._retain_records:
@@ -60,12 +70,12 @@
         return offset
 
     def read(self, start: int, limit: int) -> list[tuple[int, bytes]]:
-        """At most `limit` records from offset `start`."""
+        """Returns at most `limit` records from offset `start`, with offsets."""
         index = start - self._base_offset
         return list(enumerate(self._records[index : index + limit], start))
 
     async def wait_for(self, offset: int, timeout_s: float) -> None:
-        """Returns when `offset` is there or the time is over."""
+        """Waits until the record at `offset` exists or the timeout expires."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 while self.next_offset <= offset:
@@ -73,7 +83,13 @@
 
 
 class LogService:
-    """The streams and their HTTP handlers."""
+    """The log's streams and their HTTP handlers.
+
+    Args:
+        append_rate_per_s: Mean number of admitted appends per second.
+        burst: Maximum number of appends admitted without a pause.
+        retain_records: Number of records that each stream retains.
+    """
 
     def __init__(
         self, append_rate_per_s: float, burst: float, retain_records: int
@@ -87,7 +103,7 @@
         self._lost = 0
 
     def app(self) -> web.Application:
-        """The application that serves this log."""
+        """Creates the web application that serves this log."""
         app = make_app(self.faults, self.stats)
         path = "/v1/streams/{stream}/records"
         app.router.add_post(path, self._handle_append)
@@ -95,20 +111,20 @@
         return app
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns counts of appends, rejections and lost answers."""
         return {
             "appends": self._appends,
             "rejected": self._rejected,
             "lost": self._lost,
         }
 
-    def _stream(self, request: web.Request) -> Stream:
+    def _get_stream(self, request: web.Request) -> Stream:
         name = request.match_info["stream"]
         if name not in self._streams:
             self._streams[name] = Stream(self._retain_records)
         return self._streams[name]
 
-    async def _refusal(self, request: web.Request) -> web.Response | None:
+    async def _check_faults(self, request: web.Request) -> web.Response | None:
         if self.faults.stall:
             await hang(request)
         if self.faults.outage or self.faults.stall:
@@ -117,14 +133,14 @@
 
     async def _handle_append(self, request: web.Request) -> web.Response:
         data = await request.read()
-        refusal = await self._refusal(request)
+        refusal = await self._check_faults(request)
         if refusal is not None:
             return refusal
-        if not self._bucket.take():
+        if not self._bucket.try_acquire():
             self._rejected += 1
-            wait_ms = self._bucket.wait_s() * 1000
+            wait_ms = self._bucket.get_wait_s() * 1000
             return error(429, "append_rate", retry_after_ms=wait_ms)
-        offset = self._stream(request).append(data)
+        offset = self._get_stream(request).append(data)
         name = request.match_info["stream"]
         self._appends[name] = self._appends.get(name, 0) + 1
         lost = self.faults.lose_answer > 0
@@ -137,7 +153,7 @@
         return web.json_response({"offset": offset})
 
     async def _handle_read(self, request: web.Request) -> web.Response:
-        refusal = await self._refusal(request)
+        refusal = await self._check_faults(request)
         if refusal is not None:
             return refusal
         try:
@@ -148,16 +164,16 @@
             return error(400, "wrong_query")
         if start < 0 or limit < 1 or not 0 <= wait_ms <= MAX_WAIT_MS:
             return error(400, "wrong_query")
-        stream = self._stream(request)
+        stream = self._get_stream(request)
         await stream.wait_for(start, wait_ms / 1000)
         await asyncio.sleep(self.faults.slow_ms / 1000)
-        refusal = await self._refusal(request)
+        refusal = await self._check_faults(request)
         if refusal is not None:
             return refusal
-        return _read_answer(stream, start, min(limit, MAX_LIMIT))
+        return _make_read_response(stream, start, min(limit, MAX_LIMIT))
 
 
-def _read_answer(stream: Stream, start: int, limit: int) -> web.Response:
+def _make_read_response(stream: Stream, start: int, limit: int) -> web.Response:
     first_offset = stream.first_offset
     if start < first_offset:
         return error(410, "below_horizon", first_offset=first_offset)
--- a/lab/rater.py
+++ b/lab/rater.py
@@ -1,4 +1,4 @@
-"""Rater: scores a sample of the answers, late."""
+"""Rater: scores a sample of the answers after a delay."""
 
 from __future__ import annotations
 
@@ -17,22 +17,30 @@
 from lab.server import add_server_arguments, hang, make_app, run_app
 
 DEFAULT_QUALITY = 0.8
+"""Mean score of versions without a configured quality."""
 MAX_SPREAD = 0.2
+"""Largest deviation of a score from its version's mean score."""
 MAX_ANSWERED = 1000
+"""Maximum number of ratings in one response."""
 
 
 class RaterFaults(Faults):
-    """Faults of the rater."""
+    """Injectable faults of the rater."""
 
-    outage: bool = False  # 503 to every call.
-    stall: bool = False  # No answer to any call.
+    # Answers 503 to every call.
+    outage: bool = False
+    # Gives no response to any call.
+    stall: bool = False
+    # Replaces the mean score of versions, given as `NAME@VERSION`.
     quality: dict[str, float] = msgspec.field(default_factory=dict)
-    delay_s: float | None = None  # In place of the process's own delay.
-    sample_ratio: float | None = None  # In place of the process's own ratio.
+    # Replaces the delay that the process was started with.
+    delay_s: float | None = None
+    # Replaces the sampling ratio that the process was started with.
+    sample_ratio: float | None = None
 
 
 class RatingRequest(msgspec.Struct, kw_only=True):
-    """An answer to be rated."""
+    """An answer that is submitted for rating."""
 
     request_id: str
     model: str
@@ -42,25 +50,36 @@
     answer: str
 
 
-def unit_hash(salt: str, text: str) -> float:
-    """A number from 0 up to 1 that depends on the text only."""
+def hash_to_unit(salt: str, text: str) -> float:
+    """Hashes a salt and a text to a number from 0 to 1, without 1 itself."""
     digest = hashlib.blake2b(f"{salt}\n{text}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2.0**64
 
 
-def score(request_id: str, mean: float, answer: str) -> float:
-    """The score of an answer; `mean` is the mean over many requests.
+def compute_score(request_id: str, mean: float, answer: str) -> float:
+    """Returns the deterministic score of an answer.
 
-    An empty or garbled answer scores 0.
+    An empty answer or one with garbage tokens scores 0.
+
+    Args:
+        request_id: Request id, which determines the deviation from the mean.
+        mean: Mean score over many requests.
+        answer: Text of the answer.
     """
     if not answer or GARBAGE_TOKEN in answer:
         return 0.0
     spread = min(MAX_SPREAD, mean, 1 - mean)
-    return mean + (2 * unit_hash("score", request_id) - 1) * spread
+    return mean + (2 * hash_to_unit("score", request_id) - 1) * spread
 
 
 class Rater:
-    """The ratings and their HTTP handlers."""
+    """The rater's ratings and HTTP handlers.
+
+    Args:
+        quality: Mean score by version, given as `NAME@VERSION`.
+        delay_s: Time in seconds until the rating of an answer is published.
+        sample_ratio: Share of the submitted answers that are rated.
+    """
 
     def __init__(
         self, quality: dict[str, float], delay_s: float, sample_ratio: float
@@ -75,22 +94,22 @@
         self._sampled = 0
 
     def app(self) -> web.Application:
-        """The application that serves this rater."""
+        """Creates the web application that serves this rater."""
         app = make_app(self.faults, self.stats)
         app.router.add_post("/v1/ratings", self._handle_post)
         app.router.add_get("/v1/ratings", self._handle_list)
         return app
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns the counts of received and sampled answers."""
         return {"received": self._received, "sampled": self._sampled}
 
     def mean(self, name: str) -> float:
-        """The mean score of `NAME@VERSION` as it now is."""
-        known = self._quality.get(name, DEFAULT_QUALITY)
-        return self.faults.quality.get(name, known)
+        """Returns the current mean score of a version `NAME@VERSION`."""
+        configured = self._quality.get(name, DEFAULT_QUALITY)
+        return self.faults.quality.get(name, configured)
 
-    async def _refusal(self, request: web.Request) -> web.Response | None:
+    async def _check_faults(self, request: web.Request) -> web.Response | None:
         if self.faults.stall:
             await hang(request)
         if self.faults.outage or self.faults.stall:
@@ -98,34 +117,36 @@
         return None
 
     async def _handle_post(self, request: web.Request) -> web.Response:
-        refusal = await self._refusal(request)
+        refusal = await self._check_faults(request)
         if refusal is not None:
             return refusal
         try:
-            asked = msgspec.json.decode(
+            rating_request = msgspec.json.decode(
                 await request.read(), type=RatingRequest
             )
         except (msgspec.DecodeError, msgspec.ValidationError) as wrong:
             return error(400, "wrong_rating", detail=str(wrong))
-        self._received[f"{asked.model}@{asked.version}"] += 1
+        self._received[f"{rating_request.model}@{rating_request.version}"] += 1
         ratio = self.faults.sample_ratio
         if ratio is None:
             ratio = self._sample_ratio
-        if unit_hash("sample", asked.request_id) < ratio:
-            self._rate(asked)
+        if hash_to_unit("sample", rating_request.request_id) < ratio:
+            self._rate(rating_request)
         return web.json_response({}, status=202)
 
-    def _rate(self, asked: RatingRequest) -> None:
+    def _rate(self, rating_request: RatingRequest) -> None:
         delay_s = self.faults.delay_s
         if delay_s is None:
             delay_s = self._delay_s
-        mean = self.mean(f"{asked.model}@{asked.version}")
+        mean = self.mean(f"{rating_request.model}@{rating_request.version}")
         rating = {
-            "request_id": asked.request_id,
-            "model": asked.model,
-            "version": asked.version,
-            "class": asked.request_class,
-            "score": score(asked.request_id, mean, asked.answer),
+            "request_id": rating_request.request_id,
+            "model": rating_request.model,
+            "version": rating_request.version,
+            "class": rating_request.request_class,
+            "score": compute_score(
+                rating_request.request_id, mean, rating_request.answer
+            ),
         }
         due_s = time.monotonic() + delay_s
         heapq.heappush(self._pending, (due_s, self._sampled, rating))
@@ -138,7 +159,7 @@
             self._ratings.append({"seq": len(self._ratings), **rating})
 
     async def _handle_list(self, request: web.Request) -> web.Response:
-        refusal = await self._refusal(request)
+        refusal = await self._check_faults(request)
         if refusal is not None:
             return refusal
         start_text = request.query.get("from", "0")
--- a/lab/relay.py
+++ b/lab/relay.py
@@ -1,7 +1,8 @@
-"""TCP relay that loses track of its connections on command.
+"""TCP relay that drops the traffic of its open connections on command.
 
-It stands for anything between two ends that keeps state of connections and
-forgets it: bytes of existing connections vanish, and new connections work.
+It simulates a stateful network element, such as a firewall or NAT, that loses
+its connection state: bytes of existing connections are dropped without an
+error, while new connections work.
 """
 
 from __future__ import annotations
@@ -15,32 +16,34 @@
 
 
 class Relay:
-    """Relays from a port of its own to `target`; a context manager.
+    """Relays connections from its own port to `target`; a context manager.
 
     Args:
-        target: `HOST:PORT` to relay to.
+        target: `HOST:PORT` that connections are relayed to.
     """
 
     def __init__(self, target: str) -> None:
         self._host, _, port = target.rpartition(":")
         self._target_port = int(port)
-        self._live_from = 0
+        self._first_live_number = 0
         self._accepted = 0
         self._started = threading.Event()
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._serve, daemon=True)
         self._port = 0
-        # A connection gone silent may be known to nobody but its own tasks.
+        # Strong references to the tasks. Otherwise, a connection whose bytes
+        # are dropped may be referenced by its own tasks only, and be garbage
+        # collected.
         self._connections: set[asyncio.Task[None] | None] = set()
 
     @property
     def address(self) -> str:
-        """`HOST:PORT` that the relay listens on."""
+        """Address `HOST:PORT` that the relay listens on."""
         return f"{HOST}:{self._port}"
 
     @property
     def accepted(self) -> int:
-        """How many connections it has taken."""
+        """Number of connections that the relay has accepted."""
         return self._accepted
 
     def __enter__(self) -> Relay:
@@ -56,7 +59,8 @@
     ) -> None:
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
-        # The open connections end here on purpose; nobody is to be told.
+        # Open connections are closed here on purpose, so the loop must not
+        # report their exceptions.
         self._loop.set_exception_handler(lambda loop, context: None)
         tasks = asyncio.all_tasks(self._loop)
         for task in tasks:
@@ -66,12 +70,12 @@
         )
 
     def swallow_existing(self) -> None:
-        """Drops every further byte of the connections that are open now."""
-        self._live_from = self._accepted
+        """Drops all further bytes of the connections that are open now."""
+        self._first_live_number = self._accepted
 
     def _serve(self) -> None:
-        start = asyncio.start_server(self._on_connection, HOST, 0)
-        server = self._loop.run_until_complete(start)
+        starting_server = asyncio.start_server(self._on_connection, HOST, 0)
+        server = self._loop.run_until_complete(starting_server)
         self._port = server.sockets[0].getsockname()[1]
         self._started.set()
         self._loop.run_forever()
@@ -83,15 +87,15 @@
         number = self._accepted
         self._accepted += 1
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 self._host, self._target_port
             )
         except OSError:
             writer.close()
             return
         await asyncio.gather(
-            self._copy(number, reader, far_writer),
-            self._copy(number, far_reader, writer),
+            self._copy(number, reader, target_writer),
+            self._copy(number, target_reader, writer),
         )
 
     async def _copy(
@@ -102,9 +106,9 @@
     ) -> None:
         try:
             while data := await reader.read(READ_BYTES):
-                if number >= self._live_from:
+                if number >= self._first_live_number:
                     writer.write(data)
         except OSError:
             pass
-        if number >= self._live_from:
+        if number >= self._first_live_number:
             writer.close()
--- a/lab/vms.py
+++ b/lab/vms.py
@@ -1,4 +1,4 @@
-"""VM list: answers the state of some time ago."""
+"""VM list: reports the platform's VMs with a delay."""
 
 from __future__ import annotations
 
@@ -14,15 +14,27 @@
 
 
 class VmFaults(Faults):
-    """Faults of the VM list."""
+    """Injectable faults of the VM list."""
 
-    outage: bool = False  # 503 to every read.
-    stall: bool = False  # No answer to any read.
-    lag_s: float | None = None  # In place of the process's own lag.
+    # Answers 503 to every read.
+    outage: bool = False
+    # Gives no response to any read.
+    stall: bool = False
+    # Replaces the lag that the process was started with.
+    lag_s: float | None = None
 
 
 class Vm(msgspec.Struct, kw_only=True):
-    """One entry of the list."""
+    """One entry of the VM list.
+
+    Attributes:
+        vm: Name of the VM.
+        role: Role of the process on the VM.
+        zone: Availability zone.
+        state: `live`, or `leaving` if the VM is about to be removed.
+        bus: `HOST:PORT` of its message listener.
+        http: Address of its HTTP listener; empty if not listed.
+    """
 
     vm: str
     role: Literal["entry", "sidecar"]
@@ -33,7 +45,11 @@
 
 
 class VmList:
-    """The true list, its past and the HTTP handlers."""
+    """The current VM list, its earlier states and the HTTP handlers.
+
+    Args:
+        lag_s: Age in seconds of the state that reads return.
+    """
 
     def __init__(self, lag_s: float) -> None:
         self.faults = VmFaults()
@@ -43,7 +59,7 @@
         self._reads = 0
 
     def app(self) -> web.Application:
-        """The application that serves this list."""
+        """Creates the web application that serves this list."""
         app = make_app(self.faults, self.stats)
         app.router.add_get("/v1/vms", self._handle_list)
         app.router.add_put("/v1/vms/{vm}", self._handle_put)
@@ -51,13 +67,13 @@
         return app
 
     def stats(self) -> dict[str, Any]:
-        """What was counted."""
+        """Returns the number of reads and the names of the listed VMs."""
         return {"reads": self._reads, "vms": sorted(self._vms)}
 
-    def _remember(self) -> None:
+    def _record_state(self) -> None:
         self._history.append((time.monotonic(), list(self._vms.values())))
 
-    def _seen(self) -> list[Vm]:
+    def _get_reported(self) -> list[Vm]:
         lag_s = self._lag_s if self.faults.lag_s is None else self.faults.lag_s
         limit_s = time.monotonic() - lag_s
         past = [vms for at_s, vms in self._history if at_s <= limit_s]
@@ -69,7 +85,7 @@
             await hang(request)
         if self.faults.outage or self.faults.stall:
             return error(503, "outage")
-        vms = [msgspec.structs.asdict(vm) for vm in self._seen()]
+        vms = [msgspec.structs.asdict(vm) for vm in self._get_reported()]
         return web.json_response({"vms": vms})
 
     async def _handle_put(self, request: web.Request) -> web.Response:
@@ -80,13 +96,13 @@
         if vm.vm != request.match_info["vm"]:
             return error(400, "wrong_vm", detail="the path names another VM")
         self._vms[vm.vm] = vm
-        self._remember()
+        self._record_state()
         return web.json_response(msgspec.structs.asdict(vm))
 
     async def _handle_delete(self, request: web.Request) -> web.Response:
         if self._vms.pop(request.match_info["vm"], None) is None:
             return error(404, "unknown_vm")
-        self._remember()
+        self._record_state()
         return web.json_response({})
 
 
--- a/lab/worth.py
+++ b/lab/worth.py
@@ -1,4 +1,4 @@
-"""Says where the worth of played days was lost, from their reports."""
+"""Breaks down by cause the worth that simulated days lost, from reports."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 import tabulate
 
 LATE_RATIO = 0.3
-"""Part of its worth that a late answer earns, about the same for all kinds."""
-SMALL = 0.0005
-"""Prices under this are added up."""
+"""Share of its worth that a late answer earns, about equal for all kinds."""
+MIN_LISTED_PRICE = 0.0005
+"""Prices below this share of a day's worth are summed in one row."""
 WORST_WINDOWS = 2
+"""Number of windows with the least worth that are shown for each day."""
 
 
 class ReportError(Exception):
-    """A file is no report of a played day."""
+    """A file is not the report of a simulated day."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -28,8 +29,8 @@
     """A part of the worth that a day lost.
 
     Attributes:
-        cause: What it was lost to.
-        worth: How much, of 1.
+        cause: Cause of the loss.
+        worth: Lost share of the day's maximum worth of 1.
     """
 
     cause: str
@@ -38,14 +39,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class KindLoss:
-    """What one kind of request lost, as parts of what it was owed.
+    """Losses of one kind of request, as shares of its maximum worth.
 
     Attributes:
-        name: The kind.
-        owed: Requests that were owed an answer.
-        failed: Lost to requests without an answer.
-        late: Lost to late answers.
-        poor: The rest: answers too poor for their request.
+        name: Name of the kind.
+        owed: Number of requests that were owed an answer.
+        failed: Share lost to requests without an answer.
+        late: Share lost to late answers.
+        poor: Remaining share, lost to answers of insufficient quality.
     """
 
     name: str
@@ -57,16 +58,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Day:
-    """A played day.
+    """Result of a simulated day.
 
     Attributes:
-        name: File name of its report.
-        worth: What it earned, of 1.
-        losses: What it lost, by part of the measure and by price; with the
-            worth they add up to 1.
-        kinds: The same by kind of request.
-        worst: Its worst windows: second and credit.
-        unserved: Requests without an answer, by how they ended.
+        name: File name of the day's report, without its extension.
+        worth: Earned share of the maximum worth of 1.
+        losses: Lost shares, by part of the measure and by price; together with
+            the worth they add up to 1.
+        kinds: Losses by kind of request.
+        worst: Time windows with the least worth, each as second and worth.
+        unserved: Number of requests without an answer, by outcome.
     """
 
     name: str
@@ -78,10 +79,10 @@
 
 
 def read_day(path: pathlib.Path) -> Day:
-    """Reads a report.
+    """Reads the report of a day.
 
     Raises:
-        ReportError: It is none.
+        ReportError: The file cannot be read or is not a day's report.
     """
     try:
         report = json.loads(path.read_text(encoding="utf-8"))
@@ -96,9 +97,13 @@
         for part, weight, value in report["parts"]
     ]
     prices = [Loss(price, cost) for price, _, cost in report["prices"]]
-    large = [price for price in prices if price.worth >= SMALL]
-    rest = sum(price.worth for price in prices if price.worth < SMALL)
-    losses = [*parts, *large, Loss("other prices", rest)]
+    large_prices = [
+        price for price in prices if price.worth >= MIN_LISTED_PRICE
+    ]
+    small_prices = sum(
+        price.worth for price in prices if price.worth < MIN_LISTED_PRICE
+    )
+    losses = [*parts, *large_prices, Loss("other prices", small_prices)]
     windows = sorted((w["worth"], w["name"]) for w in report["windows"])
     return Day(
         name,
@@ -119,20 +124,22 @@
 
 
 def format_days(days: Iterable[Day]) -> str:
-    """Writes the days as Markdown tables."""
+    """Formats the results of days as Markdown tables."""
     days = list(days)
     causes: dict[str, None] = {}
     for day in days:
         causes.update(dict.fromkeys(loss.cause for loss in day.losses))
-    lost = [{loss.cause: loss.worth for loss in day.losses} for day in days]
+    losses_by_day = [
+        {loss.cause: loss.worth for loss in day.losses} for day in days
+    ]
     rows: list[list[object]] = [["worth", *(day.worth for day in days)]]
-    rows += [[c, *(each.get(c, 0.0) for each in lost)] for c in causes]
+    rows += [[c, *(each.get(c, 0.0) for each in losses_by_day)] for c in causes]
     kinds = [
         [day.name, kind.name, kind.owed, kind.failed, kind.late, kind.poor]
         for day in days
         for kind in day.kinds
     ]
-    moments = [
+    window_rows = [
         [
             day.name,
             ", ".join(
@@ -148,7 +155,7 @@
             _format_table(
                 ["day", "kind", "owed", "failed", "late", "too poor"], kinds
             ),
-            _format_table(["day", "worst windows", "not served"], moments),
+            _format_table(["day", "worst windows", "not served"], window_rows),
         )
     )
 
