--- a/lab/experiments/__init__.py
+++ b/lab/experiments/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments: one module each, with `run(seed) -> Result`."""
+"""Experiments, one in each module, with a function `run(seed) -> Result`."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """What one run of an experiment gave.
+    """Results of one run of an experiment.
 
     Attributes:
         name: Name of the experiment.
-        seed: Seed of all randomness.
-        baseline: Figures of the naive version, on the same work.
+        seed: Seed of all random choices.
+        baseline: Figures of the naive implementation under the same workload.
         lovagestage: Figures of the product.
-        ratio: The figure that the goal is about: product over baseline.
-        ok: Whether every goal of the experiment was met.
-        notes: What was run: sizes, ranges, units.
+        ratio: Figure that the goal refers to, usually product divided by
+            baseline.
+        ok: Whether all goals of the experiment were met.
+        notes: Parameters of the run, such as sizes, ranges and units.
     """
 
     name: str
--- a/lab/experiments/capacity.py
+++ b/lab/experiments/capacity.py
@@ -1,11 +1,12 @@
-"""Slopes of the product's costs, from which docs/CAPACITY.md is worked out.
+"""Measures how the product's costs grow with size, for docs/CAPACITY.md.
 
 Each slope is fitted by least squares over several sizes; the residual is the
-largest distance of a measured point from the line, in the point's unit.
+largest distance of a measured point from the line, in the unit of the point.
 
-Links are measured on a real entry process that follows N sidecars, played by
-listeners in this process behind byte-counting relays; memory and processor
-time of the state are measured on the real objects in this process.
+The costs of links are measured on a real entry process that is connected to N
+sidecars, simulated by listeners in this process behind byte-counting relays.
+Memory and CPU time of the state are measured on the real objects in this
+process.
 """
 
 from __future__ import annotations
@@ -64,14 +65,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Slope:
-    """A fitted line.
+    """A line fitted to measured points.
 
     Attributes:
-        unit: Unit of the measured values, and of what they are counted by.
-        base: Value at zero.
-        slope: Value for each one more.
-        residual: Largest distance of a point from the line.
-        points: Sizes and values as measured.
+        unit: Unit of the measured values, and of the sizes after a slash.
+        base: Value of the line at size zero.
+        slope: Increase of the value for each unit of size.
+        residual: Largest distance of a measured point from the line.
+        points: Sizes and the values measured at them.
     """
 
     unit: str
@@ -82,7 +83,7 @@
 
 
 def run(seed: int) -> Result:
-    """Measures all slopes."""
+    """Measures all slopes; the result is ok if each of them has points."""
     rng = random.Random(seed)
     slopes = {
         "state_bytes_by_workspace": fit(
@@ -121,13 +122,19 @@
 def fit(
     unit: str, counts: tuple[int, ...], measure: Callable[[int], float]
 ) -> Slope:
-    """Measures at each count and fits a line."""
+    """Measures the cost at each size and fits a line.
+
+    Args:
+        unit: Unit of the slope.
+        counts: Sizes to measure at.
+        measure: Returns the cost at a size.
+    """
     points = [(float(count), float(measure(count))) for count in counts]
     return fit_points(unit, points)
 
 
 def fit_points(unit: str, points: list[tuple[float, float]]) -> Slope:
-    """Fits a line through measured points."""
+    """Fits a line to measured points by least squares."""
     x = np.array([point[0] for point in points])
     y = np.array([point[1] for point in points])
     slope, base = np.polyfit(x, y, 1)
@@ -136,7 +143,12 @@
 
 
 def make_document(workspaces: int, versions: int) -> ServiceDocument:
-    """A document of a given size."""
+    """Returns a service document with the given numbers of parts.
+
+    Args:
+        workspaces: Number of workspaces.
+        versions: Number of model versions.
+    """
     names = [f"model-{n // 2}@{n % 2}" for n in range(versions)]
     return ServiceDocument(
         ServiceId("service"),
@@ -171,10 +183,10 @@
     tracemalloc.start()
     state = ControlState()
     state.apply(state.next_offset, data)
-    size_bytes, _ = tracemalloc.get_traced_memory()
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert state.services
-    return float(size_bytes)
+    return float(allocated_bytes)
 
 
 def _get_workspace_bytes(count: int) -> float:
@@ -221,7 +233,11 @@
 def _measure_links(
     name: str, bus_options: dict[str, float]
 ) -> dict[str, Slope]:
-    """Fits the costs of links; a busy one beats like an unanswered one."""
+    """Measures and fits the costs of links between an entry and sidecars.
+
+    Busy links send heartbeats at the interval of a link that is in use or has
+    an unanswered heartbeat.
+    """
     cpu, received, sent, memory = [], [], [], []
     for count in LINK_COUNTS:
         with Fleet(SHAPE, bus_options=bus_options) as fleet:
@@ -251,7 +267,7 @@
 
 
 class _Relay:
-    """Passes bytes between an entry and one sidecar, and counts them."""
+    """Forwards bytes between an entry and one sidecar, and counts them."""
 
     def __init__(self, port: int) -> None:
         self.to_entry = 0
@@ -270,14 +286,16 @@
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        far_reader, far_writer = await asyncio.open_connection(HOST, self._port)
+        target_reader, target_writer = await asyncio.open_connection(
+            HOST, self._port
+        )
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(
-                self._pass(reader, far_writer, False),
-                self._pass(far_reader, writer, True),
+                self._forward(reader, target_writer, False),
+                self._forward(target_reader, writer, True),
             )
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -292,8 +310,8 @@
         writer.close()
 
 
-class _PlayedSidecar:
-    """Answers an entry's heartbeats as the product does."""
+class _SimulatedSidecar:
+    """Answers the entry's messages as a real sidecar does."""
 
     def __init__(
         self, context: zmq.Context[zmq.Socket[bytes]], bus: BusSettings, n: int
@@ -307,7 +325,7 @@
             heartbeat = self._make_heartbeat(message.sequence)
             self.listener.send(peer, shorten(heartbeat, message))
 
-    def _make_heartbeat(self, heard_sequence: int) -> Heartbeat:
+    def _make_heartbeat(self, received_sequence: int) -> Heartbeat:
         self._sequence += 1
         versions = ["small@1", "large@1", "large@2"]
         return Heartbeat(
@@ -323,7 +341,7 @@
             21.5,
             100_000,
             86_400_000,
-            heard_sequence,
+            received_sequence,
             get_state_hash(self._vm, _ZONE, versions),
         )
 
@@ -333,13 +351,13 @@
     sidecars, relays = [], []
     for number in range(count):
         bus = fleet.settings.make_bus_settings(get_free_port())
-        sidecars.append(_PlayedSidecar(context, bus, number))
+        sidecars.append(_SimulatedSidecar(context, bus, number))
         relay = _Relay(int(bus.bind.rpartition(":")[2]))
         port = await relay.start()
         relays.append(relay)
-        await asyncio.to_thread(_tell_vm, fleet, number, port)
+        await asyncio.to_thread(_publish_vm, fleet, number, port)
     await asyncio.sleep(SETTLE_S)
-    figures = await _read_figures(fleet, relays)
+    figures = await _measure_figures(fleet, relays)
     for relay in relays:
         relay.stop()
     for sidecar in sidecars:
@@ -348,7 +366,7 @@
     return figures
 
 
-async def _read_figures(fleet: Fleet, relays: list[_Relay]) -> _LinkFigures:
+async def _measure_figures(fleet: Fleet, relays: list[_Relay]) -> _LinkFigures:
     pid = fleet.entries[0].process.pid
     before = get_usage(pid)
     received = sum(relay.to_entry for relay in relays)
@@ -363,7 +381,7 @@
     )
 
 
-def _tell_vm(fleet: Fleet, number: int, port: int) -> None:
+def _publish_vm(fleet: Fleet, number: int, port: int) -> None:
     name = f"played-{number}"
     fleet.tell_vm(
         name,
--- a/lab/experiments/config.py
+++ b/lab/experiments/config.py
@@ -1,8 +1,9 @@
-"""Seconds from append to in force, bytes and CPU, over many readers.
+"""Measures configuration delays, bytes and CPU time over many readers.
 
-The product's readers get each record once through a waiting read. The
-baseline's readers each poll all whole documents, at the period that keeps
-the same bound on the time to be in force.
+The delay of a change is the time from its append until a reader has it in
+force. The product's readers receive each record once, by long polling. Each of
+the baseline's readers polls all documents in full, at the interval that keeps
+the same bound on the delay.
 """
 
 from __future__ import annotations
@@ -44,7 +45,12 @@
 
 
 def make_document(service: ServiceId, number: int) -> bytes:
-    """A document of a realistic size: ten workspaces, two versions."""
+    """Returns a document of realistic size: ten workspaces, two versions.
+
+    Args:
+        service: Service that the document describes.
+        number: Number that distinguishes the document's content.
+    """
     version = {"price": 1.0, "capacity_tokens_per_s": 1000.0}
     return msgspec.json.encode(
         {
@@ -67,7 +73,7 @@
 
 
 class _Meter:
-    """Counts bytes that readers receive and times to be in force."""
+    """Records the bytes that readers receive and the delays of changes."""
 
     def __init__(self) -> None:
         self.received_bytes = 0
@@ -75,64 +81,85 @@
         self.delays_s: list[float] = []
 
     def make_session(self) -> aiohttp.ClientSession:
-        """A client whose received bytes are counted, headers included."""
+        """Returns a client session that counts received bytes, with headers."""
         trace = aiohttp.TraceConfig()
         trace.on_response_chunk_received.append(self._on_chunk)
-        trace.on_request_end.append(self._on_end)
+        trace.on_request_end.append(self._on_headers)
         connector = aiohttp.TCPConnector(limit=0)
         return aiohttp.ClientSession(connector=connector, trace_configs=[trace])
 
-    def see(
+    def record_revisions(
         self,
-        known: dict[ServiceId, int],
+        seen_revisions: dict[ServiceId, int],
         services: dict[ServiceId, ServiceInForce],
     ) -> None:
-        """Notes the revisions that a reader sees for the first time."""
+        """Records the delay of each revision that is new to a reader.
+
+        Args:
+            seen_revisions: The newest revision that the reader has seen, by
+                service; updated in place.
+            services: The documents that the reader has in force.
+        """
         now_s = time.monotonic()
-        for name, held in services.items():
-            for revision in range(known.get(name, 0) + 1, held.revision + 1):
+        for name, in_force in services.items():
+            for revision in range(
+                seen_revisions.get(name, 0) + 1, in_force.revision + 1
+            ):
                 appended_s = self.appended_s.get((name, revision))
                 if appended_s is not None:
                     self.delays_s.append(now_s - appended_s)
-            known[name] = held.revision
+            seen_revisions[name] = in_force.revision
 
     async def _on_chunk(self, *args: Any) -> None:
         self.received_bytes += len(args[2].chunk)
 
-    async def _on_end(self, *args: Any) -> None:
+    async def _on_headers(self, *args: Any) -> None:
         headers = args[2].response.raw_headers
         self.received_bytes += sum(len(k) + len(v) + 4 for k, v in headers)
 
 
 class _Follower:
-    """One of the product's readers."""
+    """One of the product's readers, whose changes are recorded."""
 
     def __init__(self, meter: _Meter, reader: ControlReader) -> None:
         self.reader = reader
         self._meter = meter
-        self._known: dict[ServiceId, int] = {}
+        self._seen_revisions: dict[ServiceId, int] = {}
         reader.subscribe(self._on_change)
 
     def _on_change(self) -> None:
-        self._meter.see(self._known, self.reader.folded.services)
+        self._meter.record_revisions(
+            self._seen_revisions, self.reader.folded.services
+        )
 
 
 async def _poll(
     meter: _Meter, session: aiohttp.ClientSession, url: str, phase_s: float
 ) -> None:
-    """One of the baseline's readers: all documents, each time."""
-    known: dict[ServiceId, int] = {}
+    """Polls all documents, as one of the baseline's readers.
+
+    Args:
+        meter: Records the delays of changes.
+        session: Client session to poll with.
+        url: URL of the documents.
+        phase_s: Delay in seconds before the first poll.
+    """
+    seen_revisions: dict[ServiceId, int] = {}
     await asyncio.sleep(phase_s)
     while True:
         async with session.get(url) as response:
-            form = msgspec.json.decode(await response.read())
+            listing = msgspec.json.decode(await response.read())
         services = {
             ServiceId(name): ServiceInForce(
-                held["revision"], held["document"], b"", held["offset"], {}
+                in_force["revision"],
+                in_force["document"],
+                b"",
+                in_force["offset"],
+                {},
             )
-            for name, held in form.items()
+            for name, in_force in listing.items()
         }
-        meter.see(known, services)
+        meter.record_revisions(seen_revisions, services)
         await asyncio.sleep(POLL_S)
 
 
@@ -141,11 +168,11 @@
         del request
         body = {
             name: {
-                "revision": held.revision,
-                "offset": held.offset,
-                "document": held.document,
+                "revision": in_force.revision,
+                "offset": in_force.offset,
+                "document": in_force.document,
             }
-            for name, held in control.folded.services.items()
+            for name, in_force in control.folded.services.items()
         }
         return web.Response(body=msgspec.json.encode(body))
 
@@ -163,10 +190,10 @@
         await runner.cleanup()
 
 
-async def _change(
+async def _append_changes(
     meter: _Meter, writer: ControlWriter, rng: random.Random
 ) -> None:
-    """Appends changes at random times; the first of each service before."""
+    """Creates each service's document, then appends changes at random times."""
     revisions = dict.fromkeys(range(SERVICES), 0)
     for number in range(SERVICES + CHANGES):
         index = number if number < SERVICES else rng.randrange(SERVICES)
@@ -206,7 +233,7 @@
             started_s = time.monotonic()
             cpu_s = time.process_time()
             writer = ControlWriter(log, control)
-            await _change(meter, writer, random.Random(seed))
+            await _append_changes(meter, writer, random.Random(seed))
             await _wait_for_delays(meter, readers * CHANGES)
             elapsed_s = time.monotonic() - started_s
             cpu_s = time.process_time() - cpu_s
@@ -288,18 +315,22 @@
 
 
 def run(seed: int, readers: int = READERS) -> Result:
-    """Runs both on the same changes.
+    """Runs the product and the baseline on the same changes.
+
+    Readers, log and writer share one process, so the CPU time per reader
+    includes the cost of serving that reader.
 
-    Readers, log and writer share one process, so CPU a reader includes the
-    reader's share of serving it.
+    Args:
+        seed: Seed of all random choices.
+        readers: Number of readers.
     """
     product = asyncio.run(_measure(readers, seed, _start_followers(readers)))
     baseline = asyncio.run(
         _measure(readers, seed, _start_pollers(readers, seed))
     )
     per_change = product["bytes_per_reader"] / (CHANGES + SERVICES)
-    # A waiting read without a record answers headers alone; counting it as
-    # large as a change gives an upper bound.
+    # A long poll that returns no record transfers only headers. Counting it
+    # as large as a change gives an upper bound.
     day_bytes_per_s = per_change * (CHANGES_PER_DAY / DAY_S + 1 / READ_WAIT_S)
     ratio = day_bytes_per_s / baseline["bytes_per_s_per_reader"]
     ok = (
--- a/lab/experiments/cost.py
+++ b/lab/experiments/cost.py
@@ -1,12 +1,14 @@
-"""Cost at a quality target: learned plans against the best model always.
-
-Generating model, in four shapes: a request has a latent difficulty, seen
-only through its prompt's length, with noise. Each version has a skill; its
-answer's true rating falls with difficulty beyond the skill. The rater sees a
-sample, late, with noise of its own. An answer is flagged doubtful (cut off,
-refused) more often where it is poor. The learner is given lengths, flags,
-and the sampled ratings when they arrive; the oracle is given every true
-rating, and the best fixed threshold is chosen in hindsight on the same trace.
+"""Compares the cost of learned plans with that of always using the best model.
+
+Both have to reach a quality target. Traces come from a generative model with
+four sets of parameters: a request has a latent difficulty, observable only
+through the length of its prompt, with noise. Each model version has a skill;
+the true rating of its answer falls as the difficulty exceeds the skill. The
+rater rates a sample of the answers, after a delay and with noise of its own.
+Poor answers are more likely to be flagged as doubtful (truncated, refused).
+The learner receives prompt lengths, flags and the sampled ratings when they
+arrive. The oracle knows every true rating, and the best fixed threshold is
+chosen in hindsight on the same trace.
 """
 
 from __future__ import annotations
@@ -54,14 +56,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """Parameters of a generating model.
+    """Parameters of the generative model of a trace.
 
     Attributes:
-        difficulty: Draws latent difficulties, 0 easy to 1 hard.
-        skills: Skill of each version.
-        slope: Rating lost per difficulty beyond the skill.
-        length_noise: Deviation of the length feature, in doublings.
-        drift: Difficulty added over the whole trace.
+        difficulty: Draws latent difficulties, from 0 (easy) to 1 (hard).
+        skills: Skill of each model version.
+        slope: Loss of rating for each unit of difficulty above the skill.
+        length_noise: Standard deviation of the prompt length, in doublings.
+        drift: Increase of the difficulty over the whole trace.
     """
 
     difficulty: Callable[[np.random.Generator, int], Floats]
@@ -88,14 +90,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Trace:
-    """All that is true of a trace; rows are requests, columns versions.
+    """Ground truth of a trace; rows are requests, columns are versions.
 
     Attributes:
-        prompt_bytes: Prompt lengths.
-        tokens: Tokens of an answer, in thousands.
-        scores: True ratings.
-        doubtful: Whether each answer is flagged.
-        target: The team's quality target.
+        prompt_bytes: Prompt lengths in bytes.
+        tokens: Tokens of each request's answer, in thousands.
+        scores: True rating of each answer, 0 to 1.
+        doubtful: Whether each answer is flagged as doubtful.
+        target: Quality target of the team: the minimum mean rating.
     """
 
     prompt_bytes: Floats
@@ -107,7 +109,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """One seed: costs are parts of the best model's cost."""
+    """Results of one trace; costs are relative to always using the best model.
+
+    Attributes:
+        shape: Index of the generative model's parameters in `SHAPES`.
+        cost: Cost of the learned plans.
+        quality: Mean true rating under the learned plans.
+        target: Quality target.
+        threshold_cost: Cost of the best fixed length thresholds.
+        oracle_cost: Cost with all true ratings known.
+        wire_bytes_per_s: Bytes a second of learned deltas that each entry
+            receives from the other entries.
+    """
 
     shape: int
     cost: float
@@ -119,25 +132,31 @@
 
 
 def make_trace(seed: int) -> Trace:
-    """Draws a trace; the shape goes round with the seed."""
+    """Draws a trace; the seed selects the parameters in turn."""
     rng = np.random.default_rng(seed)
     shape = SHAPES[seed % len(SHAPES)]
-    hard = shape.difficulty(rng, REQUESTS)
-    hard = hard + shape.drift * np.linspace(0, 1, REQUESTS)
+    difficulties = shape.difficulty(rng, REQUESTS)
+    difficulties = difficulties + shape.drift * np.linspace(0, 1, REQUESTS)
     noise = rng.normal(0, shape.length_noise, REQUESTS)
-    prompt_bytes = 128.0 * 2.0 ** np.clip(7.5 * hard + noise, 0, 12)
-    gaps = np.maximum(0.0, hard[:, None] - np.array(shape.skills)[None, :])
-    own = rng.normal(0, 0.06, gaps.shape)
-    scores = np.clip(0.92 - shape.slope * gaps + own, 0, 1)
-    chance = np.clip(0.03 + 1.4 * (0.85 - scores), 0.02, 0.9)
-    doubtful = rng.random(gaps.shape) < chance
+    prompt_bytes = 128.0 * 2.0 ** np.clip(7.5 * difficulties + noise, 0, 12)
+    shortfalls = np.maximum(
+        0.0, difficulties[:, None] - np.array(shape.skills)[None, :]
+    )
+    score_noise = rng.normal(0, 0.06, shortfalls.shape)
+    scores = np.clip(0.92 - shape.slope * shortfalls + score_noise, 0, 1)
+    flag_probabilities = np.clip(0.03 + 1.4 * (0.85 - scores), 0.02, 0.9)
+    doubtful = rng.random(shortfalls.shape) < flag_probabilities
     tokens = rng.gamma(2.0, 0.1, REQUESTS)
     target = float(scores[:, -1].mean()) - TARGET_BELOW_BEST
     return Trace(prompt_bytes, tokens, scores, doubtful, target)
 
 
 def get_threshold_cost(trace: Trace) -> float:
-    """Cheapest pair of length thresholds, with or without escalation."""
+    """Returns the cost of the cheapest pair of prompt length thresholds.
+
+    Pairs with and without escalation of doubtful answers are tried. Without a
+    pair that reaches the target, the cost is that of the best model.
+    """
     order = np.argsort(trace.prompt_bytes)
     costs = trace.tokens[:, None] * PRICES[None, :]
     steps = np.linspace(0, REQUESTS, 21).astype(int)
@@ -168,43 +187,49 @@
 
 
 def get_oracle_cost(trace: Trace) -> float:
-    """Least cost with every true rating known, by a multiplier."""
+    """Returns the least cost if every true rating is known.
+
+    The optimum is found by bisection of a Lagrange multiplier on quality.
+    """
     costs = trace.tokens[:, None] * PRICES[None, :]
     rows = np.arange(REQUESTS)
     low, high = 0.0, 1e4
     for _ in range(50):
-        middle = (low + high) / 2
-        pick = (costs - middle * trace.scores).argmin(axis=1)
-        if trace.scores[rows, pick].mean() >= trace.target:
-            high = middle
+        multiplier = (low + high) / 2
+        choices = (costs - multiplier * trace.scores).argmin(axis=1)
+        if trace.scores[rows, choices].mean() >= trace.target:
+            high = multiplier
         else:
-            low = middle
-    pick = (costs - high * trace.scores).argmin(axis=1)
-    return float(costs[rows, pick].sum())
+            low = multiplier
+    choices = (costs - high * trace.scores).argmin(axis=1)
+    return float(costs[rows, choices].sum())
 
 
 def get_noise(score: float) -> float:
-    """Half width of the rater's noise, such that it is not biased."""
+    """Returns the half width of the rater's noise.
+
+    The noise is limited so that ratings stay within 0 to 1 without bias.
+    """
     return min(RATER_NOISE, score, 1.0 - score)
 
 
 class Fleet:
-    """Entries that learn and tell each other what they learned."""
+    """Entries that learn from ratings and exchange what they have learned."""
 
     def __init__(self, target: float) -> None:
         self._target = target
         self.learned = [Learned(VmId(f"e{i}"), 1) for i in range(ENTRIES)]
-        self.tables = [self._solve(one) for one in self.learned]
+        self.tables = [self._solve(learner) for learner in self.learned]
         self.wire_bytes = 0
 
     def refresh(self, now_s: float) -> None:
-        for one in self.learned:
-            one.set_window(int(now_s // WINDOW_S))
-            delta = one.make_delta()
+        for learner in self.learned:
+            learner.set_window(int(now_s // WINDOW_S))
+            delta = learner.make_delta()
             self.wire_bytes += len(msgspec.msgpack.encode(delta))
             for other in self.learned:
                 other.merge(delta)
-        self.tables = [self._solve(one) for one in self.learned]
+        self.tables = [self._solve(learner) for learner in self.learned]
 
     def _solve(self, learned: Learned) -> CascadeTable:
         sums = learned.get_sums()
@@ -212,7 +237,7 @@
 
 
 def run_seed(seed: int) -> Outcome:
-    """Runs one trace."""
+    """Simulates the requests of one trace under learned plans."""
     trace = make_trace(seed)
     rng = random.Random(seed)
     fleet = Fleet(trace.target)
@@ -231,27 +256,27 @@
         arm = Arm(CLASS, difficulty, plan)
         fleet.learned[entry].add_request(arm, spent)
         if rng.random() < SAMPLE_RATIO:
-            seen = score + rng.uniform(-1, 1) * get_noise(score)
+            noisy_score = score + rng.uniform(-1, 1) * get_noise(score)
             due_s = now_s + 10.0 + rng.expovariate(1.0 / DELAY_S)
-            heapq.heappush(ratings, (due_s, entry, arm, seen))
+            heapq.heappush(ratings, (due_s, entry, arm, noisy_score))
         while ratings and ratings[0][0] <= now_s:
             _, owner, rated, value = heapq.heappop(ratings)
             fleet.learned[owner].add_rating(rated, value)
-    full = float((trace.tokens * PRICES[2]).sum())
-    sent = fleet.wire_bytes * (ENTRIES - 1) / ENTRIES
+    best_model_cost = float((trace.tokens * PRICES[2]).sum())
+    bytes_per_entry = fleet.wire_bytes * (ENTRIES - 1) / ENTRIES
     return Outcome(
         seed % len(SHAPES),
-        cost / full,
+        cost / best_model_cost,
         quality / REQUESTS,
         trace.target,
-        get_threshold_cost(trace) / full,
-        get_oracle_cost(trace) / full,
-        sent / (REQUESTS / RATE_PER_S),
+        get_threshold_cost(trace) / best_model_cost,
+        get_oracle_cost(trace) / best_model_cost,
+        bytes_per_entry / (REQUESTS / RATE_PER_S),
     )
 
 
 def run_plan(trace: Trace, index: int, plan: Plan) -> tuple[float, float]:
-    """Cost and true rating of one request."""
+    """Returns the cost and the true rating of one request under a plan."""
     column = VERSIONS.index(plan.start)
     spent = trace.tokens[index] * PRICES[column]
     if may_escalate(plan, bool(trace.doubtful[index, column]), 0.0, 1.0):
@@ -261,42 +286,57 @@
 
 
 def run(seed: int) -> Result:
-    """Runs a hundred traces."""
+    """Runs a hundred traces and summarizes their results."""
     seeds = range(seed * 1000, seed * 1000 + SEEDS)
     with ProcessPoolExecutor(PROCESSES) as pool:
-        ends = list(pool.map(run_seed, seeds, chunksize=4))
-    met = sum(e.quality >= e.target for e in ends) / SEEDS
-    ratio = sum(e.cost for e in ends) / SEEDS
-    threshold = sum(e.threshold_cost for e in ends) / SEEDS
-    gap = ratio / threshold - 1.0
-    by_shape = [[e for e in ends if e.shape == s] for s in range(len(SHAPES))]
+        outcomes = list(pool.map(run_seed, seeds, chunksize=4))
+    target_met_ratio = (
+        sum(outcome.quality >= outcome.target for outcome in outcomes) / SEEDS
+    )
+    ratio = sum(outcome.cost for outcome in outcomes) / SEEDS
+    threshold_cost = sum(outcome.threshold_cost for outcome in outcomes) / SEEDS
+    gap = ratio / threshold_cost - 1.0
+    by_shape = [
+        [outcome for outcome in outcomes if outcome.shape == s]
+        for s in range(len(SHAPES))
+    ]
     return Result(
         "cost",
         seed,
         {
             "cost": 1.0,
-            "best_threshold_cost": threshold,
-            "oracle_cost": sum(e.oracle_cost for e in ends) / SEEDS,
+            "best_threshold_cost": threshold_cost,
+            "oracle_cost": sum(outcome.oracle_cost for outcome in outcomes)
+            / SEEDS,
         },
         {
             "cost": ratio,
-            "target_met": met,
+            "target_met": target_met_ratio,
             "gap_to_threshold": gap,
-            "wire_bytes_per_s": max(e.wire_bytes_per_s for e in ends),
-            "mean_margin": sum(e.quality - e.target for e in ends) / SEEDS,
+            "wire_bytes_per_s": max(
+                outcome.wire_bytes_per_s for outcome in outcomes
+            ),
+            "mean_margin": sum(
+                outcome.quality - outcome.target for outcome in outcomes
+            )
+            / SEEDS,
         },
         ratio,
-        ratio <= GOAL_COST and met >= GOAL_MET and gap <= GOAL_THRESHOLD_GAP,
+        ratio <= GOAL_COST
+        and target_met_ratio >= GOAL_MET
+        and gap <= GOAL_THRESHOLD_GAP,
         {
             "seeds": SEEDS,
             "cost_by_shape": [
-                sum(e.cost for e in s) / len(s) for s in by_shape
+                sum(outcome.cost for outcome in s) / len(s) for s in by_shape
             ],
             "threshold_by_shape": [
-                sum(e.threshold_cost for e in s) / len(s) for s in by_shape
+                sum(outcome.threshold_cost for outcome in s) / len(s)
+                for s in by_shape
             ],
             "met_by_shape": [
-                sum(e.quality >= e.target for e in s) / len(s) for s in by_shape
+                sum(outcome.quality >= outcome.target for outcome in s) / len(s)
+                for s in by_shape
             ],
         },
     )
--- a/lab/experiments/exposure.py
+++ b/lab/experiments/exposure.py
@@ -1,10 +1,10 @@
-"""Requests answered by a version that is bad or turns bad in a roll-out.
+"""Counts requests answered by a version that is or becomes bad in a roll-out.
 
-The product's gates, one per entry with lossy messages between them, run on
-the same trace as a staged canary with fixed thresholds. The canary is given
+The product's exposure gates, one per entry with lossy messages between them,
+run on the same trace as a staged canary with fixed thresholds. The canary gets
 the best of several thresholds in hindsight: the one with the least exposure
-among those whose false stops stay at or under 1%, or else with the fewest
-false stops.
+among those with at most 1% false stops, or else the one with the fewest false
+stops.
 """
 
 from __future__ import annotations
@@ -33,8 +33,11 @@
 MESSAGE_LOSS = 0.05
 BASE_FAILURE_RATIO = 0.005
 DIURNAL_DROP = 0.05
-"""Both versions' ratings fall by so much and rise again in the trace."""
-TURN_S = (300, 3600)
+"""Maximum drop of both versions' ratings in the middle of the trace.
+
+The ratings fall and rise again in half a sine wave.
+"""
+BAD_FROM_S = (300, 3600)
 STEP_S = 300
 SPEC = RolloutSpec(
     "m@1",
@@ -54,11 +57,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class CanaryRule:
-    """When the canary stops.
+    """Thresholds at which the canary stops a roll-out.
 
     Attributes:
-        max_drop: Drop of the mean rating.
-        min_ratings: Ratings of the new version in one comparison.
+        max_drop: Drop of the mean rating above which the roll-out is stopped.
+        min_ratings: Minimum number of ratings of the new version in one
+            comparison.
     """
 
     max_drop: float
@@ -72,16 +76,21 @@
     CanaryRule(0.06, 100),
     CanaryRule(0.04, 300),
 )
-"""The last are the slow and sure ones: none is a straw man by its noise."""
+"""Rules that the canary may choose from in hindsight.
+
+The last two compare more ratings, so they are slower but less affected by
+noise: the baseline is not weakened by noisy comparisons.
+"""
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """How a version is bad.
+    """Defect of a model version.
 
     Attributes:
-        failure_ratio: Requests that crash or are refused by the model.
-        drop_ratio: Part of the mean rating that is lost.
+        failure_ratio: Ratio of requests that crash or are refused by the
+            model.
+        drop_ratio: Ratio by which ratings are reduced.
     """
 
     failure_ratio: float = BASE_FAILURE_RATIO
@@ -99,17 +108,17 @@
 
 
 def score_uniform(rng: random.Random) -> float:
-    """Rating of a good answer; mean 0.8."""
+    """Draws a uniform rating of a good answer; mean 0.8."""
     return rng.uniform(0.6, 1.0)
 
 
 def score_skewed(rng: random.Random) -> float:
-    """Rating with a long tail of poor answers; mean 0.8."""
+    """Draws a rating with a long tail of poor answers; mean 0.8."""
     return rng.betavariate(4.0, 1.0)
 
 
 def score_mixed(rng: random.Random) -> float:
-    """Easy and hard requests in one class; mean 0.8."""
+    """Draws a rating from a mix of easy and hard requests; mean 0.8."""
     mean = 0.9 if rng.random() < 0.7 else 0.567
     return min(1.0, max(0.0, rng.gauss(mean, 0.08)))
 
@@ -126,35 +135,36 @@
     """One roll-out under one policy.
 
     Attributes:
-        fault: Name of the fault.
-        turns_s: When the version turns bad.
+        fault: Name of the new version's fault in `FAULTS`.
+        bad_from_s: Time in seconds from which the new version has the fault.
         seed: Seed of the trace.
-        rule: The canary's rule; None runs the product.
+        rule: Rule of the canary; None runs the product instead.
     """
 
     fault: str
-    turns_s: float
+    bad_from_s: float
     seed: int
     rule: CanaryRule | None
 
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """What became of one roll-out.
+    """Result of one roll-out.
 
     Attributes:
-        exposed: Requests answered by the version after it turned bad.
-        stopped: Whether it was stopped.
-        full_s: When it had passed all steps; -1 where it has not.
+        exposed: Requests assigned to the new version after it turned bad.
+        stopped: Whether the roll-out was stopped.
+        completed_s: Time in seconds at which the roll-out passed its last
+            step; -1 if it did not.
     """
 
     exposed: int
     stopped: bool
-    full_s: float
+    completed_s: float
 
 
 class Gates:
-    """The product: a gate in each entry and messages between them."""
+    """The product's policy: one gate per entry, and messages between them."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -167,8 +177,10 @@
     def assign(self, entry: int) -> Assignment:
         return self._gates[entry].assign(self._rng)
 
-    def add_outcome(self, entry: int, how: Assignment, failed: bool) -> None:
-        self._gates[entry].add_outcome(how, failed)
+    def add_outcome(
+        self, entry: int, assignment: Assignment, failed: bool
+    ) -> None:
+        self._gates[entry].add_outcome(assignment, failed)
 
     def add_rating(self, entry: int, is_new: bool, score: float) -> None:
         self._gates[entry].add_rating(is_new, score)
@@ -177,19 +189,22 @@
         for gate in self._gates:
             gate.advance(now_s)
             evidence = gate.make_evidence()
-            for other in self._gates:
+            for receiver in self._gates:
                 if self._rng.random() >= MESSAGE_LOSS:
-                    other.absorb(evidence)
+                    receiver.absorb(evidence)
 
     def is_stopped(self) -> bool:
         return all(g.stop_reason is not None for g in self._gates)
 
-    def is_full(self) -> bool:
+    def is_complete(self) -> bool:
         return all(g.step >= len(SPEC.steps) for g in self._gates)
 
 
 class Canary:
-    """Staged roll-out with fixed thresholds, checked every minute."""
+    """The baseline's policy: staged roll-out with fixed thresholds.
+
+    The thresholds are checked every `CANARY_CHECK_S`, that is each minute.
+    """
 
     def __init__(self, rng: random.Random, rule: CanaryRule) -> None:
         self._rng = rng
@@ -197,7 +212,7 @@
         self._step = 0
         self._stopped = False
         self._scores: dict[bool, list[float]] = {False: [], True: []}
-        self._ends = {False: [0, 0], True: [0, 0]}
+        self._failure_counts = {False: [0, 0], True: [0, 0]}
 
     def assign(self, entry: int) -> Assignment:
         del entry
@@ -205,10 +220,12 @@
         share = 0.0 if self._stopped else steps[min(self._step, 3)]
         return Assignment(self._rng.random() < share, share)
 
-    def add_outcome(self, entry: int, how: Assignment, failed: bool) -> None:
+    def add_outcome(
+        self, entry: int, assignment: Assignment, failed: bool
+    ) -> None:
         del entry
-        self._ends[how.is_new][0] += failed
-        self._ends[how.is_new][1] += 1
+        self._failure_counts[assignment.is_new][0] += failed
+        self._failure_counts[assignment.is_new][1] += 1
 
     def add_rating(self, entry: int, is_new: bool, score: float) -> None:
         del entry
@@ -223,12 +240,14 @@
             self._step = min(self._step + 1, len(SPEC.steps))
 
     def _check_failures(self) -> None:
-        rates = {new: f / max(1, n) for new, (f, n) in self._ends.items()}
+        rates = {
+            new: f / max(1, n) for new, (f, n) in self._failure_counts.items()
+        }
         if rates[True] > rates[False] + CANARY_FAILURE_RISE:
             self._stopped = self._stopped or (
-                self._ends[True][1] >= CANARY_MIN_FAILURES
+                self._failure_counts[True][1] >= CANARY_MIN_FAILURES
             )
-        self._ends[True] = [0, 0]
+        self._failure_counts[True] = [0, 0]
 
     def _check_scores(self) -> None:
         old, new = self._scores[False][-1000:], self._scores[True]
@@ -241,56 +260,67 @@
     def is_stopped(self) -> bool:
         return self._stopped
 
-    def is_full(self) -> bool:
+    def is_complete(self) -> bool:
         return self._step >= len(SPEC.steps)
 
 
 def run_job(job: Job) -> Outcome:
-    """Runs one roll-out.
+    """Simulates one roll-out.
 
-    Scores, failures, samples and delays come from the trace's own source of
-    randomness, so that both policies see the same requests.
+    Scores, failures, samples and delays are drawn from the trace's own random
+    generator, so that both policies process the same requests.
     """
     trace = random.Random(job.seed)
     rng = random.Random(job.seed + 1)
     policy = Canary(rng, job.rule) if job.rule else Gates(rng)
     shape = SHAPES[job.seed % len(SHAPES)]
-    fault, good = FAULTS[job.fault], FAULTS[GOOD]
+    fault, no_fault = FAULTS[job.fault], FAULTS[GOOD]
     entries = range(len(ENTRY_SHARES))
-    ends: list[tuple[float, int, int, Assignment, bool]] = []
-    ratings: list[tuple[float, int, int, bool, float]] = []
-    exposed, count, full_s = 0, 0, -1.0
+    pending_outcomes: list[tuple[float, int, int, Assignment, bool]] = []
+    pending_ratings: list[tuple[float, int, int, bool, float]] = []
+    exposed, count, completed_s = 0, 0, -1.0
     for now_s in range(DURATION_S):
-        low = DIURNAL_DROP * math.sin(math.pi * now_s / DURATION_S)
+        rating_dip = DIURNAL_DROP * math.sin(math.pi * now_s / DURATION_S)
         for entry in trace.choices(entries, ENTRY_SHARES, k=RATE_PER_S):
             count += 1
-            luck, base = trace.random(), shape(trace)
+            failure_draw, base = trace.random(), shape(trace)
             sampled = trace.random() < SAMPLE_RATIO
             delay_s = 10.0 + trace.expovariate(1.0 / RATING_DELAY_S)
-            how = policy.assign(entry)
-            bad = how.is_new and now_s >= job.turns_s
-            exposed += bad
-            now = fault if bad else good
-            failed = luck < now.failure_ratio
-            heapq.heappush(ends, (now_s + ANSWER_S, count, entry, how, failed))
+            assignment = policy.assign(entry)
+            is_bad = assignment.is_new and now_s >= job.bad_from_s
+            exposed += is_bad
+            current_fault = fault if is_bad else no_fault
+            failed = failure_draw < current_fault.failure_ratio
+            heapq.heappush(
+                pending_outcomes,
+                (now_s + ANSWER_S, count, entry, assignment, failed),
+            )
             if sampled and not failed:
-                score = max(0.0, base * (1.0 - now.drop_ratio) - low)
-                due = (now_s + delay_s, count, entry, how.is_new, score)
-                heapq.heappush(ratings, due)
-        while ends and ends[0][0] <= now_s:
-            policy.add_outcome(*heapq.heappop(ends)[2:])
-        while ratings and ratings[0][0] <= now_s:
-            policy.add_rating(*heapq.heappop(ratings)[2:])
+                score = max(
+                    0.0, base * (1.0 - current_fault.drop_ratio) - rating_dip
+                )
+                pending_rating = (
+                    now_s + delay_s,
+                    count,
+                    entry,
+                    assignment.is_new,
+                    score,
+                )
+                heapq.heappush(pending_ratings, pending_rating)
+        while pending_outcomes and pending_outcomes[0][0] <= now_s:
+            policy.add_outcome(*heapq.heappop(pending_outcomes)[2:])
+        while pending_ratings and pending_ratings[0][0] <= now_s:
+            policy.add_rating(*heapq.heappop(pending_ratings)[2:])
         policy.tick(now_s)
-        if policy.is_full() and full_s < 0:
-            full_s = now_s
+        if policy.is_complete() and completed_s < 0:
+            completed_s = now_s
         if policy.is_stopped():
             break
-    return Outcome(exposed, policy.is_stopped(), full_s)
+    return Outcome(exposed, policy.is_stopped(), completed_s)
 
 
 def make_jobs(seed: int, rule: CanaryRule | None) -> list[Job]:
-    """All roll-outs of one policy; the same traces for each policy."""
+    """Returns all roll-outs of one policy; each policy gets the same traces."""
     start = seed * 100_000
     rng = random.Random(start)
     jobs = [
@@ -303,16 +333,16 @@
         for i in range(BAD_ROLLOUTS):
             trace = start + 50_000 + 10 * i + i % 3
             jobs.append(Job(fault, 0.0, trace, rule))
-            jobs.append(Job(fault, rng.uniform(*TURN_S), trace, rule))
+            jobs.append(Job(fault, rng.uniform(*BAD_FROM_S), trace, rule))
     return jobs
 
 
 def get_exposure(jobs: list[Job], outcomes: list[Outcome]) -> dict[str, float]:
-    """Mean exposed requests of a roll-out, by fault and when it set in."""
+    """Returns the mean exposed requests per roll-out, by fault and onset."""
     sums: dict[str, float] = {}
     for job, outcome in zip(jobs, outcomes, strict=True):
         if job.fault != GOOD:
-            when = "start" if job.turns_s == 0 else "midway"
+            when = "start" if job.bad_from_s == 0 else "midway"
             key = f"{job.fault}_{when}"
             sums[key] = sums.get(key, 0.0) + outcome.exposed / BAD_ROLLOUTS
     return sums
@@ -320,13 +350,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Figures:
-    """What all roll-outs of one policy gave.
+    """Summary of all roll-outs of one policy.
 
     Attributes:
-        false_stops: Part of the good roll-outs that were stopped.
-        finished: Part of the good roll-outs that passed all steps.
-        finished_median_s: When they had.
-        exposed: Mean exposed requests by fault and when it set in.
+        false_stops: Ratio of good roll-outs that were stopped.
+        finished: Ratio of good roll-outs that passed all steps unstopped.
+        finished_median_s: Median time in seconds at which these had passed
+            all steps; -1 if there are none.
+        exposed: Mean exposed requests per roll-out, by fault and its onset.
     """
 
     false_stops: float
@@ -335,24 +366,34 @@
     exposed: dict[str, float]
 
     def get_total(self) -> float:
-        """Sum over the faults."""
+        """Returns the sum of the mean exposed requests over all faults."""
         return sum(self.exposed.values())
 
 
 def make_figures(jobs: list[Job], outcomes: list[Outcome]) -> Figures:
-    """Sums up the outcomes of one policy."""
-    good = outcomes[:GOOD_ROLLOUTS]
-    full = sorted(o.full_s for o in good if o.full_s >= 0 and not o.stopped)
+    """Summarizes the outcomes of one policy."""
+    good_outcomes = outcomes[:GOOD_ROLLOUTS]
+    completion_times_s = sorted(
+        o.completed_s
+        for o in good_outcomes
+        if o.completed_s >= 0 and not o.stopped
+    )
     return Figures(
-        sum(o.stopped for o in good) / GOOD_ROLLOUTS,
-        len(full) / GOOD_ROLLOUTS,
-        full[len(full) // 2] if full else -1.0,
+        sum(o.stopped for o in good_outcomes) / GOOD_ROLLOUTS,
+        len(completion_times_s) / GOOD_ROLLOUTS,
+        completion_times_s[len(completion_times_s) // 2]
+        if completion_times_s
+        else -1.0,
         get_exposure(jobs, outcomes),
     )
 
 
 def get_rank(figures: Figures) -> tuple[float, float]:
-    """The canary's order: no more false stops than the goal, then exposure."""
+    """Returns the sort key that selects the canary's best rule.
+
+    Rules with fewer false stops come first, where all ratios up to the goal
+    count as equal; among these, the least exposure wins.
+    """
     return (
         max(GOAL_FALSE_STOPS, figures.false_stops),
         figures.get_total(),
@@ -360,7 +401,11 @@
 
 
 def run(seed: int) -> Result:
-    """Runs all roll-outs; a ratio of sums over all faults."""
+    """Runs all roll-outs of the product and of each rule of the canary.
+
+    The ratio is the product's exposure divided by the canary's, each summed
+    over all faults.
+    """
     rules: tuple[CanaryRule | None, ...] = (None, *CANARY_RULES)
     groups = [make_jobs(seed, rule) for rule in rules]
     with ProcessPoolExecutor(PROCESSES) as pool:
@@ -369,23 +414,23 @@
     all_figures = [
         make_figures(group, [next(outcomes) for _ in group]) for group in groups
     ]
-    mine, canaries = all_figures[0], all_figures[1:]
-    theirs = min(canaries, key=get_rank)
-    best = CANARY_RULES[canaries.index(theirs)]
-    ratio = mine.get_total() / theirs.get_total()
+    product, canaries = all_figures[0], all_figures[1:]
+    canary = min(canaries, key=get_rank)
+    best = CANARY_RULES[canaries.index(canary)]
+    ratio = product.get_total() / canary.get_total()
     return Result(
         "exposure",
         seed,
-        {"rule": dataclasses.asdict(best)} | dataclasses.asdict(theirs),
-        dataclasses.asdict(mine),
+        {"rule": dataclasses.asdict(best)} | dataclasses.asdict(canary),
+        dataclasses.asdict(product),
         ratio,
-        ratio <= GOAL_RATIO and mine.false_stops < GOAL_FALSE_STOPS,
+        ratio <= GOAL_RATIO and product.false_stops < GOAL_FALSE_STOPS,
         {
             "good": GOOD_ROLLOUTS,
             "bad_per_case": BAD_ROLLOUTS,
             "ratio_by_fault": {
-                key: mine.exposed[key] / max(1.0, theirs.exposed[key])
-                for key in mine.exposed
+                key: product.exposed[key] / max(1.0, canary.exposed[key])
+                for key in product.exposed
             },
             "false_stops_by_rule": [f.false_stops for f in canaries],
             "exposed_by_rule": [f.get_total() for f in canaries],
--- a/lab/experiments/failover.py
+++ b/lab/experiments/failover.py
@@ -1,7 +1,8 @@
-"""Mixed traffic under random failures, checked request by request.
+"""Runs mixed traffic under random faults and audits each request.
 
-Both sides get the same traffic and the same schedule of faults; faults of
-sidecars have no counterpart at the naive proxy, but for silent connections.
+Both sides get the same traffic and the same schedule of faults. Sidecar faults
+have no counterpart at the naive proxy, except for connections that stall
+without being closed.
 """
 
 from __future__ import annotations
@@ -49,7 +50,11 @@
 WITHDRAWN = "large@2"
 WITHDRAW_AT_S = 30.0
 BILLED_AFTER_S = 14.0
-"""Copies are taken over and appended by then."""
+"""Seconds after the traffic until bills are read from the log.
+
+By then, peers have taken over the copies of lost entries' bills and appended
+them; reading earlier would count these bills as missing.
+"""
 SAMPLE_S = 1.0
 GOAL_S = 1.0
 SHAPE = Shape("vault", ("lhe-a", "lhe-b"), 3, 4, 0)
@@ -58,33 +63,37 @@
 
 @dataclasses.dataclass
 class _Side:
-    """What one side gave."""
+    """Results of one side of the experiment."""
 
     findings: Findings
     figures: dict[str, Any]
-    gaps_s: list[float]
+    interruptions_s: list[float]
     is_clean: bool
 
 
 def run(seed: int, duration_s: float = DURATION_S) -> Result:
-    """Runs the product, then the naive proxies."""
+    """Runs the product, then the naive proxies, on the same faults."""
     plan = make_plan(seed, duration_s)
     product = _run_side(seed, duration_s, plan, is_naive=False)
     naive = _run_side(seed, duration_s, plan, is_naive=True)
-    gap_s = product.figures["gap_p99_s"]
+    interruption_s = product.figures["gap_p99_s"]
     return Result(
         "failover",
         seed,
         naive.figures,
         product.figures,
-        _count_all(product.findings) / max(1, _count_all(naive.findings)),
-        product.is_clean and gap_s < GOAL_S,
+        _count_findings(product.findings)
+        / max(1, _count_findings(naive.findings)),
+        product.is_clean and interruption_s < GOAL_S,
         {
             "duration_s": duration_s,
             "rate_per_s": RATE_PER_S,
             "faults": [f"{f.at_s:.1f} {f.kind.value} {f.name}" for f in plan],
             "concerned": dataclasses.asdict(product.findings),
-            "gaps_s": [round(gap_s, 3) for gap_s in product.gaps_s],
+            "gaps_s": [
+                round(interruption_s, 3)
+                for interruption_s in product.interruptions_s
+            ],
         },
     )
 
@@ -125,17 +134,17 @@
     driver = FaultDriver(fleet, relays)
     traffic = Traffic(random.Random(seed), lambda: _get_urls(fleet))
     start_s = time.time()
-    watch = _ChangeWatch(fleet, start_s)
+    monitor = _RevisionMonitor(fleet, start_s)
     threads = [
         threading.Thread(target=driver.run, args=(plan, start_s)),
-        threading.Thread(target=watch.run),
+        threading.Thread(target=monitor.run),
     ]
     for thread in threads:
         thread.start()
     asyncio.run(traffic.run(duration_s, RATE_PER_S))
     threads[0].join()
     time.sleep(BILLED_AFTER_S)
-    watch.stop()
+    monitor.stop()
     threads[1].join()
     evidence = Evidence(
         traffic.sends,
@@ -143,7 +152,7 @@
         asyncio.run(_read_bills(fleet)),
         driver.applied,
         WITHDRAWN,
-        watch.accepted_s,
+        monitor.accepted_s,
     )
     findings = audit(evidence)
     served = [
@@ -151,46 +160,48 @@
         for s in traffic.served
         if is_plain(s.kind)
     ]
-    alone, together = get_gaps_s(served, driver.applied)
-    gaps_s = sorted(alone + together)
+    isolated_s, overlapping_s = get_gaps_s(served, driver.applied)
+    interruptions_s = sorted(isolated_s + overlapping_s)
     counts = {k: len(v) for k, v in dataclasses.asdict(findings).items()}
-    forbidden = {
+    violations = {
         **counts,
         "changed_sessions": traffic.changed_sessions,
-        "reverted_changes": watch.reverted,
+        "reverted_changes": monitor.decreased_revisions,
         "failed_stops": len(driver.failures),
     }
-    unserved = [s for s in traffic.served if not s.is_answered]
+    unanswered = [s for s in traffic.served if not s.is_answered]
     figures = {
-        **forbidden,
-        "gap_p50_s": _get_quantile(gaps_s, 0.5),
-        "gap_p99_s": _get_quantile(gaps_s, 0.99),
-        "gap_alone_p99_s": _get_quantile(alone, 0.99),
-        "kills": len(gaps_s),
-        "kills_alone": len(alone),
+        **violations,
+        "gap_p50_s": _get_quantile(interruptions_s, 0.5),
+        "gap_p99_s": _get_quantile(interruptions_s, 0.99),
+        "gap_alone_p99_s": _get_quantile(isolated_s, 0.99),
+        "kills": len(interruptions_s),
+        "kills_alone": len(isolated_s),
         "requests": len(traffic.served),
-        "given_up": dict(Counter(s.code or "silent" for s in unserved)),
+        "given_up": dict(Counter(s.code or "silent" for s in unanswered)),
         "runs": len(evidence.runs),
         "bills": len({bill.request_id for bill in evidence.bills}),
         "sends": count_codes(traffic.sends),
         "failures": driver.failures,
     }
-    return _Side(findings, figures, gaps_s, not any(forbidden.values()))
+    return _Side(
+        findings, figures, interruptions_s, not any(violations.values())
+    )
 
 
-class _ChangeWatch:
-    """Withdraws the version, and notes revisions that go back."""
+class _RevisionMonitor:
+    """Withdraws the version and counts decreasing revisions of the document."""
 
     def __init__(self, fleet: Fleet, start_s: float) -> None:
         self.accepted_s = math.inf
-        self.reverted = 0
+        self.decreased_revisions = 0
         self._fleet = fleet
         self._start_s = start_s
-        self._seen: dict[tuple[str, int], int] = {}
+        self._last_revisions: dict[tuple[str, int], int] = {}
         self._stopping = threading.Event()
 
     def run(self) -> None:
-        """Samples until it is stopped."""
+        """Samples the revisions of all processes until `stop` is called."""
         while not self._stopping.wait(SAMPLE_S):
             if (
                 math.isinf(self.accepted_s)
@@ -201,7 +212,7 @@
                 self._sample()
 
     def stop(self) -> None:
-        """Ends the sampling."""
+        """Ends the sampling; `run` returns shortly afterwards."""
         self._stopping.set()
 
     def _withdraw(self) -> None:
@@ -211,7 +222,7 @@
         try:
             self._fleet.publish_document(withdrawn, 1)
         except urllib.error.HTTPError as error:
-            if error.code != 500:  # 500: its answer was lost, not the change.
+            if error.code != 500:  # 500: The answer was lost, not the change.
                 return
         except OSError:
             return
@@ -223,12 +234,14 @@
                 continue
             try:
                 dump = self._fleet.get_dump(name)
-            except Exception:  # Killed or paused.
+            except Exception:  # The process is killed or paused.
                 continue
             revision = dump["control"]["revisions"].get(SHAPE.service, 0)
             key = (name, child.process.pid)
-            self.reverted += revision < self._seen.get(key, 0)
-            self._seen[key] = revision
+            self.decreased_revisions += revision < self._last_revisions.get(
+                key, 0
+            )
+            self._last_revisions[key] = revision
 
 
 def _get_urls(fleet: Fleet) -> dict[str, str]:
@@ -248,12 +261,12 @@
             page = await log.read(BILLING_STREAM, offset, 500, 0.0)
             if not page.records:
                 return bills
-            for at, data in page.records:
+            for record_offset, data in page.records:
                 bills += decode_batch(data)
-                offset = Offset(at + 1)
+                offset = Offset(record_offset + 1)
 
 
-def _count_all(findings: Findings) -> int:
+def _count_findings(findings: Findings) -> int:
     return sum(len(v) for v in dataclasses.asdict(findings).values())
 
 
--- a/lab/experiments/failover_small.py
+++ b/lab/experiments/failover_small.py
@@ -1,7 +1,7 @@
-"""Time without service after a kill, and CPU time per token event.
+"""Measures the service interruption after a kill, and CPU time per token event.
 
-The naive version is a caller that goes round the engines by itself and tries
-the next one when a call fails.
+The naive baseline is a caller that sends to the engines in turn and tries the
+next engine when a call fails.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 KILLS = 12
 REQUEST_INTERVAL_S = 0.02
-WARM_S = 0.4
-WATCH_S = 1.2
-RETURN_TIMEOUT_S = 15.0
+LOAD_BEFORE_KILL_S = 0.4
+LOAD_AFTER_KILL_S = 1.2
+RECOVERY_TIMEOUT_S = 15.0
 STREAMS = 64
 STREAM_TOKENS = 400
 GOAL_S = 1.0
-GOAL_CHUNK_US = 50.0
+GOAL_EVENT_US = 50.0
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 _BODY = {
     "model": "large@1",
@@ -38,7 +38,7 @@
 
 
 def run(seed: int) -> Result:
-    """Kills processes one after another under load, then streams."""
+    """Kills processes one after another under load, then runs streams."""
     return asyncio.run(_run(seed))
 
 
@@ -59,15 +59,15 @@
                 await _measure_kill(fleet, session, "engine", i % 2, rng, True)
                 for i in range(KILLS)
             ]
-            chunks_us = await _measure_chunks(fleet, session)
-    gaps_s = sorted(gap_s for gap_s, _ in product)
+            event_us = await _measure_event_us(fleet, session)
+    interruptions_s = sorted(interruption_s for interruption_s, _ in product)
     failures = sum(count for _, count in product)
-    naive_s = sorted(gap_s for gap_s, _ in naive)
+    naive_s = sorted(interruption_s for interruption_s, _ in naive)
     figures = {
-        "gap_p50_s": round(_get_quantile(gaps_s, 0.5), 3),
-        "gap_p99_s": round(_get_quantile(gaps_s, 0.99), 3),
+        "gap_p50_s": round(_get_quantile(interruptions_s, 0.5), 3),
+        "gap_p99_s": round(_get_quantile(interruptions_s, 0.99), 3),
         "failed_requests": failures,
-        **chunks_us,
+        **event_us,
     }
     baseline = {
         "gap_p50_s": round(_get_quantile(naive_s, 0.5), 3),
@@ -82,7 +82,7 @@
         figures["gap_p99_s"] / max(baseline["gap_p99_s"], 0.001),
         figures["gap_p99_s"] < GOAL_S
         and failures == 0
-        and max(chunks_us.values()) < GOAL_CHUNK_US,
+        and max(event_us.values()) < GOAL_EVENT_US,
         {
             "kills": len(product),
             "naive_kills": len(naive),
@@ -101,26 +101,36 @@
     rng: random.Random,
     naive: bool,
 ) -> tuple[float, int]:
-    """Kills one process under load; the gap in s, and failed requests."""
-    ask = _ask_naive if naive else _ask
+    """Kills one process under load and restarts it.
+
+    Returns:
+        The service interruption in seconds, and the number of failed requests.
+    """
+    send = _request_with_retries if naive else _request_from_entry
     urls = [child.url for child in (fleet.engines if naive else fleet.entries)]
     calls: list[asyncio.Task[float | None]] = []
-    kill_at_s = time.monotonic() + WARM_S + rng.random() * REQUEST_INTERVAL_S
-    end_s = kill_at_s + WATCH_S
+    kill_at_s = (
+        time.monotonic()
+        + LOAD_BEFORE_KILL_S
+        + rng.random() * REQUEST_INTERVAL_S
+    )
+    end_s = kill_at_s + LOAD_AFTER_KILL_S
     killed = False
     port = fleet.children[f"engine-{index}"].port
     while time.monotonic() < end_s:
-        first = len(calls) % len(urls)
-        targets = urls[first:] + urls[:first]
-        calls.append(asyncio.create_task(ask(session, targets)))
+        offset = len(calls) % len(urls)
+        targets = urls[offset:] + urls[:offset]
+        calls.append(asyncio.create_task(send(session, targets)))
         await asyncio.sleep(REQUEST_INTERVAL_S)
         if not killed and time.monotonic() >= kill_at_s:
             fleet.kill(f"{role}-{index}")
             killed = True
-    took_s = [spent for spent in await asyncio.gather(*calls) if spent]
+    latencies_s = [
+        latency_s for latency_s in await asyncio.gather(*calls) if latency_s
+    ]
     await asyncio.to_thread(_restart, fleet, role, index, port)
-    usual_s = _get_quantile(sorted(took_s), 0.5)
-    return max(took_s) - usual_s, len(calls) - len(took_s)
+    median_s = _get_quantile(sorted(latencies_s), 0.5)
+    return max(latencies_s) - median_s, len(calls) - len(latencies_s)
 
 
 def _restart(fleet: Fleet, role: str, index: int, port: int) -> None:
@@ -129,19 +139,19 @@
     else:
         fleet.start_sidecar(index)
     engine = f"engine-{index}"
-    end_s = time.monotonic() + RETURN_TIMEOUT_S
-    # The entries have the upstream back once it runs requests again.
+    end_s = time.monotonic() + RECOVERY_TIMEOUT_S
+    # The entries use the upstream again as soon as the engine runs requests.
     while not fleet.get_stats(engine)["runs"] or role == "sidecar":
         if time.monotonic() > end_s:
-            raise TimeoutError(f"{engine} did not come back.")
+            raise TimeoutError(f"{engine} ran no requests after its restart.")
         before = len(fleet.get_stats(engine)["runs"])
         for entry in fleet.entries:
-            _ask_once(entry.url)
+            _request_once(entry.url)
         if len(fleet.get_stats(engine)["runs"]) > before:
             return
 
 
-def _ask_once(url: str) -> None:
+def _request_once(url: str) -> None:
     request = urllib.request.Request(
         f"{url}/v1/chat/completions",
         json.dumps(_BODY).encode(),
@@ -151,13 +161,15 @@
         pass
 
 
-async def _ask(session: aiohttp.ClientSession, urls: list[str]) -> float | None:
+async def _request_from_entry(
+    session: aiohttp.ClientSession, urls: list[str]
+) -> float | None:
     start_s = time.monotonic()
     status = await _post(session, urls[0])
     return time.monotonic() - start_s if status == 200 else None
 
 
-async def _ask_naive(
+async def _request_with_retries(
     session: aiohttp.ClientSession, urls: list[str]
 ) -> float | None:
     start_s = time.monotonic()
@@ -179,10 +191,10 @@
         return 0
 
 
-async def _measure_chunks(
+async def _measure_event_us(
     fleet: Fleet, session: aiohttp.ClientSession
 ) -> dict[str, float]:
-    """CPU time per token event in all processes of each role, in us."""
+    """Returns the CPU time in us per token event, by role of the processes."""
     before = {role: _get_cpu_s(fleet, role) for role in ("entry", "sidecar")}
     events = await asyncio.gather(
         *(_stream(session, fleet.entries[i % 2].url) for i in range(STREAMS))
--- a/lab/experiments/keys.py
+++ b/lab/experiments/keys.py
@@ -1,7 +1,7 @@
-"""What a request key costs: added latency, and memory for each key.
+"""Measures the cost of request keys: added latency, and memory per key.
 
-The baseline is the same request without a key, in turn with keyed ones on
-the same fleet, so that both see the same load of the machine.
+The baseline is the same request without a key. Requests with and without keys
+alternate on the same fleet, so that both run under the same machine load.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Latency:
-    """Time of a whole answer.
+    """Time from sending a request to receiving its complete response.
 
     Attributes:
-        median_ms: Median.
-        p99_ms: 99th percentile.
+        median_ms: Median in milliseconds.
+        p99_ms: 99th percentile in milliseconds.
     """
 
     median_ms: float
@@ -43,16 +43,16 @@
 
 
 def run(seed: int) -> Result:
-    """Measures both."""
+    """Measures requests with and without keys, and the memory per key."""
     rng = random.Random(seed)
     with Fleet(SHAPE) as fleet:
         time.sleep(2.0)
         for _ in range(WARM_UP):
-            _measure(fleet, rng, True)
+            _measure_request_ms(fleet, rng, True)
         plain_ms, keyed_ms = [], []
         for _ in range(PAIRS):
-            plain_ms.append(_measure(fleet, rng, False))
-            keyed_ms.append(_measure(fleet, rng, True))
+            plain_ms.append(_measure_request_ms(fleet, rng, False))
+            keyed_ms.append(_measure_request_ms(fleet, rng, True))
     plain, keyed = _summarize(plain_ms), _summarize(keyed_ms)
     return Result(
         "keys",
@@ -70,7 +70,7 @@
 
 
 def measure_bytes_per_key() -> float:
-    """Memory of a ledger divided by its keys."""
+    """Returns the memory of a ledger in bytes per key."""
     view = MemberView()
     vm = VmId("entry-0")
     view.apply(Offset(0), MemberJoined(vm, ZoneId("a"), 1, ""))
@@ -79,9 +79,9 @@
     tracemalloc.start()
     for number in range(KEYS):
         ledger.claim(view, _make_claim(view, number), 0.0, 0)
-    size_bytes, _ = tracemalloc.get_traced_memory()
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return round(size_bytes / ledger.size, 1)
+    return round(allocated_bytes / ledger.size, 1)
 
 
 def _make_claim(view: MemberView, number: int) -> Claim:
@@ -99,7 +99,7 @@
     )
 
 
-def _measure(fleet: Fleet, rng: random.Random, keyed: bool) -> float:
+def _measure_request_ms(fleet: Fleet, rng: random.Random, keyed: bool) -> float:
     entry = rng.choice(fleet.entries)
     prompt = f"Draft {rng.random()}"
     body = {
--- a/lab/experiments/latency.py
+++ b/lab/experiments/latency.py
@@ -1,10 +1,10 @@
-"""Time to first token under load: the product's choice against round robin.
+"""Compares the product's time to first token with round robin, under load.
 
-Engines that batch continuously are modelled by their steps: each step gives
-every running request one token and takes longer the more of them run; a
-request that finds the batch full waits. Entries see what a heartbeat said
-some time ago and what they have sent themselves since, as the product does,
-and both sides get the same arrivals, sizes and engines.
+Engines with continuous batching are modelled by their steps: each step
+generates one token for every running request and takes longer the more
+requests run. A request that finds the batch full waits. As in the product,
+entries know the load in the last heartbeat and the requests that they have
+sent since then. Both sides get the same arrivals, sizes and engines.
 """
 
 from __future__ import annotations
@@ -47,16 +47,16 @@
     arrived_s: float
     tokens: int
     entry: int
-    first_s: float = -1.0
+    first_token_s: float = -1.0
 
 
 @dataclasses.dataclass
 class _Engine:
-    factor: float = 1.0
+    slowdown: float = 1.0
     running: list[_Job] = dataclasses.field(default_factory=list)
-    left: list[int] = dataclasses.field(default_factory=list)
+    tokens_left: list[int] = dataclasses.field(default_factory=list)
     queue: deque[_Job] = dataclasses.field(default_factory=deque)
-    stepping: bool = False
+    is_stepping: bool = False
     interval_s: float = STEP_BASE_S
 
     @property
@@ -66,16 +66,16 @@
 
 @dataclasses.dataclass
 class _Entry:
-    """What one entry knows: the latest heartbeats, and its own requests."""
+    """State view of one entry: the latest heartbeats and its own requests."""
 
     number: int
     rng: random.Random
     reported: list[int]
     interval_ms: list[float]
-    own: list[int]
-    own_at_heartbeat: list[int]
-    last_sent: list[int]
-    turn: int = 0
+    own_outstanding: list[int]
+    own_outstanding_at_heartbeat: list[int]
+    last_choices: list[int]
+    choice_count: int = 0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -94,23 +94,35 @@
 
 
 def run(seed: int) -> Result:
-    """Runs every case on both sides."""
+    """Runs every load case with round robin and with the product's choice."""
     baseline, product, ratios = {}, {}, {}
     for case in CASES:
         jobs = _make_jobs(case, seed)
-        naive = _measure(case, jobs, _choose_in_turn, seed)
-        own = _measure(case, jobs, _choose_by_product, seed)
-        baseline[case.name], product[case.name] = naive, own
-        ratios[case.name] = {name: own[name] / naive[name] for name in own}
-    worst = max(r["p99"] for r in ratios.values())
+        naive_ms = _measure_percentiles_ms(
+            case, jobs, _choose_round_robin, seed
+        )
+        product_ms = _measure_percentiles_ms(
+            case, jobs, _choose_by_product, seed
+        )
+        baseline[case.name], product[case.name] = naive_ms, product_ms
+        ratios[case.name] = {
+            name: product_ms[name] / naive_ms[name] for name in product_ms
+        }
+    worst_p99_ratio = max(r["p99"] for r in ratios.values())
     ok = all(r[p] <= GOAL for r in ratios.values() for p in ("p95", "p99"))
     return Result(
-        "latency", seed, baseline, product, worst, ok, {"ratios": ratios}
+        "latency",
+        seed,
+        baseline,
+        product,
+        worst_p99_ratio,
+        ok,
+        {"ratios": ratios},
     )
 
 
 def _get_capacity() -> float:
-    """Requests a second that all engines can take."""
+    """Returns the requests a second that all engines together can handle."""
     step_s = STEP_BASE_S + STEP_PER_RUNNING_S * BATCH
     per_request_s = MEAN_TOKENS * step_s / BATCH + PREFILL_S
     return ENGINES / per_request_s
@@ -129,9 +141,9 @@
     return jobs
 
 
-def _choose_in_turn(entry: _Entry, _: int) -> int:
-    entry.turn += 1
-    return entry.turn % ENGINES
+def _choose_round_robin(entry: _Entry, _: int) -> int:
+    entry.choice_count += 1
+    return entry.choice_count % ENGINES
 
 
 def _choose_by_product(entry: _Entry, _: int) -> int:
@@ -143,33 +155,33 @@
             max(
                 0,
                 entry.reported[index]
-                + entry.own[index]
-                - entry.own_at_heartbeat[index],
+                + entry.own_outstanding[index]
+                - entry.own_outstanding_at_heartbeat[index],
             ),
             BATCH * 8,
             BATCH,
             entry.interval_ms[index],
-            entry.last_sent[index],
+            entry.last_choices[index],
         )
         for index in range(ENGINES)
     ]
     vm = choose_upstream(views, VERSION, frozenset(), entry.rng)
     assert vm is not None
-    entry.turn += 1
-    entry.last_sent[int(vm)] = entry.turn
+    entry.choice_count += 1
+    entry.last_choices[int(vm)] = entry.choice_count
     return int(vm)
 
 
-def _measure(
+def _measure_percentiles_ms(
     case: _Case, jobs: list[_Job], choose: Choose, seed: int
 ) -> dict[str, float]:
-    done = _simulate(
+    finished = _simulate(
         case, [dataclasses.replace(job) for job in jobs], choose, seed
     )
     times_s = [
-        job.first_s - job.arrived_s
-        for job in done
-        if job.first_s >= 0 and job.arrived_s >= WARM_UP_S
+        job.first_token_s - job.arrived_s
+        for job in finished
+        if job.first_token_s >= 0 and job.arrived_s >= WARM_UP_S
     ]
     return {
         f"p{p}": float(np.percentile(times_s, p)) * 1000 for p in (50, 95, 99)
@@ -181,7 +193,7 @@
 ) -> list[_Job]:
     engines = [_Engine() for _ in range(ENGINES)]
     if case.slow:
-        engines[0].factor = SLOW_FACTOR
+        engines[0].slowdown = SLOW_FACTOR
     rng = random.Random(seed)
     entries = [
         _Entry(
@@ -191,7 +203,7 @@
             [STEP_BASE_S * 1000] * ENGINES,
             [0] * ENGINES,
             [0] * ENGINES,
-            [-place for place in rng.sample(range(ENGINES), ENGINES)],
+            [-position for position in rng.sample(range(ENGINES), ENGINES)],
         )
         for number in range(ENTRIES)
     ]
@@ -209,56 +221,66 @@
         if kind == "arrive":
             job = jobs[index]
             chosen = choose(entries[job.entry], index)
-            entries[job.entry].own[chosen] += 1
+            entries[job.entry].own_outstanding[chosen] += 1
             engine = engines[chosen]
             engine.queue.append(job)
-            if not engine.stepping:
-                engine.stepping = True
+            if not engine.is_stepping:
+                engine.is_stepping = True
                 heapq.heappush(events, (now_s, order, "step", chosen))
         elif kind == "heartbeat":
-            _hear(engines[index], index, entries)
+            _deliver_heartbeat(engines[index], index, entries)
             if now_s < DURATION_S:
                 due_s = now_s + HEARTBEAT_S
                 heapq.heappush(events, (due_s, order, "heartbeat", index))
         else:
-            step_s = _step(engines[index], index, now_s, entries)
+            step_s = _run_step(engines[index], index, now_s, entries)
             if step_s > 0:
                 due_s = now_s + step_s
                 heapq.heappush(events, (due_s, order, "step", index))
     return jobs
 
 
-def _hear(engine: _Engine, index: int, entries: list[_Entry]) -> None:
+def _deliver_heartbeat(
+    engine: _Engine, index: int, entries: list[_Entry]
+) -> None:
     for entry in entries:
         entry.reported[index] = engine.outstanding
         entry.interval_ms[index] = engine.interval_s * 1000
-        entry.own_at_heartbeat[index] = entry.own[index]
+        entry.own_outstanding_at_heartbeat[index] = entry.own_outstanding[index]
 
 
-def _step(
+def _run_step(
     engine: _Engine, index: int, now_s: float, entries: list[_Entry]
 ) -> float:
-    """Gives each running request a token; seconds until the next step."""
-    kept = []
-    for job, left in zip(engine.running, engine.left, strict=True):
-        if job.first_s < 0:
-            job.first_s = now_s
-        if left > 1:
-            kept.append((job, left - 1))
+    """Runs one step: one token for each running request of an engine.
+
+    Returns:
+        Seconds until the next step; 0.0 if no request is left.
+    """
+    still_running = []
+    for job, tokens_left in zip(
+        engine.running, engine.tokens_left, strict=True
+    ):
+        if job.first_token_s < 0:
+            job.first_token_s = now_s
+        if tokens_left > 1:
+            still_running.append((job, tokens_left - 1))
         else:
-            entries[job.entry].own[index] -= 1
+            entries[job.entry].own_outstanding[index] -= 1
     prefills = 0
-    while engine.queue and len(kept) < BATCH:
+    while engine.queue and len(still_running) < BATCH:
         job = engine.queue.popleft()
-        kept.append((job, job.tokens))
+        still_running.append((job, job.tokens))
         prefills += 1
-    engine.running = [job for job, _ in kept]
-    engine.left = [left for _, left in kept]
-    if not kept:
-        engine.stepping = False
+    engine.running = [job for job, _ in still_running]
+    engine.tokens_left = [tokens_left for _, tokens_left in still_running]
+    if not still_running:
+        engine.is_stepping = False
         return 0.0
-    step_s = engine.factor * (
-        STEP_BASE_S + STEP_PER_RUNNING_S * len(kept) + PREFILL_S * prefills
+    step_s = engine.slowdown * (
+        STEP_BASE_S
+        + STEP_PER_RUNNING_S * len(still_running)
+        + PREFILL_S * prefills
     )
     engine.interval_s = 0.9 * engine.interval_s + 0.1 * step_s
     return step_s
--- a/lab/experiments/limits.py
+++ b/lab/experiments/limits.py
@@ -1,15 +1,15 @@
-"""A workspace over its limit through many entries.
-
-The product's `LimitTable` runs on a simulated clock, one for each entry, with
-reports that take a while and are sent to as many peers as the budget allows.
-Arrivals are uneven, move from entry to entry, and one entry is killed and
-later replaced. The baseline divides the limit evenly: each entry has a token
-bucket with its static part. Both see the same arrivals.
-
-A window's error is what was generated in it over what the limit grants. The
-other workspace stays under its limit; what it is refused stands for latency,
-since an admitted request is sent at once on both sides. Queueing at engines
-is no part of this model.
+"""Simulates a workspace that exceeds its limit through many entries.
+
+Each entry runs the product's `LimitTable` on a simulated clock. Usage reports
+arrive with a delay and are sent to as many peers as the byte budget allows.
+Arrivals are spread unevenly and move from entry to entry, and one entry is
+killed and later replaced. The baseline divides the limit evenly: each entry has
+a token bucket with a static share. Both sides process the same arrivals.
+
+The error of a window is the relative deviation of the tokens generated in it
+from the tokens that the limit grants. The other, smaller workspace stays under
+its limit. Its refused requests stand for latency, since both sides send an
+admitted request immediately. The model does not include queueing at engines.
 """
 
 from __future__ import annotations
@@ -48,7 +48,10 @@
 REPORT_DELAY_S = 0.003
 MAX_ERROR = 0.05
 MAX_SMALL_ADDED = 0.01
-"""What the smaller workspace may be refused beyond a central bucket's."""
+"""Maximum refused ratio of the smaller workspace above a central bucket's.
+
+A single token bucket for all entries refuses some of its requests, too.
+"""
 MAX_CONTROL_BYTES_PER_S = 3000.0
 
 
@@ -56,12 +59,12 @@
 class _Arrival:
     at_s: float
     tag: WorkspaceTag
-    place: float
+    position: float
     tokens: int
 
 
 class _StaticTable:
-    """The baseline: a token bucket with an even part of the limit."""
+    """The baseline: token buckets of one entry, each with an even share."""
 
     def __init__(self, now_s: float) -> None:
         self._levels = {
@@ -71,11 +74,12 @@
 
     def admit(self, tag: WorkspaceTag, now_s: float) -> bool:
         elapsed_s, self._updated_s = now_s - self._updated_s, now_s
-        for each, limit in LIMITS.items():
+        for workspace, limit in LIMITS.items():
             level = (
-                self._levels[each] + limit.tokens_per_s / ENTRIES * elapsed_s
+                self._levels[workspace]
+                + limit.tokens_per_s / ENTRIES * elapsed_s
             )
-            self._levels[each] = min(level, limit.burst_tokens / ENTRIES)
+            self._levels[workspace] = min(level, limit.burst_tokens / ENTRIES)
         return self._levels[tag] > 0
 
     def spend(self, tag: WorkspaceTag, tokens: float) -> None:
@@ -84,12 +88,13 @@
 
 @dataclasses.dataclass
 class _Trace:
-    """What one side did.
+    """Events of one side of the experiment.
 
     Attributes:
-        generated: Tokens of the large workspace by whole second.
-        refused: Requests refused, by workspace.
-        sent_bytes: Bytes of reports by second, over all entries.
+        generated: Tokens admitted for the larger workspace, by second of
+            admission.
+        refused: Number of refused requests, by workspace.
+        sent_bytes: Bytes of usage reports sent by all entries, by second.
     """
 
     generated: list[float]
@@ -98,10 +103,15 @@
 
 
 def run(seed: int, entries: int = ENTRIES) -> Result:
-    """Runs both sides over the same arrivals."""
+    """Runs the baseline and the product on the same arrivals.
+
+    Args:
+        seed: Seed of all random choices.
+        entries: Number of entries.
+    """
     arrivals = list(_make_arrivals(random.Random(seed)))
-    static = _Fleet(entries, True).play(arrivals)
-    product = _Fleet(entries, False).play(arrivals)
+    static = _Fleet(entries, True).simulate(arrivals)
+    product = _Fleet(entries, False).simulate(arrivals)
     figures = _get_figures(product, arrivals, entries)
     baseline = _get_figures(static, arrivals, entries)
     central = _get_central_refused_ratio(arrivals)
@@ -133,27 +143,34 @@
 
 def _make_arrivals(rng: random.Random) -> Iterator[_Arrival]:
     now_s = 0.0
-    big = LIMITS[BIG].tokens_per_s * OVERLOAD / MEAN_TOKENS
-    small = LIMITS[SMALL].tokens_per_s * SMALL_LOAD / MEAN_TOKENS
+    big_per_s = LIMITS[BIG].tokens_per_s * OVERLOAD / MEAN_TOKENS
+    small_per_s = LIMITS[SMALL].tokens_per_s * SMALL_LOAD / MEAN_TOKENS
     skew = 1.0
     move_at_s = 0.0
     while now_s < DURATION_S:
         if now_s >= move_at_s:
             move_at_s += MOVE_EVERY_S
             skew = rng.uniform(0.5, 3.0)
-        now_s += rng.expovariate(big + small)
-        tag = BIG if rng.random() < big / (big + small) else SMALL
-        place = rng.random()
+        now_s += rng.expovariate(big_per_s + small_per_s)
+        tag = (
+            BIG
+            if rng.random() < big_per_s / (big_per_s + small_per_s)
+            else SMALL
+        )
+        position = rng.random()
         if tag is BIG:
-            # A power of a uniform number crowds the requests on few entries,
-            # on others after each move.
-            place = (place**skew + move_at_s / MOVE_EVERY_S * 0.37) % 1.0
+            # A power of a uniform number concentrates the requests on few
+            # entries, and on other entries after each move.
+            position = (position**skew + move_at_s / MOVE_EVERY_S * 0.37) % 1.0
         tokens = min(MAX_TOKENS, 1 + int(rng.expovariate(1 / MEAN_TOKENS)))
-        yield _Arrival(now_s, tag, place, tokens)
+        yield _Arrival(now_s, tag, position, tokens)
 
 
 class _Fleet:
-    """Entries on a simulated clock, behind a balancer that sees a kill."""
+    """Entries on a simulated clock, behind a load balancer.
+
+    The balancer stops sending to a killed entry immediately.
+    """
 
     def __init__(self, entries: int, is_static: bool) -> None:
         self._is_static = is_static
@@ -169,19 +186,19 @@
             [0.0] * (int(DURATION_S) + 1),
         )
 
-    def play(self, arrivals: list[_Arrival]) -> _Trace:
+    def simulate(self, arrivals: list[_Arrival]) -> _Trace:
         for index, vm in enumerate(self._vms):
-            self._start(vm, 0.0)
+            self._start_entry(vm, 0.0)
             offset_s = REPORT_INTERVAL_S * index / len(self._vms)
-            self._push(offset_s, _Tick(vm))
-        self._push(KILL_AT_S, _Kill(self._vms[0]))
-        self._push(REPLACE_AT_S, _Replace(self._vms[0]))
+            self._schedule(offset_s, _ReportDue(vm))
+        self._schedule(KILL_AT_S, _Kill(self._vms[0]))
+        self._schedule(REPLACE_AT_S, _Replace(self._vms[0]))
         for arrival in arrivals:
             self._run_until(arrival.at_s)
             self._serve(arrival)
         return self._trace
 
-    def _start(self, vm: VmId, now_s: float) -> None:
+    def _start_entry(self, vm: VmId, now_s: float) -> None:
         table = LimitTable(vm, int(now_s) + 1, now_s)
         for tag, limit in LIMITS.items():
             table.set_limit(tag, limit)
@@ -190,7 +207,7 @@
 
     def _serve(self, arrival: _Arrival) -> None:
         live = list(self._tables)
-        vm = live[int(arrival.place * len(live))]
+        vm = live[int(arrival.position * len(live))]
         now_s = arrival.at_s
         if self._is_static:
             charge = Charge(0.0)
@@ -207,10 +224,10 @@
         if self._is_static:
             self._static[vm].spend(arrival.tag, arrival.tokens)
             return
-        end = _End(vm, self._tables[vm], arrival, charge)
-        self._push(now_s + arrival.tokens / TOKENS_PER_S, end)
+        completion = _Completion(vm, self._tables[vm], arrival, charge)
+        self._schedule(now_s + arrival.tokens / TOKENS_PER_S, completion)
 
-    def _push(self, at_s: float, event: _Event) -> None:
+    def _schedule(self, at_s: float, event: _Event) -> None:
         self._order += 1
         heapq.heappush(self._events, (at_s, self._order, event))
 
@@ -218,12 +235,12 @@
         while self._events and self._events[0][0] <= end_s:
             now_s, _, event = heapq.heappop(self._events)
             match event:
-                case _Tick():
-                    self._report(event.vm, now_s)
-                    self._push(now_s + REPORT_INTERVAL_S, event)
+                case _ReportDue():
+                    self._send_report(event.vm, now_s)
+                    self._schedule(now_s + REPORT_INTERVAL_S, event)
                 case _Delivery() if event.vm in self._tables:
                     self._tables[event.vm].apply_report(event.report, now_s)
-                case _End() if self._tables.get(event.vm) is event.table:
+                case _Completion() if self._tables.get(event.vm) is event.table:
                     event.table.settle(
                         event.arrival.tag,
                         event.charge,
@@ -233,13 +250,13 @@
                 case _Kill():
                     del self._tables[event.vm]
                 case _Replace():
-                    self._start(event.vm, now_s)
+                    self._start_entry(event.vm, now_s)
 
-    def _report(self, vm: VmId, now_s: float) -> None:
+    def _send_report(self, vm: VmId, now_s: float) -> None:
         table = self._tables.get(vm)
         if table is None or self._is_static:
             return
-        live = [each for each in self._tables if each != vm]
+        live = [other for other in self._tables if other != vm]
         report = table.make_report(now_s)
         size_bytes = len(encode_message(report)) if report else 0
         count = get_report_count(size_bytes, len(live))
@@ -248,15 +265,15 @@
             return
         start = self._next_peer[vm] % len(live)
         self._next_peer[vm] = start + count
-        sent = (live[start:] + live[:start])[:count]
-        size_bytes = (size_bytes + FRAME_BYTES) * len(sent)
+        receivers = (live[start:] + live[:start])[:count]
+        size_bytes = (size_bytes + FRAME_BYTES) * len(receivers)
         self._trace.sent_bytes[int(now_s)] += size_bytes
-        for peer in sent:
-            self._push(now_s + REPORT_DELAY_S, _Delivery(peer, report))
+        for peer in receivers:
+            self._schedule(now_s + REPORT_DELAY_S, _Delivery(peer, report))
 
 
 @dataclasses.dataclass(frozen=True)
-class _Tick:
+class _ReportDue:
     vm: VmId
 
 
@@ -277,14 +294,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _End:
+class _Completion:
     vm: VmId
     table: LimitTable
     arrival: _Arrival
     charge: Charge
 
 
-_Event = _Tick | _Kill | _Replace | _Delivery | _End
+_Event = _ReportDue | _Kill | _Replace | _Delivery | _Completion
 
 
 def _get_figures(
@@ -296,8 +313,8 @@
         sum(trace.generated[start : start + int(WINDOW_S)]) / granted - 1
         for start in range(first, last)
     ]
-    small = sum(arrival.tag == SMALL for arrival in arrivals)
-    steady = trace.sent_bytes[first : int(DURATION_S)]
+    small_count = sum(arrival.tag == SMALL for arrival in arrivals)
+    steady_bytes = trace.sent_bytes[first : int(DURATION_S)]
     first_minute = sum(trace.generated[: int(WINDOW_S)])
     burst = LIMITS[BIG].burst_tokens
     return {
@@ -305,22 +322,26 @@
         "worst_under": min(errors),
         "worst_error": max(abs(error) for error in errors),
         "first_minute_over": first_minute / (granted + burst) - 1,
-        "small_refused_ratio": trace.refused[SMALL] / small,
+        "small_refused_ratio": trace.refused[SMALL] / small_count,
         "big_refused": trace.refused[BIG],
-        "bytes_per_s_each": max(steady) / entries,
+        "bytes_per_s_each": max(steady_bytes) / entries,
     }
 
 
 def _get_central_refused_ratio(arrivals: list[_Arrival]) -> float:
-    """What one bucket for all entries, impossible here, would refuse."""
+    """Returns the refused ratio of a single token bucket for all entries.
+
+    Such a bucket cannot be built across entries; it serves as the reference
+    for the smaller workspace.
+    """
     limit = LIMITS[SMALL]
     level, updated_s = limit.burst_tokens, 0.0
     refused = count = 0
     for arrival in arrivals:
         if arrival.tag != SMALL:
             continue
-        gained = limit.tokens_per_s * (arrival.at_s - updated_s)
-        level = min(limit.burst_tokens, level + gained)
+        refilled = limit.tokens_per_s * (arrival.at_s - updated_s)
+        level = min(limit.burst_tokens, level + refilled)
         updated_s = arrival.at_s
         count += 1
         refused += level <= 0
--- a/lab/experiments/overhead.py
+++ b/lab/experiments/overhead.py
@@ -1,8 +1,8 @@
-"""What the path adds to a request and to a token.
+"""Measures the latency and CPU time that entry and sidecar add.
 
-The same streams go to the engines directly and through entry and sidecar, in
-one run, at 1, 32 and 256 streams open at once. The engines are the same in
-both, so the difference is the path's.
+One run sends the same streams to the engines directly and through entry and
+sidecar, with 1, 32 and 256 streams open at the same time. The engines are the
+same in both cases, so the difference is caused by entry and sidecar.
 """
 
 from __future__ import annotations
@@ -33,15 +33,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Level:
-    """Figures of one number of streams.
+    """Figures for one number of concurrent streams.
 
     Attributes:
-        first_token_ms: Percentiles of the time to the first token.
-        between_ms: Percentiles of the time between reads of a stream.
-        total_ms: Percentiles of the whole answer's time.
-        entry_chunk_us: Processor time of the entry for a token chunk.
-        sidecar_chunk_us: The same, of all sidecars together.
-        answers: Counts by outcome.
+        first_token_ms: Percentiles of the time to the first token, in ms.
+        between_ms: Percentiles of the time between reads of a stream, in ms.
+        total_ms: Percentiles of the time to the complete answer, in ms.
+        entry_chunk_us: CPU time of the entry per token chunk, in us.
+        sidecar_chunk_us: CPU time of all sidecars together per token chunk,
+            in us.
+        answers: Number of answers by outcome.
     """
 
     first_token_ms: dict[str, float]
@@ -53,15 +54,19 @@
 
 
 def run(seed: int) -> Result:
-    """Runs all levels, directly and through the path."""
+    """Runs all levels, directly and through entry and sidecar."""
     with Fleet(SHAPE, ENGINE_OPTIONS) as fleet:
-        rest = _get_resident_mb(fleet)
+        resident_before_mb = _get_resident_mb(fleet)
         direct, routed = {}, {}
         for level in LEVELS:
-            direct[str(level)] = _measure(fleet, level, _get_direct(fleet))
-            routed[str(level)] = _measure(fleet, level, _get_routed(fleet))
-        memory = _get_resident_mb(fleet)
-    added = {name: _get_added(direct[name], routed[name]) for name in direct}
+            direct[str(level)] = _measure_level(
+                fleet, level, _get_direct(fleet)
+            )
+            routed[str(level)] = _measure_level(
+                fleet, level, _get_routed(fleet)
+            )
+        resident_after_mb = _get_resident_mb(fleet)
+    added = {name: _get_added_ms(direct[name], routed[name]) for name in direct}
     ok = (
         added["32"]["p50"] < MAX_MEDIAN_MS
         and added["32"]["p99"] < MAX_P99_MS
@@ -78,8 +83,8 @@
         ok,
         {
             "added_first_token_ms": added,
-            "resident_mb_at_rest": rest,
-            "resident_mb_after": memory,
+            "resident_mb_at_rest": resident_before_mb,
+            "resident_mb_after": resident_after_mb,
             "tokens": TOKENS,
             "rounds": {str(level): ROUNDS[level] for level in LEVELS},
         },
@@ -96,7 +101,7 @@
     return Target(urls, "key-audit", "small@1", TOKENS)
 
 
-def _measure(fleet: Fleet, level: int, target: Target) -> Level:
+def _measure_level(fleet: Fleet, level: int, target: Target) -> Level:
     sidecars = [c for n, c in fleet.children.items() if n.startswith("sidecar")]
     before = _get_cpu_s(fleet.entries), _get_cpu_s(sidecars)
     recorder = asyncio.run(_run_rounds(level, target))
@@ -135,15 +140,15 @@
 ) -> None:
     start_s = time.perf_counter()
 
-    async def start_one(index: int) -> None:
+    async def start_stream(index: int) -> None:
         due_s = start_s + spread_s * index / level
         await asyncio.sleep(max(0.0, due_s - time.perf_counter()))
         await run_stream(session, target, index, due_s, recorder)
 
-    await asyncio.gather(*(start_one(index) for index in range(level)))
+    await asyncio.gather(*(start_stream(index) for index in range(level)))
 
 
-def _get_added(direct: Level, routed: Level) -> dict[str, float]:
+def _get_added_ms(direct: Level, routed: Level) -> dict[str, float]:
     return {
         name: routed.first_token_ms[name] - direct.first_token_ms[name]
         for name in ("p50", "p99")
--- a/lab/experiments/warmup.py
+++ b/lab/experiments/warmup.py
@@ -1,14 +1,15 @@
-"""Requests through cold upstreams, with gateways that come, go and disagree.
-
-The upstreams of one availability zone come back cold while all gateways would
-rather send there than anywhere else. On troubled days a third of the gateways
-have just started, some are gone for good and still counted, and each pair that
-has a new one hears of each other late, some of them by seconds. The product's
-rule runs on a simulated clock. The baseline gives each gateway the same part
-of the rate; both ways see the same arrivals.
-
-The worst second counts arrivals at one upstream over all gateways. What is
-used is a share of what the upstreams bear while they are cold.
+"""Simulates requests to upstreams that are warming up, under gateway churn.
+
+The upstreams of one availability zone restart and warm up while all gateways
+prefer that zone to any other. On troubled days, a third of the gateways have
+just started and some have stopped for good but are still counted. Each pair of
+gateways with a new one discovers each other late, some of them by seconds. The
+product's rule runs on a simulated clock. The baseline gives each gateway the
+same share of the rate. Both policies process the same arrivals.
+
+The worst second is the maximum number of arrivals at one upstream, over all
+gateways, in any second. The used ratio is the number of requests sent divided
+by the number that the upstreams can handle while they warm up.
 """
 
 from __future__ import annotations
@@ -29,27 +30,30 @@
 )
 from lovagestage.types import InstanceId, ZoneId
 
-GATEWAYS_A_ZONE = 8
+GATEWAYS_PER_ZONE = 8
 UPSTREAMS = 7
 PER_S = 14.0
 ALLOWED_RATIO, ALLOWED_SLACK = 1.5, 5.0
-COLD_S = 3.0
+WARMUP_S = 3.0
 ARRIVALS_PER_S = 9.0
-"""Requests of one gateway that could go there; a burst brings twice as many."""
+"""Requests a second of one gateway that may go to the zone, without a burst.
+
+The simulation runs at burst rate, which is twice as high.
+"""
 BURST = 2.0
-NEW_RATIO = 0.33
-GONE_RATIO = 0.1
-HEARD_S, HEARD_LATE_S, LATE_RATIO = 0.4, 2.5, 0.1
+STARTING_RATIO = 0.33
+STOPPED_RATIO = 0.1
+DISCOVERY_S, LATE_DISCOVERY_S, LATE_RATIO = 0.4, 2.5, 0.1
 SETTLED_S = 3.0
 DAYS = {3: 60, 31: 40, 390: 2}
 MIN_USED = 0.7
 
 
 class _EvenShares:
-    """Each gateway has the same part of the rate.
+    """Warm-up policy that gives each gateway the same share of the rate.
 
     Args:
-        count: Gateways of the deployment.
+        count: Number of gateways of the deployment.
     """
 
     def __init__(self, count: int) -> None:
@@ -62,7 +66,14 @@
         zone: ZoneId,
         per_s: float,
     ) -> Pace:
-        """What the gateway may send to a cold upstream."""
+        """Returns the pace at which a gateway may send to an upstream.
+
+        Args:
+            gateways: State view of the sending gateway.
+            upstream: Upstream that is warming up.
+            zone: Availability zone of the upstream.
+            per_s: Requests a second that the upstream can handle.
+        """
         if not gateways.is_settled:
             return NOTHING
         return make_pace(per_s / self._count)
@@ -72,21 +83,28 @@
 class _Gateway:
     name: str
     zone: ZoneId
-    born_s: float
-    is_gone: bool
+    started_s: float
+    is_stopped: bool
 
 
 @dataclasses.dataclass
-class _Seen:
-    """What all days of one size showed."""
+class _Totals:
+    """Totals over all simulated days of one deployment size.
+
+    Attributes:
+        worst: Maximum number of arrivals at one upstream in any second.
+        sent: Requests sent to all upstreams.
+        violations: Number of upstreams that received more than allowed in any
+            second.
+    """
 
     worst: int = 0
     sent: int = 0
-    broken: int = 0
+    violations: int = 0
 
 
 def run(seed: int) -> Result:
-    """Runs all sizes with both ways."""
+    """Runs all deployment sizes with the baseline and the product's policy."""
     baseline = _run_sizes(_EvenShares, seed)
     product = _run_sizes(lambda _: ZoneDealers(), seed)
     used = product["31 calm"]["used"]
@@ -110,40 +128,45 @@
     make_policy: Callable[[int], WarmupPolicy], seed: int
 ) -> dict[str, dict[str, float]]:
     return {
-        f"{count} {name}": _run_size(count, new_ratio, make_policy(count), seed)
+        f"{count} {name}": _run_size(
+            count, starting_ratio, make_policy(count), seed
+        )
         for count in DAYS
-        for name, new_ratio in (("calm", 0.0), ("troubled", NEW_RATIO))
+        for name, starting_ratio in (
+            ("calm", 0.0),
+            ("troubled", STARTING_RATIO),
+        )
     }
 
 
 def _run_size(
-    count: int, new_ratio: float, policy: WarmupPolicy, seed: int
+    count: int, starting_ratio: float, policy: WarmupPolicy, seed: int
 ) -> dict[str, float]:
     rng = random.Random(seed)
-    seen = _Seen()
+    totals = _Totals()
     for _ in range(DAYS[count]):
-        gateways = _make_gateways(count, new_ratio, rng)
-        _run_day(gateways, policy, rng, seen)
-    borne = DAYS[count] * UPSTREAMS * PER_S * COLD_S
+        gateways = _make_gateways(count, starting_ratio, rng)
+        _run_day(gateways, policy, rng, totals)
+    capacity = DAYS[count] * UPSTREAMS * PER_S * WARMUP_S
     return {
-        "worst_second": seen.worst,
-        "broken": seen.broken,
-        "used": round(seen.sent / borne, 3),
+        "worst_second": totals.worst,
+        "broken": totals.violations,
+        "used": round(totals.sent / capacity, 3),
     }
 
 
 def _make_gateways(
-    count: int, new_ratio: float, rng: random.Random
+    count: int, starting_ratio: float, rng: random.Random
 ) -> list[_Gateway]:
-    zones = max(1, round(count / GATEWAYS_A_ZONE))
+    zones = max(1, round(count / GATEWAYS_PER_ZONE))
     return [
         _Gateway(
             f"10.0.{number // 250}.{number % 250}:7000",
             ZoneId(f"z{number % zones}"),
-            rng.uniform(-SETTLED_S, COLD_S)
-            if rng.random() < new_ratio
+            rng.uniform(-SETTLED_S, WARMUP_S)
+            if rng.random() < starting_ratio
             else -3600.0,
-            new_ratio > 0.0 and rng.random() < GONE_RATIO,
+            starting_ratio > 0.0 and rng.random() < STOPPED_RATIO,
         )
         for number in range(count)
     ]
@@ -153,10 +176,10 @@
     gateways: list[_Gateway],
     policy: WarmupPolicy,
     rng: random.Random,
-    seen: _Seen,
+    totals: _Totals,
 ) -> None:
     upstreams = [InstanceId(f"i-{rng.random()}") for _ in range(UPSTREAMS)]
-    heard_s = _make_heard(gateways, rng)
+    discovered_s = _make_discovery_times(gateways, rng)
     logs = {
         (g.name, upstream): WarmupLog()
         for g in gateways
@@ -164,7 +187,7 @@
     }
     arrivals: dict[InstanceId, list[float]] = {u: [] for u in upstreams}
     for at_s, gateway in _make_arrivals(gateways, rng):
-        known = _get_known(gateways, gateway, heard_s, at_s)
+        known = _get_state_view(gateways, gateway, discovered_s, at_s)
         for upstream in rng.sample(upstreams, len(upstreams)):
             log = logs[gateway.name, upstream]
             pace = policy.get_pace(known, upstream, ZoneId("z0"), PER_S)
@@ -175,21 +198,25 @@
                 break
     for times_s in arrivals.values():
         worst = _get_worst_second(times_s)
-        seen.sent += len(times_s)
-        seen.worst = max(seen.worst, worst)
-        seen.broken += worst > PER_S * ALLOWED_RATIO + ALLOWED_SLACK
+        totals.sent += len(times_s)
+        totals.worst = max(totals.worst, worst)
+        totals.violations += worst > PER_S * ALLOWED_RATIO + ALLOWED_SLACK
 
 
-def _make_heard(
+def _make_discovery_times(
     gateways: list[_Gateway], rng: random.Random
 ) -> dict[tuple[str, str], float]:
-    """When each gateway has heard of each other one, from its start."""
+    """Returns the time at which each gateway has discovered each other gateway.
+
+    A gateway discovers another one `DISCOVERY_S` after the later of their
+    starts, or with probability `LATE_RATIO` after `LATE_DISCOVERY_S`.
+    """
     return {
-        (one.name, other.name): max(one.born_s, other.born_s)
-        + (HEARD_LATE_S if rng.random() < LATE_RATIO else HEARD_S)
-        for one in gateways
+        (gateway.name, other.name): max(gateway.started_s, other.started_s)
+        + (LATE_DISCOVERY_S if rng.random() < LATE_RATIO else DISCOVERY_S)
+        for gateway in gateways
         for other in gateways
-        if one is not other
+        if gateway is not other
     }
 
 
@@ -198,28 +225,36 @@
 ) -> list[tuple[float, _Gateway]]:
     arrivals = []
     for gateway in gateways:
-        at_s = max(0.0, gateway.born_s)
-        while not gateway.is_gone:
+        at_s = max(0.0, gateway.started_s)
+        while not gateway.is_stopped:
             at_s += rng.expovariate(ARRIVALS_PER_S * BURST)
-            if at_s >= COLD_S:
+            if at_s >= WARMUP_S:
                 break
             arrivals.append((at_s, gateway))
     return sorted(arrivals, key=lambda arrival: arrival[0])
 
 
-def _get_known(
+def _get_state_view(
     gateways: list[_Gateway],
-    own: _Gateway,
-    heard_s: dict[tuple[str, str], float],
+    gateway: _Gateway,
+    discovered_s: dict[tuple[str, str], float],
     now_s: float,
 ) -> Gateways:
     known = [
         other
         for other in gateways
-        if other is not own and heard_s[own.name, other.name] <= now_s
+        if other is not gateway
+        and discovered_s[gateway.name, other.name] <= now_s
     ]
-    near = [other.name for other in known if other.zone == own.zone]
-    return Gateways(own.name, own.zone, near, now_s - own.born_s >= SETTLED_S)
+    peers_in_zone = [
+        other.name for other in known if other.zone == gateway.zone
+    ]
+    return Gateways(
+        gateway.name,
+        gateway.zone,
+        peers_in_zone,
+        now_s - gateway.started_s >= SETTLED_S,
+    )
 
 
 def _get_worst_second(times_s: list[float]) -> int:
--- a/lab/soak/__init__.py
+++ b/lab/soak/__init__.py
@@ -1,6 +1,7 @@
-"""Random faults from outside on real gateways, with their promises checked.
+"""Soak tests that inject random faults around real gateways.
 
-Gateways are processes of their own; store and workers are stand-ins, reached
-through loopback proxies. A seed fixes the series of faults, not the timing of
-the machine.
+The gateways run as separate processes, and the tests check that they keep
+their guarantees. The metadata store and the workers are test doubles that the
+gateways reach through loopback proxies. A seed determines the sequence of
+faults, but not the timing of the machine.
 """
--- a/lab/soak/checks.py
+++ b/lab/soak/checks.py
@@ -1,87 +1,110 @@
-"""Checks what callers and workers saw against the promises."""
+"""Checks what callers and workers observed against the guarantees."""
 
 from __future__ import annotations
 
 import collections
 from collections.abc import Iterator
 
-from lab.soak.traffic import DEADLINE_S, Sent
-from lab.soak.world import DRAIN_S, EVENTS, REVOKE_S, World
+from lab.soak.traffic import DEADLINE_S, SentRequest
+from lab.soak.world import DRAIN_S, EVENTS, REVOKE_S, SoakEnvironment
 from lab.worker import SIGNATURE
 
-SLACK_S = 0.5
-"""What a busy machine may add to a time that is checked."""
-PROMISES_NOT_RUN = (408, 421, 429, 503)
+TIMING_SLACK_S = 0.5
+"""Seconds that a busy machine may add to each checked duration.
+
+Without this allowance, scheduling delays count as broken guarantees.
+"""
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 MIN_SERVED_RATIO = 0.5
-"""Least part of the requests that are served once all faults have ended."""
+"""Minimum ratio of requests served successfully after all faults have ended."""
 
 
 def find_breaches(
-    world: World, sent: list[Sent], calm_from_s: float
+    environment: SoakEnvironment,
+    sent: list[SentRequest],
+    recovery_from_s: float,
 ) -> list[str]:
-    """Names each promise that was broken, with the request."""
-    found = [text for request in sent for text in _check(world, request)]
-    found += _check_workers(world)
-    calm = [s for s in sent if s.sent_s > calm_from_s and s.ended_s]
-    calm = [s for s in calm if world.keys[s.key] is None]
-    served = sum(_is_served(request) for request in calm)
-    if calm and served < MIN_SERVED_RATIO * len(calm):
-        found.append(
-            f"not recovered: {served} of {len(calm)} served,"
-            f" {_tally(calm)}, troubles {world.disturbances[-4:]},"
-            f" calm from {calm_from_s:.1f}"
+    """Returns a description of each broken guarantee, naming the request.
+
+    Args:
+        environment: The environment of the soak, after its end.
+        sent: All requests that the callers sent.
+        recovery_from_s: Monotonic time in seconds from which the gateways must
+            have recovered from all faults.
+    """
+    breaches = [
+        text
+        for request in sent
+        for text in _check_request(environment, request)
+    ]
+    breaches += _check_workers(environment)
+    recovery = [s for s in sent if s.sent_s > recovery_from_s and s.ended_s]
+    recovery = [s for s in recovery if environment.keys[s.key] is None]
+    served = sum(_is_served(request) for request in recovery)
+    if recovery and served < MIN_SERVED_RATIO * len(recovery):
+        breaches.append(
+            f"not recovered: {served} of {len(recovery)} served,"
+            f" {_count_outcomes(recovery)},"
+            f" faults {environment.injected_faults[-4:]},"
+            f" recovery period from {recovery_from_s:.1f}"
         )
-    return found
+    return breaches
 
 
-def _tally(sent: list[Sent]) -> dict[str, int]:
-    """Counts how requests ended, by kind and answer."""
-    ends = collections.Counter(
+def _count_outcomes(sent: list[SentRequest]) -> dict[str, int]:
+    """Counts the eight most common request outcomes, by route and response."""
+    outcomes = collections.Counter(
         f"{s.kind} {s.reply.status} {s.reply.body[:60]!r}"
         if s.reply and s.reply.status != 200
-        else f"{s.kind} {'answered' if s.reply else 'cut'}"
+        else f"{s.kind} {'answered' if s.reply else 'connection lost'}"
         for s in sent
     )
-    return dict(ends.most_common(8))
+    return dict(outcomes.most_common(8))
 
 
-def _is_served(request: Sent) -> bool:
+def _is_served(request: SentRequest) -> bool:
     reply = request.reply
     return reply is not None and reply.status == 200 and reply.whole
 
 
-def _check(world: World, request: Sent) -> Iterator[str]:
-    runs = world.runs.get(request.id, [])
+def _check_request(
+    environment: SoakEnvironment, request: SentRequest
+) -> Iterator[str]:
+    runs = environment.runs.get(request.id, [])
     reply = request.reply
     if request.kind == "unsafe":
         if len(runs) > 1:
-            yield f"ran twice: {request.id} {runs}"
-        if runs and reply and reply.status in PROMISES_NOT_RUN:
-            yield f"said not run: {request.id} {reply.status}"
-    since_s = world.keys[request.key]
-    if since_s is not None and runs:
-        late_s = request.sent_s - since_s
-        if late_s > REVOKE_S + SLACK_S:
-            yield f"ran {late_s:.2f} s after its key was taken away: {request}"
-    is_late = request.ended_s - request.sent_s > DEADLINE_S + SLACK_S
+            yield f"run more than once: {request.id} {runs}"
+        if runs and reply and reply.status in NOT_EXECUTED_STATUSES:
+            yield f"reported as not run: {request.id} {reply.status}"
+    revoked_s = environment.keys[request.key]
+    if revoked_s is not None and runs:
+        late_s = request.sent_s - revoked_s
+        if late_s > REVOKE_S + TIMING_SLACK_S:
+            yield f"run {late_s:.2f} s after its key was revoked: {request}"
+    is_late = request.ended_s - request.sent_s > DEADLINE_S + TIMING_SLACK_S
     span = (request.sent_s, request.ended_s)
-    # A process that stands still can't answer; seed 100 had three streams
-    # open at a gateway that was stopped for 3.5 s.
-    if is_late and reply and not _was_in(world, *span, ("freeze_gateway",)):
+    # A gateway process suspended by SIGSTOP cannot answer in time: with seed
+    # 100, three streams were open at a gateway suspended for 3.5 s.
+    if (
+        is_late
+        and reply
+        and not _overlaps_fault(environment, *span, ("freeze_gateway",))
+    ):
         yield f"answered late: {request.id}"
     if reply is not None and reply.status < 300:
         yield from _check_answer(request, reply.headers, reply.body)
 
 
 def _check_answer(
-    request: Sent, headers: dict[str, str], body: bytes
+    request: SentRequest, headers: dict[str, str], body: bytes
 ) -> Iterator[str]:
     reply = request.reply
     assert reply is not None
     if headers.get("response-signature") != SIGNATURE:
-        yield f"no signature: {request.id}"
+        yield f"response without the worker's signature: {request.id}"
     if headers.get("attempt-id") != request.id:
-        yield f"answer to {headers.get('attempt-id')}: {request.id}"
+        yield f"response to {headers.get('attempt-id')}: {request.id}"
     if request.expected is not None:
         if body != request.expected:
             yield f"wrong body: {request.id} {body[:80]!r}"
@@ -91,39 +114,53 @@
     if ids != list(range(1, len(ids) + 1)):
         yield f"events out of order: {request.id} {ids}"
     if reply.whole and len(ids) != EVENTS:
-        yield f"looks complete: {request.id} {ids}"
+        yield f"incomplete stream ended as complete: {request.id} {ids}"
 
 
-def _check_workers(world: World) -> Iterator[str]:
-    for request, runs in world.runs.items():
+def _check_workers(environment: SoakEnvironment) -> Iterator[str]:
+    for request, runs in environment.runs.items():
         for at_s, name in runs:
-            left_s = world.left_s.get(name)
-            if left_s is None or at_s - left_s <= DRAIN_S + SLACK_S:
+            departure_s = environment.departure_s.get(name)
+            if (
+                departure_s is None
+                or at_s - departure_s <= DRAIN_S + TIMING_SLACK_S
+            ):
                 continue
-            if not _was_disturbed(world, left_s, at_s):
-                yield f"{request} ran {at_s - left_s:.2f} s after {name} left"
-    for worker in world.workers.values():
+            if not _is_notice_delayed(environment, departure_s, at_s):
+                yield (
+                    f"{request} run {at_s - departure_s:.2f} s"
+                    f" after {name} left"
+                )
+    for worker in environment.workers.values():
         for arrival in worker.arrivals:
             if arrival.headers.get("tenant-id") != "clinic":
                 yield f"wrong workspace: {arrival.request_id}"
             if "authorization" in arrival.headers:
-                yield f"key passed on: {arrival.request_id}"
+                yield f"API key forwarded to the worker: {arrival.request_id}"
 
 
-def _was_disturbed(world: World, start_s: float, end_s: float) -> bool:
-    """Whether a fault could keep the notice of a leaving worker away.
+def _is_notice_delayed(
+    environment: SoakEnvironment, start_s: float, end_s: float
+) -> bool:
+    """Whether a fault may have delayed the notice that a worker is leaving.
 
-    Only faults of the store, of ways to it and of frozen gateways excuse it.
+    Only faults of the store, faults of a link (to the store or to a worker)
+    and suspended gateways excuse a request sent to the worker after the drain
+    time.
     """
     names = ("spoil_store", "spoil_link", "freeze_gateway")
-    return _was_in(world, start_s - DRAIN_S, end_s, names)
+    return _overlaps_fault(environment, start_s - DRAIN_S, end_s, names)
 
 
-def _was_in(
-    world: World, start_s: float, end_s: float, names: tuple[str, ...]
+def _overlaps_fault(
+    environment: SoakEnvironment,
+    start_s: float,
+    end_s: float,
+    names: tuple[str, ...],
 ) -> bool:
+    """Whether one of the named faults was active between two times."""
     return any(
         began_s < end_s and ended_s > start_s
-        for name, began_s, ended_s in world.disturbances
+        for name, began_s, ended_s in environment.injected_faults
         if name in names
     )
--- a/lab/soak/command.py
+++ b/lab/soak/command.py
@@ -1,4 +1,4 @@
-"""Runs gateways under random faults and checks their promises."""
+"""Runs gateways under random faults and checks that guarantees hold."""
 
 from __future__ import annotations
 
@@ -10,27 +10,34 @@
 
 from lab.soak.checks import find_breaches
 from lab.soak.traffic import Callers
-from lab.soak.troubles import TROUBLES, Trouble
-from lab.soak.world import GATEWAYS, World
+from lab.soak.troubles import FAULTS, Fault
+from lab.soak.world import GATEWAYS, SoakEnvironment
 
 CALLERS = 8
-SETTLE_S = 4.0
-"""Faults end, and what follows them, before recovery is looked at."""
-CALM_S = 2.0
+FAULT_SETTLE_S = 4.0
+"""Seconds from the end of the last fault until recovery is checked.
+
+The after-effects of the faults have to end before the recovery period starts.
+"""
+RECOVERY_S = 2.0
 START_TIMEOUT_S = 15.0
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Adds the command's arguments."""
+    """Adds the arguments of the soak command to a parser."""
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--seeds", type=int, default=1, help="how many")
+    parser.add_argument(
+        "--seeds", type=int, default=1, help="number of seeds to run"
+    )
     parser.add_argument("--seconds", type=float, default=12.0)
     parser.add_argument("--gateways", type=int, default=GATEWAYS)
-    parser.add_argument("--logs", type=pathlib.Path, help="keep logs here")
+    parser.add_argument(
+        "--logs", type=pathlib.Path, help="folder to keep the gateways' logs in"
+    )
 
 
 def run(args: argparse.Namespace) -> int:
-    """Plays the seeds; exits 1 where a promise was broken."""
+    """Runs all seeds; returns exit status 1 if a guarantee was broken."""
     failed = 0
     for seed in range(args.seed, args.seed + args.seeds):
         breaches, summary = play(seed, args.seconds, args.logs, args.gateways)
@@ -38,7 +45,7 @@
         print(f"seed {seed}: {summary}", flush=True)
         for text in breaches[:10]:
             print(f"  {text}", flush=True)
-    print(f"{args.seeds - failed} seeds held, {failed} did not")
+    print(f"{args.seeds - failed} seeds passed, {failed} failed")
     return 1 if failed else 0
 
 
@@ -48,62 +55,78 @@
     logs: pathlib.Path | None = None,
     gateways: int = GATEWAYS,
 ) -> tuple[list[str], str]:
-    """Plays one seed; returns what was broken and a summary."""
+    """Runs one seed.
+
+    Args:
+        seed: Seed of all random choices.
+        seconds: Duration in seconds of the fault injection.
+        logs: Folder for the gateways' settings and logs, in one subfolder
+            for each seed. None uses a temporary folder.
+        gateways: Number of gateway processes.
+
+    Returns:
+        Descriptions of the broken guarantees, and a summary of the run.
+    """
     with tempfile.TemporaryDirectory() as temporary:
         folder = logs / str(seed) if logs else pathlib.Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(_play(World(seed, folder, gateways), seconds))
+        return asyncio.run(
+            _run_seed(SoakEnvironment(seed, folder, gateways), seconds)
+        )
 
 
-async def _play(world: World, seconds: float) -> tuple[list[str], str]:
-    await world.start()
-    callers = Callers(world)
-    tasks = [asyncio.ensure_future(callers.watch_readiness())]
+async def _run_seed(
+    environment: SoakEnvironment, seconds: float
+) -> tuple[list[str], str]:
+    await environment.start()
+    callers = Callers(environment)
+    tasks = [asyncio.ensure_future(callers.poll_readiness())]
     try:
-        await _wait_until_ready(world)
+        await _wait_until_ready(environment)
         tasks += [
-            asyncio.ensure_future(callers.call_on()) for _ in range(CALLERS)
+            asyncio.ensure_future(callers.send_requests())
+            for _ in range(CALLERS)
         ]
-        await _disturb(world, seconds)
-        await asyncio.sleep(SETTLE_S)
-        calm_from_s = time.monotonic()
-        await asyncio.sleep(CALM_S)
+        await _inject_faults(environment, seconds)
+        await asyncio.sleep(FAULT_SETTLE_S)
+        recovery_from_s = time.monotonic()
+        await asyncio.sleep(RECOVERY_S)
     finally:
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        await world.stop()
-    breaches = find_breaches(world, callers.sent, calm_from_s)
-    whole = sum(
+        await environment.stop()
+    breaches = find_breaches(environment, callers.sent, recovery_from_s)
+    answered = sum(
         s.reply is not None and s.reply.status == 200 for s in callers.sent
     )
-    names = [name for name, _, _ in world.disturbances]
+    names = [name for name, _, _ in environment.injected_faults]
     return breaches, (
-        f"{len(callers.sent)} requests, {whole} answered,"
-        f" {len(names)} troubles, {len(breaches)} breaches"
+        f"{len(callers.sent)} requests, {answered} answered,"
+        f" {len(names)} faults, {len(breaches)} broken guarantees"
     )
 
 
-async def _wait_until_ready(world: World) -> None:
+async def _wait_until_ready(environment: SoakEnvironment) -> None:
     async with asyncio.timeout(START_TIMEOUT_S):
-        for gateway in world.gateways:
+        for gateway in environment.gateways:
             while not await gateway.is_ready():
                 await asyncio.sleep(0.1)
 
 
-async def _disturb(world: World, seconds: float) -> None:
-    """Starts troubles one after the other; they overlap."""
+async def _inject_faults(environment: SoakEnvironment, seconds: float) -> None:
+    """Starts faults at random intervals; their durations may overlap."""
     end_s = time.monotonic() + seconds
     running = []
     while time.monotonic() < end_s:
-        trouble = world.rng.choice(TROUBLES)
-        running.append(asyncio.ensure_future(_apply(world, trouble)))
-        await asyncio.sleep(world.rng.uniform(0.1, 1.2))
+        fault = environment.rng.choice(FAULTS)
+        running.append(asyncio.ensure_future(_inject_fault(environment, fault)))
+        await asyncio.sleep(environment.rng.uniform(0.1, 1.2))
     await asyncio.gather(*running)
 
 
-async def _apply(world: World, trouble: Trouble) -> None:
+async def _inject_fault(environment: SoakEnvironment, fault: Fault) -> None:
     began_s = time.monotonic()
-    await trouble(world)
-    span = (trouble.__name__, began_s, time.monotonic())
-    world.disturbances.append(span)
+    await fault(environment)
+    span = (fault.__name__, began_s, time.monotonic())
+    environment.injected_faults.append(span)
--- a/lab/soak/proxy.py
+++ b/lab/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections go wrong on command."""
+"""A loopback proxy that injects connection faults on command."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 
 
 class LinkState(enum.Enum):
-    """What the proxy does to the bytes that pass."""
+    """How the proxy treats the bytes that it relays."""
 
-    SOUND = "sound"
+    HEALTHY = "sound"
     DELAYED = "delayed"
-    SILENT = "silent"
-    """Nothing passes, nothing is closed."""
+    STALLED = "silent"
+    """Discards all bytes without closing the connection."""
     ONE_WAY = "one_way"
-    """What the far end sends is lost."""
+    """Discards the bytes that the target sends."""
     REFUSED = "refused"
-    """Connections are reset, new ones too."""
+    """Resets each new connection; open ones are reset by `reset_all`."""
 
 
 class Proxy:
-    """Relays connections to a target.
+    """Relays TCP connections to a target and injects faults into them.
 
     Attributes:
-        target: `HOST:PORT` to relay to.
-        state: What happens to the bytes.
-        address: `HOST:PORT` that it listens at.
+        target: `HOST:PORT` that connections are relayed to.
+        state: How relayed bytes are treated.
+        address: `HOST:PORT` that the proxy listens at; empty before `start`.
     """
 
     def __init__(self, target: str) -> None:
         self.target = target
-        self.state = LinkState.SOUND
+        self.state = LinkState.HEALTHY
         self.address = ""
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listens on the loopback."""
+        """Starts listening on a free loopback port."""
         self._server = await asyncio.start_server(self._relay, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     def stop(self) -> None:
-        """Ends it and its connections."""
+        """Stops listening and resets all open connections."""
         if self._server is not None:
             self._server.close()
         self.reset_all()
@@ -56,7 +56,7 @@
             task.cancel()
 
     def reset_all(self) -> None:
-        """Resets all connections."""
+        """Resets all open connections with a TCP RST."""
         for writer in list(self._writers):
             reset_connection(writer)
 
@@ -71,18 +71,18 @@
             if self.state is LinkState.REFUSED:
                 return
             host, _, port = self.target.rpartition(":")
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 host, int(port)
             )
-            self._writers.add(far_writer)
+            self._writers.add(target_writer)
             try:
                 await asyncio.gather(
-                    self._copy(reader, far_writer, is_answer=False),
-                    self._copy(far_reader, writer, is_answer=True),
+                    self._copy(reader, target_writer, is_from_target=False),
+                    self._copy(target_reader, writer, is_from_target=True),
                 )
             finally:
-                self._writers.discard(far_writer)
-                far_writer.close()
+                self._writers.discard(target_writer)
+                target_writer.close()
         except (OSError, asyncio.CancelledError):
             pass
         finally:
@@ -95,12 +95,12 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        is_answer: bool,
+        is_from_target: bool,
     ) -> None:
         while data := await reader.read(READ_BYTES):
-            if self.state is LinkState.SILENT:
+            if self.state is LinkState.STALLED:
                 continue
-            if self.state is LinkState.ONE_WAY and is_answer:
+            if self.state is LinkState.ONE_WAY and is_from_target:
                 continue
             if self.state is LinkState.DELAYED:
                 await asyncio.sleep(DELAY_S)
--- a/lab/soak/traffic.py
+++ b/lab/soak/traffic.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, and what they saw."""
+"""Callers of a soak, and records of the responses that they received."""
 
 from __future__ import annotations
 
@@ -9,26 +9,28 @@
 import time
 
 from lab.caller import Reply, make_request, read_reply
-from lab.soak.world import World
+from lab.soak.world import SoakEnvironment
 
 DEADLINE_S = 3.0
-LEAVE_RATIO = 0.05
-KEEP_RATIO = 0.7
+ABANDON_RATIO = 0.05
+KEEP_ALIVE_RATIO = 0.7
 PAUSE_S = 0.02
 
 
 @dataclasses.dataclass
-class Sent:
-    """One request as its caller saw it.
+class SentRequest:
+    """One request as its caller observed it.
 
     Attributes:
-        id: Its id.
-        kind: Name of its route.
-        key: Its key.
-        sent_s: Monotonic time of the start.
-        expected: The body of a right answer; None for streams.
-        ended_s: Monotonic time of the end.
-        reply: What came; None where the connection broke.
+        id: Request id.
+        kind: Name of the route: `safe`, `unsafe` or `stream`.
+        key: API key that the request was sent with.
+        sent_s: Monotonic time in seconds at which sending started.
+        expected: Body of a correct response; None for streams.
+        ended_s: Monotonic time in seconds at which the request ended; 0.0
+            while it is open.
+        reply: Response received; None if the connection broke or the caller
+            gave up.
     """
 
     id: str
@@ -41,31 +43,34 @@
 
 
 class Callers:
-    """Tasks that send requests as long as they are let.
+    """Sends requests to ready gateways until its tasks are cancelled.
 
     Attributes:
-        sent: All requests that have ended.
+        sent: All requests sent so far, including open ones.
     """
 
-    def __init__(self, world: World) -> None:
-        self.sent: list[Sent] = []
-        self._world = world
-        self._rng = world.rng
-        self._numbers = itertools.count()
-        self._ready: list[int] = []
+    def __init__(self, environment: SoakEnvironment) -> None:
+        self.sent: list[SentRequest] = []
+        self._world = environment
+        self._rng = environment.rng
+        self._request_numbers = itertools.count()
+        self._ready_ports: list[int] = []
 
-    async def watch_readiness(self) -> None:
-        """Asks the gateways as the balancer does."""
+    async def poll_readiness(self) -> None:
+        """Polls the readiness of all gateways, as a load balancer does.
+
+        If no gateway is ready, requests go to all of them.
+        """
         while True:
             gateways = self._world.gateways
             states = await asyncio.gather(*(g.is_ready() for g in gateways))
             ports = [g.client_port for g in gateways]
             chosen = [p for p, r in zip(ports, states, strict=True) if r]
-            self._ready = chosen or ports
+            self._ready_ports = chosen or ports
             await asyncio.sleep(0.5)
 
-    async def call_on(self) -> None:
-        """Sends requests one after the other, on kept connections."""
+    async def send_requests(self) -> None:
+        """Sends requests one after the other, over keep-alive connections."""
         while True:
             try:
                 await self._use_connection()
@@ -73,34 +78,38 @@
                 await asyncio.sleep(PAUSE_S)
 
     async def _use_connection(self) -> None:
-        if not self._ready:
+        if not self._ready_ports:
             await asyncio.sleep(PAUSE_S)
             return
-        port = self._rng.choice(self._ready)
+        port = self._rng.choice(self._ready_ports)
         async with asyncio.timeout(1.0):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
             while True:
-                reply = await self._call(reader, writer)
+                reply = await self._send_request(reader, writer)
                 await asyncio.sleep(self._rng.uniform(0.0, 2 * PAUSE_S))
                 is_last = reply.headers.get("connection") == "close"
-                if is_last or self._rng.random() > KEEP_RATIO:
+                if is_last or self._rng.random() > KEEP_ALIVE_RATIO:
                     return
         finally:
             writer.close()
 
-    async def _call(
+    async def _send_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> Reply:
         kind = self._rng.choice(("safe", "unsafe", "stream"))
-        valid = [k for k, since in self._world.keys.items() if since is None]
-        old = [k for k, since in self._world.keys.items() if since]
-        key = self._rng.choice(old or valid if self._draw(0.1) else valid)
-        name = f"q{next(self._numbers)}"
+        valid = [
+            k for k, revoked_s in self._world.keys.items() if revoked_s is None
+        ]
+        revoked = [k for k, revoked_s in self._world.keys.items() if revoked_s]
+        key = self._rng.choice(
+            revoked or valid if self._draw_with_ratio(0.1) else valid
+        )
+        name = f"q{next(self._request_numbers)}"
         target, body = f"/{kind}/{name}?a=1", name.encode() * 20
         digest = hashlib.sha256(body).hexdigest()
         expected = f"{name} POST {target} {digest}".encode()
-        sent = Sent(
+        sent = SentRequest(
             name,
             kind,
             key,
@@ -111,7 +120,9 @@
         headers = {"Deadline_Ms": str(int(DEADLINE_S * 1000))}
         data = make_request(target, "POST", body, name, key, **headers)
         writer.write(data)
-        limit_s = 0.05 if self._draw(LEAVE_RATIO) else DEADLINE_S + 1.0
+        limit_s = (
+            0.05 if self._draw_with_ratio(ABANDON_RATIO) else DEADLINE_S + 1.0
+        )
         try:
             async with asyncio.timeout(limit_s):
                 sent.reply = await read_reply(reader)
@@ -119,5 +130,5 @@
             sent.ended_s = time.monotonic()
         return sent.reply
 
-    def _draw(self, ratio: float) -> bool:
+    def _draw_with_ratio(self, ratio: float) -> bool:
         return self._rng.random() < ratio
--- a/lab/soak/troubles.py
+++ b/lab/soak/troubles.py
@@ -1,4 +1,7 @@
-"""Faults and planned work, in series that overlap."""
+"""Faults and planned operations that a soak injects at random.
+
+Several of them may be active at the same time.
+"""
 
 from __future__ import annotations
 
@@ -8,109 +11,126 @@
 from collections.abc import Awaitable, Callable
 
 from lab.soak.proxy import LinkState
-from lab.soak.world import SCRIPTS, World
+from lab.soak.world import SCRIPTS, SoakEnvironment
 
-Trouble = Callable[[World], Awaitable[None]]
+Fault = Callable[[SoakEnvironment], Awaitable[None]]
 
 
-async def end_gateway(world: World) -> None:
-    """Stops or kills a gateway; another process takes its place."""
-    gateway = world.rng.choice(world.gateways)
-    number = world.rng.choice((signal.SIGTERM, signal.SIGKILL))
+async def end_gateway(environment: SoakEnvironment) -> None:
+    """Terminates or kills a gateway process and starts a replacement."""
+    gateway = environment.rng.choice(environment.gateways)
+    number = environment.rng.choice((signal.SIGTERM, signal.SIGKILL))
     if gateway.is_alive and not gateway.is_frozen:
-        await gateway.end(number)
+        await gateway.restart(number)
 
 
-async def freeze_gateway(world: World) -> None:
-    """A gateway stands still for a while."""
-    gateway = world.rng.choice(world.gateways)
+async def freeze_gateway(environment: SoakEnvironment) -> None:
+    """Suspends a gateway process with SIGSTOP for 0.3 to 3.5 s."""
+    gateway = environment.rng.choice(environment.gateways)
     gateway.send_signal(signal.SIGSTOP)
-    await asyncio.sleep(world.rng.uniform(0.3, 3.5))
+    await asyncio.sleep(environment.rng.uniform(0.3, 3.5))
     gateway.send_signal(signal.SIGCONT)
 
 
-async def reload_gateway(world: World) -> None:
-    """Settings are read again."""
-    world.rng.choice(world.gateways).send_signal(signal.SIGHUP)
+async def reload_gateway(environment: SoakEnvironment) -> None:
+    """Makes a gateway reload its settings, by SIGHUP."""
+    environment.rng.choice(environment.gateways).send_signal(signal.SIGHUP)
+
 
+async def spoil_store(environment: SoakEnvironment) -> None:
+    """Makes the store fail, stall, delay, serve stale data or lose appends.
 
-async def spoil_store(world: World) -> None:
-    """The store refuses, falls silent, loses answers, shows the past."""
-    name = world.rng.choice(("outage", "slow_ms", "stale_by", "lose_appends"))
+    One of these faults is chosen at random and lasts 0.3 to 3.5 s.
+    """
+    name = environment.rng.choice(
+        ("outage", "slow_ms", "stale_by", "lose_appends")
+    )
     value: dict[str, object] = {
-        "outage": world.rng.choice(("503", "429", "reset", "silent")),
+        "outage": environment.rng.choice(("503", "429", "reset", "silent")),
         "slow_ms": 250.0,
         "stale_by": 2,
         "lose_appends": 3,
     }
-    world.store.faults.update({name: value[name]})
-    await asyncio.sleep(world.rng.uniform(0.3, 3.5))
-    world.store.faults.update({name: None})
+    environment.store.faults.update({name: value[name]})
+    await asyncio.sleep(environment.rng.uniform(0.3, 3.5))
+    environment.store.faults.update({name: None})
 
 
-async def forget_history(world: World) -> None:
-    """The store drops its records but for the newest of each key."""
-    for topic in list(world.store.topics.values()):
+async def forget_history(environment: SoakEnvironment) -> None:
+    """Drops all records of keyed topics but the newest of each key."""
+    for topic in list(environment.store.topics.values()):
         if topic.is_keyed:
             topic.forget()
 
 
-async def spoil_link(world: World) -> None:
-    """A way to the store or to a worker goes wrong."""
-    links = [gateway.link for gateway in world.gateways]
-    links += [world.links[name] for name in world.get_live_workers()]
-    link = world.rng.choice(links)
-    link.state = world.rng.choice(list(LinkState))
+async def spoil_link(environment: SoakEnvironment) -> None:
+    """Injects a connection fault into a link to the store or to a worker."""
+    links = [gateway.link for gateway in environment.gateways]
+    links += [
+        environment.links[name] for name in environment.get_live_workers()
+    ]
+    link = environment.rng.choice(links)
+    link.state = environment.rng.choice(list(LinkState))
     if link.state is LinkState.REFUSED:
         link.reset_all()
-    await asyncio.sleep(world.rng.uniform(0.3, 3.0))
-    link.state = LinkState.SOUND
+    await asyncio.sleep(environment.rng.uniform(0.3, 3.0))
+    link.state = LinkState.HEALTHY
 
 
-async def crash_worker(world: World) -> None:
-    """A worker resets all it does; another one starts."""
-    live = world.get_live_workers()
+async def crash_worker(environment: SoakEnvironment) -> None:
+    """Stops a worker abruptly and starts another one.
+
+    The stopped worker's store entry is removed 0.1 to 1 s later. If at most
+    two workers are live, only a new worker is started.
+    """
+    live = environment.get_live_workers()
     if len(live) > 2:
-        name = world.rng.choice(live)
-        world.left_s[name] = time.monotonic()
-        await world.workers[name].stop()
-        world.links[name].stop()
-        await asyncio.sleep(world.rng.uniform(0.1, 1.0))
-        world.store.put("keyed.servers", name, b"")
-    await world.add_worker()
-
-
-async def drain_worker(world: World) -> None:
-    """A worker says that it leaves, or its entry just ends."""
-    live = world.get_live_workers()
+        name = environment.rng.choice(live)
+        environment.departure_s[name] = time.monotonic()
+        await environment.workers[name].stop()
+        environment.links[name].stop()
+        await asyncio.sleep(environment.rng.uniform(0.1, 1.0))
+        environment.store.put("keyed.servers", name, b"")
+    await environment.add_worker()
+
+
+async def drain_worker(environment: SoakEnvironment) -> None:
+    """Marks a worker as draining or removes its entry, then adds a worker.
+
+    Nothing happens if at most two workers are live.
+    """
+    live = environment.get_live_workers()
     if len(live) <= 2:
         return
-    name = world.rng.choice(live)
-    world.left_s[name] = time.monotonic()
-    if world.rng.random() < 0.7:
-        world.put_entry(name, "draining")
+    name = environment.rng.choice(live)
+    environment.departure_s[name] = time.monotonic()
+    if environment.rng.random() < 0.7:
+        environment.write_worker_entry(name, "draining")
     else:
-        world.store.put("keyed.servers", name, b"")
+        environment.store.put("keyed.servers", name, b"")
     await asyncio.sleep(1.0)
-    await world.add_worker()
+    await environment.add_worker()
+
 
+async def spoil_answers(environment: SoakEnvironment) -> None:
+    """Makes workers answer 5% to 30% of their requests in one faulty way."""
+    name = environment.rng.choice((*SCRIPTS, "break"))
+    environment.fault_ratios[name] = environment.rng.uniform(0.05, 0.3)
+    await asyncio.sleep(environment.rng.uniform(0.5, 3.0))
+    environment.fault_ratios.pop(name, None)
 
-async def spoil_answers(world: World) -> None:
-    """Workers spoil a share of their answers."""
-    name = world.rng.choice((*SCRIPTS, "break"))
-    world.misbehaviour[name] = world.rng.uniform(0.05, 0.3)
-    await asyncio.sleep(world.rng.uniform(0.5, 3.0))
-    world.misbehaviour.pop(name, None)
 
+async def change_configuration(environment: SoakEnvironment) -> None:
+    """Publishes up to six configurations in quick succession.
 
-async def change_configuration(world: World) -> None:
-    """Configurations in quick succession; keys come and go."""
-    for _ in range(world.rng.randint(1, 6)):
-        world.change_keys(add=1, remove=world.rng.randint(0, 1))
-        await asyncio.sleep(world.rng.uniform(0.02, 0.3))
+    Each of them adds an API key and may revoke one.
+    """
+    for _ in range(environment.rng.randint(1, 6)):
+        environment.change_keys(add=1, remove=environment.rng.randint(0, 1))
+        await asyncio.sleep(environment.rng.uniform(0.02, 0.3))
 
 
-TROUBLES: tuple[Trouble, ...] = (
+FAULTS: tuple[Fault, ...] = (
     end_gateway,
     freeze_gateway,
     reload_gateway,
--- a/lab/soak/world.py
+++ b/lab/soak/world.py
@@ -1,4 +1,4 @@
-"""What a soak runs: gateways, a store, workers, and links between them."""
+"""Environment of a soak: gateways, a store, workers and links between them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 from lab.worker import Arrival, Worker
 
 GATEWAYS = 3
-"""Processes of a usual soak. From eight on, some watch the store for others."""
+"""Default number of gateway processes.
+
+With eight or more, some gateways watch the store on behalf of others.
+"""
 WORKERS = 4
 EVENTS = 6
 REVOKE_S = 2.5
@@ -56,20 +59,25 @@
 
 
 def make_body(arrival: Arrival) -> bytes:
-    """What a worker answers: names all that must not be changed."""
+    """Returns the response body of a worker.
+
+    The body contains every part of the request that a gateway must forward
+    unchanged: its id, method, target and the digest of its body.
+    """
     digest = hashlib.sha256(arrival.body).hexdigest()
     name = f"{arrival.request_id} {arrival.method} {arrival.target}"
     return f"{name} {digest}".encode()
 
 
 class GatewayProcess:
-    """One gateway, started anew as often as faults end it.
+    """One gateway, whose process is restarted after each fault that ends it.
 
     Attributes:
-        name: Its VM's name.
-        client_port: Port for callers.
-        link: Its way to the store.
-        is_frozen: Whether it is stopped by a signal.
+        name: Name of the gateway's VM.
+        client_port: Port that callers connect to.
+        ready_port: Port of the readiness endpoint.
+        link: Proxy between the gateway and the store.
+        is_frozen: Whether the process is suspended by SIGSTOP.
     """
 
     def __init__(self, name: str, link: Proxy, folder: pathlib.Path) -> None:
@@ -81,21 +89,21 @@
         self._path = folder / f"{name}.conf"
         self._log = folder / f"{name}.log"
         self._process: asyncio.subprocess.Process | None = None
-        self._ending = asyncio.Lock()
+        self._restart_lock = asyncio.Lock()
 
     @property
     def is_alive(self) -> bool:
-        """Whether its process runs."""
+        """Whether the gateway process is running."""
         return self._process is not None and self._process.returncode is None
 
     @property
     def pid(self) -> int:
-        """Process id; the process must run."""
+        """Id of the gateway process, which must have been started."""
         assert self._process is not None
         return self._process.pid
 
     async def start(self) -> None:
-        """Starts the process; its lines are added to its log file."""
+        """Starts the process and appends its output to the log file."""
         text = SETTINGS.replace("NAME", self.name)
         text = text.replace("CLIENT", str(self.client_port))
         text = text.replace("READY", str(self.ready_port))
@@ -115,14 +123,17 @@
             )
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Signals the process that this object started, if it runs."""
+        """Sends a signal to the process of this gateway, if it is running."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
             self.is_frozen = number is signal.SIGSTOP
 
-    async def end(self, number: signal.Signals) -> None:
-        """Ends the process and starts another, once at a time."""
-        async with self._ending:
+    async def restart(self, number: signal.Signals) -> None:
+        """Ends the process with a signal and starts another one.
+
+        Concurrent calls run one after the other.
+        """
+        async with self._restart_lock:
             self.send_signal(number)
             if self._process is not None:
                 await self._process.wait()
@@ -130,13 +141,13 @@
             await self.start()
 
     async def stop(self) -> None:
-        """Kills the process for good."""
+        """Kills the process without starting another one."""
         if self.is_alive and self._process is not None:
             self._process.kill()
             await self._process.wait()
 
     async def is_ready(self) -> bool:
-        """What it tells the balancer."""
+        """Whether the readiness endpoint answers 200 within a second."""
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(
@@ -150,21 +161,26 @@
         return b" 200 " in line
 
 
-class World:
-    """All parts of a soak.
+class SoakEnvironment:
+    """All components of a soak and the records that its checks need.
 
     Attributes:
-        rng: Source of all choices.
-        store: The store.
-        gateways: The gateways.
-        workers: Workers by incarnation, also those that are gone.
-        links: Ways to the workers, by incarnation.
-        runs: Start times of runs by request id.
-        keys: Keys in force; the time since which one is not, else None.
-        left_s: When the store took note that a worker leaves.
-        misbehaviour: Share of requests that a worker spoils, by script; of
-            `break`, share of streams that break off.
-        disturbances: Name, start and end of each trouble that has ended.
+        rng: Source of all random choices.
+        store: Test double of the metadata store.
+        gateways: The gateway processes.
+        workers: Workers by instance name, including stopped ones.
+        links: Proxies in front of the workers, by instance name.
+        runs: Monotonic start time in seconds and worker of each run, by
+            request id.
+        keys: Monotonic time in seconds at which each API key was revoked;
+            None while the key is valid.
+        departure_s: Monotonic time in seconds just before each leaving
+            worker was stopped, or its store entry was marked as draining or
+            removed.
+        fault_ratios: Ratio of requests that workers fail, by name of the
+            script; for `break`, ratio of streams that break off.
+        injected_faults: Name, monotonic start and monotonic end in seconds of
+            each injected fault that has ended.
     """
 
     def __init__(
@@ -177,21 +193,21 @@
         self.links: dict[str, Proxy] = {}
         self.runs: dict[str, list[tuple[float, str]]] = {}
         self.keys: dict[str, float | None] = {}
-        self.left_s: dict[str, float] = {}
-        self.misbehaviour: dict[str, float] = {}
-        self.disturbances: list[tuple[str, float, float]] = []
+        self.departure_s: dict[str, float] = {}
+        self.fault_ratios: dict[str, float] = {}
+        self.injected_faults: list[tuple[str, float, float]] = []
         self._folder = folder
-        self._gateways = gateways
+        self._gateway_count = gateways
         self._version = 0
-        self._started = 0
+        self._worker_count = 0
 
     async def start(self) -> None:
-        """Starts all parts."""
+        """Starts the store, the workers and the gateways."""
         _, port = await start_app(self.store.make_app(), "127.0.0.1", 0)
         for _ in range(WORKERS):
             await self.add_worker()
         self.change_keys(add=3)
-        for number in range(self._gateways):
+        for number in range(self._gateway_count):
             link = Proxy(f"127.0.0.1:{port}")
             await link.start()
             gateway = GatewayProcess(f"edge-{number}", link, self._folder)
@@ -199,7 +215,7 @@
             self.gateways.append(gateway)
 
     async def stop(self) -> None:
-        """Ends all processes that were started."""
+        """Stops all gateway processes, workers and links."""
         for gateway in self.gateways:
             gateway.send_signal(signal.SIGCONT)
             await gateway.stop()
@@ -209,18 +225,29 @@
             self.links[name].stop()
 
     def change_keys(self, add: int = 0, remove: int = 0) -> None:
-        """Writes a configuration with other keys."""
+        """Adds and revokes API keys and writes the new configuration.
+
+        Keys are revoked only if more than `remove` keys are valid.
+
+        Args:
+            add: Number of keys to add.
+            remove: Number of keys to revoke.
+        """
         for _ in range(add):
             self.keys[f"key{len(self.keys)}"] = None
-        valid = [key for key, since in self.keys.items() if since is None]
+        valid = [
+            key for key, revoked_s in self.keys.items() if revoked_s is None
+        ]
         for key in valid[:remove] if len(valid) > remove else ():
             self.keys[key] = time.monotonic()
         self.write_configuration()
 
     def write_configuration(self) -> None:
-        """Writes the configuration in force under a new version."""
+        """Writes the current configuration under a new, higher version."""
         self._version += self.rng.randint(1, 3)
-        valid = [key for key, since in self.keys.items() if since is None]
+        valid = [
+            key for key, revoked_s in self.keys.items() if revoked_s is None
+        ]
         routes = [
             {
                 "Name": f"r-{name}",
@@ -244,18 +271,18 @@
         self.store.put("keyed.op", "config", data)
 
     async def add_worker(self) -> None:
-        """Starts a worker behind a link of its own and registers it."""
-        self._started += 1
-        name = f"w{self._started}"
-        worker = Worker(name, self._run)
+        """Starts a worker behind its own proxy and registers it."""
+        self._worker_count += 1
+        name = f"w{self._worker_count}"
+        worker = Worker(name, self._handle_request)
         await worker.start()
         link = Proxy(worker.address)
         await link.start()
         self.workers[name], self.links[name] = worker, link
-        self.put_entry(name, "ready")
+        self.write_worker_entry(name, "ready")
 
-    def put_entry(self, name: str, state: str) -> None:
-        """Registers a worker as it would do itself."""
+    def write_worker_entry(self, name: str, state: str) -> None:
+        """Writes the entry of a worker, as the worker itself would do."""
         entry = {
             "Service": "pool",
             "Address": self.links[name].address,
@@ -270,10 +297,10 @@
         self.store.put("keyed.servers", name, data)
 
     def get_live_workers(self) -> list[str]:
-        """Workers that neither left nor crashed."""
-        return [name for name in self.workers if name not in self.left_s]
+        """Returns the names of workers that neither left nor crashed."""
+        return [name for name in self.workers if name not in self.departure_s]
 
-    async def _run(
+    async def _handle_request(
         self, arrival: Arrival, writer: asyncio.StreamWriter
     ) -> None:
         script = self._draw_script()
@@ -292,17 +319,17 @@
             await lab.send(writer, 200, arrival, make_body(arrival))
 
     def _draw_script(self) -> lab.Script | None:
-        draw = self.rng.random()
-        for name, share in self.misbehaviour.items():
-            draw -= share
-            if draw < 0.0:
+        remaining = self.rng.random()
+        for name, share in self.fault_ratios.items():
+            remaining -= share
+            if remaining < 0.0:
                 return SCRIPTS.get(name)
         return None
 
     async def _stream(
         self, arrival: Arrival, writer: asyncio.StreamWriter
     ) -> None:
-        breaks = self.rng.random() < self.misbehaviour.get("break", 0.0)
+        breaks = self.rng.random() < self.fault_ratios.get("break", 0.0)
         script = lab.make_stream(
             EVENTS,
             break_after=self.rng.randint(0, EVENTS - 1) if breaks else None,
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,8 @@
-"""Which package may import which, and what the pure ones stay free of."""
+"""Checks which packages may import each other.
+
+Imports against the order of the layers lead to import cycles; a clock or a
+socket in a pure package makes its decisions depend on more than its inputs.
+"""
 
 from __future__ import annotations
 
@@ -22,21 +26,36 @@
     ("api", "operations"),
     ("gateway", "platform"),
 )
-"""From the bottom up; a package imports only itself and what is below it."""
+"""Packages by layer, from the bottom up.
+
+A package may import only itself and packages of lower layers.
+"""
 ROOTS = {"__main__", "cli", "wiring"}
-"""Modules of the top package that know the others."""
+"""Modules of the top-level package that may import any other package."""
 PURE = ("state", "messages", "decisions")
-TASKS = {"aiohttp", "asyncio", "mode", "socket", "threading", "time", "zmq"}
+IMPURE_MODULES = {
+    "aiohttp",
+    "asyncio",
+    "mode",
+    "socket",
+    "threading",
+    "time",
+    "zmq",
+}
 
 
 def get_package(module):
-    """The package of a module of ours, "" for the top one."""
-    head = module.split(".")[1:2]
-    return head[0] if head and (SOURCE / head[0]).is_dir() else ""
+    """Returns the subpackage of a module; "" for the top-level package."""
+    subpackage = module.split(".")[1:2]
+    return (
+        subpackage[0]
+        if subpackage and (SOURCE / subpackage[0]).is_dir()
+        else ""
+    )
 
 
 def get_imports(path):
-    """Modules that a file imports at run time, with where it does."""
+    """Yields the names of all modules that a file imports anywhere."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -64,7 +83,11 @@
 
 
 def find_upward(module, imports):
-    """Imports of a module that lead to its own layer or a higher one."""
+    """Returns the imports of a module from its own or a higher layer.
+
+    Imports within one package, and between `gateway` and `platform`, are
+    allowed.
+    """
     package = get_package(module)
     return [
         name
@@ -95,8 +118,8 @@
     ("module", "path"), [m for m in get_modules() if get_package(m[0]) in PURE]
 )
 def test_pure_packages_have_no_clock_and_no_socket(module, path):
-    heads = {name.split(".")[0] for name in get_imports(path)}
-    assert heads.isdisjoint(TASKS)
+    top_level_names = {name.split(".")[0] for name in get_imports(path)}
+    assert top_level_names.isdisjoint(IMPURE_MODULES)
 
 
 def test_no_module_imports_itself_through_others():
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,7 +1,7 @@
-"""The pages name tests and files that exist.
+"""Checks that tests and files named in the documentation exist.
 
-A reader who looks for the proof of a promise follows a name that a rename has
-left behind, and finds nothing; the promise then only looks proved.
+A renamed test or file leaves a stale reference in the documentation: the
+guarantee beside it then looks tested, but no test can be found for it.
 """
 
 from __future__ import annotations
@@ -15,13 +15,16 @@
 ROOT = Path(__file__).parent.parent
 DOCS = ROOT / "docs"
 PROMISES = DOCS / "PROMISES.md"
-STATES = ("holds", "partly", "does not hold")
+GUARANTEE_STATES = ("holds", "partly", "does not hold")
 TEST_NAME = re.compile(r"`([^`\s]*\.py)::([^`]*)`")
 LINK = re.compile(r"\]\(([^)\s#]+)[^)]*\)")
 
 
-def get_names(file: Path) -> set[str]:
-    """Returns the tests that a file defines; state machines by assignment."""
+def get_test_names(file: Path) -> set[str]:
+    """Returns the names of the tests that a file defines.
+
+    Tests of state machines are found as assignments.
+    """
     if not file.is_file():
         return set()
     names: set[str] = set()
@@ -35,12 +38,12 @@
 
 
 def test_named_tests_exist():
-    named = TEST_NAME.findall(PROMISES.read_text(encoding="utf-8"))
-    assert named
+    references = TEST_NAME.findall(PROMISES.read_text(encoding="utf-8"))
+    assert references
     missing = [
         f"{file}::{name}"
-        for file, name in named
-        if name not in get_names(ROOT / "tests" / file)
+        for file, name in references
+        if name not in get_test_names(ROOT / "tests" / file)
     ]
     assert not missing
 
@@ -52,7 +55,7 @@
     rows = [row for row in rows if row[5] != "state"]
     assert rows
     assert [row for row in rows if len(row) != 7 or not all(row)] == []
-    assert [row[0] for row in rows if row[5] not in STATES] == []
+    assert [row[0] for row in rows if row[5] not in GUARANTEE_STATES] == []
 
 
 @pytest.mark.parametrize(
