--- a/lab/experiments/capacity.py
+++ b/lab/experiments/capacity.py
@@ -143,7 +143,7 @@
 
 
 def make_document(workspaces: int, versions: int) -> ServiceDocument:
-    """Returns a service document with the given numbers of parts.
+    """Returns a service document of a given size.
 
     Args:
         workspaces: Number of workspaces.
--- a/lab/soak/traffic.py
+++ b/lab/soak/traffic.py
@@ -51,7 +51,7 @@
 
     def __init__(self, environment: SoakEnvironment) -> None:
         self.sent: list[SentRequest] = []
-        self._world = environment
+        self._environment = environment
         self._rng = environment.rng
         self._request_numbers = itertools.count()
         self._ready_ports: list[int] = []
@@ -62,7 +62,7 @@
         If no gateway is ready, requests go to all of them.
         """
         while True:
-            gateways = self._world.gateways
+            gateways = self._environment.gateways
             states = await asyncio.gather(*(g.is_ready() for g in gateways))
             ports = [g.client_port for g in gateways]
             chosen = [p for p, r in zip(ports, states, strict=True) if r]
@@ -99,9 +99,13 @@
     ) -> Reply:
         kind = self._rng.choice(("safe", "unsafe", "stream"))
         valid = [
-            k for k, revoked_s in self._world.keys.items() if revoked_s is None
+            k
+            for k, revoked_s in self._environment.keys.items()
+            if revoked_s is None
+        ]
+        revoked = [
+            k for k, revoked_s in self._environment.keys.items() if revoked_s
         ]
-        revoked = [k for k, revoked_s in self._world.keys.items() if revoked_s]
         key = self._rng.choice(
             revoked or valid if self._draw_with_ratio(0.1) else valid
         )
--- a/lab/soak/troubles.py
+++ b/lab/soak/troubles.py
@@ -19,9 +19,9 @@
 async def end_gateway(environment: SoakEnvironment) -> None:
     """Terminates or kills a gateway process and starts a replacement."""
     gateway = environment.rng.choice(environment.gateways)
-    number = environment.rng.choice((signal.SIGTERM, signal.SIGKILL))
+    signal_number = environment.rng.choice((signal.SIGTERM, signal.SIGKILL))
     if gateway.is_alive and not gateway.is_frozen:
-        await gateway.restart(number)
+        await gateway.restart(signal_number)
 
 
 async def freeze_gateway(environment: SoakEnvironment) -> None:
--- a/lab/soak/world.py
+++ b/lab/soak/world.py
@@ -122,19 +122,19 @@
                 env=dict(os.environ),
             )
 
-    def send_signal(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Sends a signal to the process of this gateway, if it is running."""
         if self._process is not None and self._process.returncode is None:
-            self._process.send_signal(number)
-            self.is_frozen = number is signal.SIGSTOP
+            self._process.send_signal(signal_number)
+            self.is_frozen = signal_number is signal.SIGSTOP
 
-    async def restart(self, number: signal.Signals) -> None:
+    async def restart(self, signal_number: signal.Signals) -> None:
         """Ends the process with a signal and starts another one.
 
         Concurrent calls run one after the other.
         """
         async with self._restart_lock:
-            self.send_signal(number)
+            self.send_signal(signal_number)
             if self._process is not None:
                 await self._process.wait()
             await asyncio.sleep(RESTART_S)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -46,10 +46,10 @@
 
 def get_package(module):
     """Returns the subpackage of a module; "" for the top-level package."""
-    subpackage = module.split(".")[1:2]
+    subpackages = module.split(".")[1:2]
     return (
-        subpackage[0]
-        if subpackage and (SOURCE / subpackage[0]).is_dir()
+        subpackages[0]
+        if subpackages and (SOURCE / subpackages[0]).is_dir()
         else ""
     )
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,7 +1,8 @@
 """Checks that tests and files named in the documentation exist.
 
 A renamed test or file leaves a stale reference in the documentation: the
-guarantee beside it then looks tested, but no test can be found for it.
+guarantee beside it then looks tested, but no test can be found for it. The
+tests also check that each guarantee has a state and that links resolve.
 """
 
 from __future__ import annotations
