--- a/tests/test_cascade.py
+++ b/tests/test_cascade.py
@@ -230,7 +230,7 @@
         )
 
 
-def test_restarted_entry_does_not_lose_what_it_told():
+def test_restarted_entry_keeps_its_reported_ratings():
     # Guards against losing the ratings that an entry reported before its
     # restart. Its new counters start at zero; taken as an older copy of the
     # former counters, they would be dropped until they had grown larger.
--- a/tests/test_crash_suspects.py
+++ b/tests/test_crash_suspects.py
@@ -141,7 +141,7 @@
     assert table.admit(CRASHING, 1.0 + CONVICTION_RETENTION_S) is Admission.FREE
 
 
-def test_poison_sent_again_and_again_takes_down_a_bounded_number():
+def test_crashing_request_sent_repeatedly_crashes_a_bounded_number():
     # One caller repeatedly sends a request that crashes each engine which runs
     # it, through either entry. All other requests in flight are answered
     # completely, and the crashing request is refused after at most three
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -121,7 +121,7 @@
     assert queue.take(1.0) is not None
 
 
-def test_request_given_up_frees_its_place():
+def test_abandoned_request_frees_its_slot():
     # A caller disconnects while its request waits. The capacity that was booked
     # for the request has to become available to the next one.
     queue = DeferralQueue(SlotSpec(1, 10.0, 0.0), 10)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -29,7 +29,7 @@
     assert "a" in evacuations
 
 
-def test_a_zone_missing_in_a_full_list_is_given_back():
+def test_a_zone_missing_in_a_full_list_is_restored():
     # The store dropped its history, including the record that removed the
     # order.
     evacuations = Evacuations()
@@ -40,7 +40,7 @@
     assert "b" in evacuations
 
 
-def test_a_full_list_of_the_past_changes_nothing():
+def test_an_outdated_full_list_changes_nothing():
     evacuations = Evacuations()
     evacuations.apply("a", 4, True)
     evacuations.apply("b", 5, True)
@@ -86,7 +86,7 @@
     await stage.wait_until(lambda: (zone in evacuations) == is_evacuated)
 
 
-def test_an_emptied_zone_gets_nothing_until_it_is_given_back():
+def test_an_evacuated_zone_gets_nothing_until_it_is_restored():
     # Guards against requests that are still sent to upstreams of a zone which
     # operators have evacuated, because these upstreams still answer.
     async def run():
--- a/tests/test_gateway_absence.py
+++ b/tests/test_gateway_absence.py
@@ -43,7 +43,7 @@
         yield f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-async def test_few_requests_find_out_that_a_vm_is_dark(caplog):
+async def test_few_requests_are_lost_when_a_vm_stops_responding(caplog):
     # A VM stops responding while the store still lists its upstream. Each
     # request that is sent there loses the time limit of a connection. One
     # failure shows that the upstream is unreachable, and a single probe now
--- a/tests/test_gateway_callers.py
+++ b/tests/test_gateway_callers.py
@@ -55,7 +55,7 @@
         (f"POST /safe/x HTTP/1.1\r\n{HEAD}".encode(), 408),
     ],
 )  # fmt: skip
-async def test_refuses_what_is_no_proper_request(data, status):
+async def test_rejects_malformed_requests(data, status):
     # The cases are: bytes that are not HTTP, a missing host, two lengths, a
     # length together with chunks, invalid chunks, an unknown transfer coding,
     # two keys, a head or body that is too long, and a head that does not end.
@@ -69,7 +69,7 @@
         assert count_arrivals(harness) == 0
 
 
-async def test_a_request_within_a_body_stays_in_it():
+async def test_request_inside_a_body_is_not_run():
     # Guards against request smuggling: the body contains a complete request. If
     # the body's length is honoured, it reaches the upstream as a body and never
     # as a request of its own.
@@ -92,7 +92,7 @@
         writer.close()
 
 
-async def test_requests_follow_each_other_on_a_connection():
+async def test_pipelined_requests_are_answered_in_order():
     async with run_stage(workers=1) as harness:
         reader, writer = await harness.connect()
         # The second request is sent before the first one is answered.
@@ -104,7 +104,7 @@
         writer.close()
 
 
-async def test_an_idle_connection_is_kept_for_the_time_that_callers_reuse_it():
+async def test_idle_connection_stays_open_while_callers_may_reuse_it():
     # Callers reuse a connection that was idle for up to four fifths of the
     # limit. If the gateway closed it at that moment, their request would be
     # lost.
@@ -150,7 +150,7 @@
     return reply.status
 
 
-async def test_caller_that_sends_slowly_has_its_time(monkeypatch):
+async def test_slow_caller_may_send_its_whole_body(monkeypatch):
     # Guards against a caller on a narrow link whose body is refused again and
     # again because it takes long, although the caller's deadline has not
     # passed.
--- a/tests/test_gateway_feeds.py
+++ b/tests/test_gateway_feeds.py
@@ -84,7 +84,7 @@
             await asyncio.sleep(0.005)
 
 
-async def test_a_cold_gateway_asks_again_soon():
+async def test_a_starting_gateway_retries_soon():
     # All VMs restart after a loss of power while the store refuses calls. A
     # gateway refuses every caller until it has read the store, so it must
     # detect the store's recovery soon.
@@ -100,7 +100,7 @@
             assert loop.time() - recovered_s < 0.4
 
 
-async def test_an_empty_read_proves_its_whole_wait():
+async def test_an_empty_read_confirms_freshness_for_its_whole_wait():
     # The store held the read for its whole wait and returned no record: no
     # change was made before the end of the wait. A read without an answer
     # confirms nothing.
@@ -120,7 +120,7 @@
             assert len(listener.proofs) <= count + 1
 
 
-async def test_a_read_of_the_past_proves_nothing():
+async def test_an_outdated_read_confirms_nothing():
     # The store answers from an outdated copy of the topic. Such an answer must
     # not count as a freshness confirmation.
     async with run_store() as (store, client):
@@ -135,7 +135,7 @@
             assert len(listener.proofs) == count
 
 
-async def test_records_in_clumps_share_a_read():
+async def test_records_in_bursts_share_a_read():
     # Guards against one call to the store for each record of a burst.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=2.0, pause_s=0.3) as (_, listener):
@@ -148,7 +148,7 @@
             assert len(store.calls) - before <= 4
 
 
-async def test_client_tells_what_an_append_did():
+async def test_client_reports_the_outcome_of_an_append():
     # With status 503 nothing was appended. With a lost answer the records may
     # have been appended. If the topic ends elsewhere, the condition failed, and
     # the error states the end for a retry.
@@ -181,7 +181,7 @@
         ]
 
 
-async def test_client_tells_where_a_shortened_topic_starts():
+async def test_client_reports_where_a_shortened_topic_starts():
     async with run_store() as (store, client):
         for _ in range(4):
             store.put("keyed.status", "k", b"x")
@@ -191,7 +191,7 @@
         assert raised.value.first == 4
 
 
-async def test_client_gives_up_a_silent_connection_and_opens_another():
+async def test_client_aborts_an_inactive_connection_and_opens_another():
     async with run_store() as (store, client):
         store.faults.outage = "silent"
         with pytest.raises(StoreUnavailableError):
@@ -231,7 +231,7 @@
             yield store, recovery, listener
 
 
-async def test_feed_that_hangs_asks_again_when_another_has_the_store_back():
+async def test_feed_that_hangs_retries_when_another_detects_the_recovery():
     # The store has recovered from an outage and one feed has detected it. The
     # other feed's current call was sent before the recovery and hangs. If that
     # feed waited for the timeout and the backoff, keys would be refused for a
@@ -245,7 +245,7 @@
         await wait_until(lambda: len(listener.proofs) > before, 0.5)
 
 
-async def test_call_that_answers_slowly_is_not_given_up():
+async def test_slow_answer_is_not_aborted():
     # The store answers slowly, but it answers: another feed has reached it, and
     # the answer to this feed's call is in transit. The feed must use this
     # answer and not send the call again.
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -33,7 +33,7 @@
     return sum(len(w.started) for w in harness.workers.values())
 
 
-async def test_passes_an_answer_on_unchanged():
+async def test_forwards_answer_unchanged():
     async with run_stage() as harness:
         reply = await harness.call("/safe/x?y=1", body=b"text")
         worker = await get_only_worker(harness)
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("script", [lab.reset, lab.fail, lab.hang])
-async def test_repeats_a_safe_request_elsewhere(script):
+async def test_retries_safe_request_at_another_upstream(script):
     # The first upstream resets the connection, fails or sends nothing. The
     # request may run again, so the caller must get the other upstream's answer.
     async with run_stage(workers=0) as harness:
@@ -85,7 +85,7 @@
         assert (reply.status, count_runs(harness)) == (200, 2)
 
 
-async def test_tells_each_answer_that_failed_and_what_came_next(caplog):
+async def test_logs_each_failed_answer_and_next_step(caplog):
     # Both upstreams answer with a failure. The first answer is followed by a
     # retry and the second one is forwarded; each must have its own log line.
     async with run_stage(workers=2, script=lab.fail) as harness:
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize(
     ("script", "status"), [(lab.reset, 502), (lab.fail, 500)]
 )
-async def test_never_repeats_an_unsafe_request(script, status):
+async def test_never_retries_unsafe_request(script, status):
     # The upstream resets the connection after it received the request, or it
     # fails. The request may have run, so it must not be sent to another
     # upstream, and the answer must not state that it has not run.
@@ -109,7 +109,7 @@
         assert (reply.status, count_runs(harness)) == (status, 1)
 
 
-async def test_an_unsafe_request_never_meets_a_dropped_connection():
+async def test_unsafe_request_gets_a_new_connection():
     # The upstream drops idle connections without notice and resets them when
     # data arrives. A request that must not run twice could then neither be
     # retried nor be reported as not run, so it must get a new connection.
@@ -125,7 +125,7 @@
         assert worker.connections == connections_before + 1
 
 
-async def test_sends_an_unsafe_request_on_after_proof_that_it_has_not_run():
+async def test_retries_unsafe_request_that_provably_has_not_run():
     # One upstream refuses the request and proves that it has not run, the other
     # one accepts it: the request runs once.
     async with run_stage(workers=0) as harness:
@@ -146,14 +146,14 @@
         assert reply.status == 200
 
 
-async def test_says_when_to_come_back_where_all_refuse():
+async def test_sends_retry_after_if_all_upstreams_refuse():
     async with run_stage(script=lab.refuse) as harness:
         reply = await harness.call("/unsafe/x", body=b"pay")
         assert reply.status == 503
         assert 0 < float(reply.headers["retry-after"]) < 1.4
 
 
-async def test_passes_over_an_upstream_that_is_not_there():
+async def test_skips_crashed_upstream():
     # An upstream has crashed, so that connections to its address are refused.
     # Nothing was sent, so even an unsafe request may go to the other upstream.
     async with run_stage() as harness:
@@ -162,7 +162,7 @@
         assert [reply.status for reply in replies] == [200] * 4
 
 
-async def test_passes_over_an_address_that_another_incarnation_has():
+async def test_skips_address_of_another_incarnation():
     # The upstream restarted under another id before its entry in the store
     # ended. It refuses requests for the expected id, and the other upstream
     # answers.
@@ -177,7 +177,7 @@
         await lab.send(writer, 200, arrival, body)
 
 
-async def test_gives_no_caller_a_second_answer():
+async def test_drops_second_answer_of_upstream():
     # The upstream answers each request twice. On a kept-alive connection the
     # second answer arrives where the answer to the next request is expected; no
     # caller may get it.
@@ -188,7 +188,7 @@
             assert reply.headers["attempt-id"] == f"a{number}"
 
 
-async def test_reads_past_a_late_answer_to_an_earlier_request():
+async def test_skips_late_answer_to_earlier_request():
     # The second answer to the first request arrives after the next request was
     # sent on the connection. It carries the first request's id, so the answer
     # that follows it must be forwarded.
@@ -206,7 +206,7 @@
         assert reply.body == b"a2"
 
 
-async def test_takes_an_answer_that_ends_with_its_connection():
+async def test_accepts_answer_delimited_by_close():
     async def respond(arrival, writer):
         writer.write(lab.make_head(200, arrival) + b"unframed")
         await writer.drain()
@@ -240,7 +240,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc",
     ],
 )
-async def test_passes_no_answer_on_that_is_not_the_upstreams(head):
+async def test_rejects_answers_not_made_by_the_upstream(head):
     # The cases are: bytes that are not HTTP, invalid chunks, a missing
     # signature and a body that is too short.
     async def respond(_arrival, writer):
@@ -279,7 +279,7 @@
         assert 0.3 < loop.time() - started_s < 0.8
 
 
-async def test_a_caller_that_leaves_frees_its_upstream():
+async def test_caller_disconnect_cancels_upstream_work():
     # The caller closes its connection while the upstream works. The answer is
     # no longer needed, so the connection to the upstream must be closed
     # immediately.
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -81,7 +81,7 @@
             await asyncio.sleep(0.01)
 
 
-async def test_a_gateway_learns_what_another_has_waiting():
+async def test_a_gateway_receives_the_queue_times_of_another():
     async with run_pair() as (_, (one, two)):
         upstream = one.get_ready("pool")[0]
         upstream.performance.waiting_s = 0.4
@@ -91,7 +91,7 @@
         await wait_until(lambda: get_waits_elsewhere(two)["w1"] == 0.0)
 
 
-async def test_what_a_stopped_gateway_told_is_forgotten():
+async def test_reports_of_a_stopped_gateway_expire():
     # A gateway is killed while it has requests waiting. Its last report must
     # expire: else the other gateways would avoid these upstreams indefinitely.
     async with run_pair() as (pair, (one, two)):
@@ -102,7 +102,7 @@
         await wait_until(lambda: get_waits_elsewhere(two)["w1"] == 0.0)
 
 
-async def test_datagrams_of_others_change_nothing():
+async def test_invalid_datagrams_change_nothing():
     # Datagrams that are no valid reports must be dropped without an effect.
     async with run_pair() as (pair, (_, two)):
         for data in (b"", b"x", DATAGRAM_KIND + bytes(12) + b"abc", bytes(40)):
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(("zones", "per_zone"), [(6, 12), (16, 25)])
-def test_many_gateways_tell_their_zone(zones, per_zone):
+def test_many_gateways_report_to_their_zone_only(zones, per_zone):
     # Reports to all gateways are rare: they are 0.7 s old with 68 gateways and
     # 4 s old with 390. Reports to the gateways of one zone are three to ten
     # times as frequent, with no more datagrams.
@@ -157,21 +157,21 @@
     assert REPORT_INTERVAL_S * len(chosen.peers) / PEERS_PER_INTERVAL <= 0.25
 
 
-def test_few_gateways_tell_all():
+def test_few_gateways_report_to_all():
     peers = make_peers(5, 2)
     assert (
         choose_gossip_targets(peers.keys(), peers, "z1").peers == peers.keys()
     )
 
 
-def test_a_zone_with_few_gateways_is_told_by_all():
+def test_a_gateway_in_a_small_zone_reports_to_all():
     peers = make_peers(6, 12)
     chosen = choose_gossip_targets(peers.keys(), peers, "elsewhere")
     assert chosen.peers == peers.keys()
     assert chosen.ratio == 1.0
 
 
-def test_a_zone_stands_for_all():
+def test_queue_times_are_extrapolated_from_the_zone():
     # Each of twelve gateways in this zone has a queue time of 0.02 s at an
     # upstream, and so have the gateways of the other zones, which sent no
     # report to this zone or sent one long ago.
@@ -199,7 +199,7 @@
     asyncio.run(run())
 
 
-async def test_gateways_of_other_zones_are_told_from_time_to_time(monkeypatch):
+async def test_gateways_of_other_zones_get_keepalive_reports(monkeypatch):
     # Without these reports the other zones would remove this gateway from their
     # peers, and would not count it among the watchers.
     monkeypatch.setattr(gossip_module, "KEEPALIVE_INTERVAL_S", 0.3)
@@ -227,7 +227,7 @@
         max_size=40,
     )
 )
-def test_sums_are_those_of_what_each_gateway_told_last(reports):
+def test_sums_are_those_of_the_last_reports(reports):
     waits, newest = ToldWaits(), {}
     for gateway, report in reports:
         waits.replace(gateway, report)
@@ -237,7 +237,7 @@
         assert waits.get(name) == expected
 
 
-def test_a_datagram_costs_what_it_names_not_all_upstreams(monkeypatch):
+def test_cost_of_a_datagram_does_not_grow_with_all_upstreams(monkeypatch):
     # Guards against gateways whose CPU is used up by each other's datagrams
     # where there are thousands of upstreams.
     hash_calls = []
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -66,7 +66,7 @@
     assert before.performance.running == 9
 
 
-def test_a_restarted_upstream_has_read_no_prompt():
+def test_a_restarted_upstream_has_no_prefix_cached():
     # The new process's cache is empty: a prompt prefix that the previous
     # process had cached takes as long as any other, until a prompt with it has
     # been sent here again.
@@ -127,7 +127,7 @@
     assert len(rotation) == 1
 
 
-def test_decodes_born_where_it_is_told():
+def test_decodes_start_time_where_present():
     data = json.dumps({**FIELDS, "born": START_MS}).encode()
     assert decode_upstream(data).born_ms == START_MS
     assert decode_upstream(json.dumps(FIELDS).encode()).born_ms is None
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("fields", INVALID_FIELDS)
-def test_an_entry_that_is_not_whole_names_no_upstream(fields):
+def test_an_invalid_entry_names_no_upstream(fields):
     with pytest.raises(CodecError):
         decode_upstream(json.dumps(fields).encode())
 
@@ -183,7 +183,7 @@
         assert type(text) is str
 
 
-async def test_junk_beside_good_entries_harms_none(caplog):
+async def test_invalid_entries_leave_other_upstreams_usable(caplog):
     # Another writer leaves entries that cannot be decoded, under keys of its
     # own and under the key of an upstream. Callers are served by the other
     # upstreams; each invalid entry is logged once, and its key names no
--- a/tests/test_gateway_lag.py
+++ b/tests/test_gateway_lag.py
@@ -9,7 +9,7 @@
 from tests.test_gateway_feeds import TOPIC, run_feed, run_store, wait_until
 
 
-def test_lag_counts_from_the_first_news_of_more():
+def test_lag_counts_from_first_known_unread_record():
     lag = Lag()
     lag.note_end(3, 3, 10.0)
     assert lag.get_age_s(11.0) == 0.0
@@ -39,7 +39,7 @@
     assert lag.note_known(4, 0.6) is None
 
 
-async def test_line_of_a_lost_read_tells_how_much_of_it_had_come(caplog):
+async def test_log_line_of_a_lost_read_states_received_bytes(caplog):
     async with run_store() as (store, client):
         async with run_feed(client) as (_, listener):
             await wait_until(lambda: listener.proofs)
@@ -59,7 +59,7 @@
     return [r for r in caplog.records if r.message == "store_lost"]
 
 
-def test_page_of_metrics_begins_with_what_is_short():
+def test_metrics_page_lists_histograms_last():
     exposition = Exposition()
     exposition.observe(Series.ANSWER_S, 'kind="safe"', 0.1)
     exposition.add_gauge(Series.FRESHNESS_CHECK_AGE_S, lambda: 1.0)
--- a/tests/test_gateway_loglines.py
+++ b/tests/test_gateway_loglines.py
@@ -51,7 +51,7 @@
     assert read_lines(pipe[0]) == [line]
 
 
-def test_bounds_the_lines_of_an_event_and_says_how_many_are_missing(pipe):
+def test_limits_lines_per_event_and_reports_dropped_lines(pipe):
     # Thousands of requests fail within a second. Lines of that event beyond the
     # rate limit are counted as dropped, and lines of other events are still
     # written.
@@ -69,7 +69,7 @@
     assert f"{name}{{}} 4880" in exposition.format_text()
 
 
-async def test_a_reader_that_stops_reading_costs_lines_not_time(pipe):
+async def test_stalled_reader_drops_lines_without_blocking(pipe):
     # The process that reads standard output has stopped, and the pipe is full.
     # Logging must not block, and lines that fit into the buffer are written
     # when the reader continues.
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -76,14 +76,14 @@
     assert samples[f"{PREFIX}attempts_total", ()] == 123_456_789
 
 
-def test_a_gauge_without_a_value_is_left_out():
+def test_omits_gauge_without_value():
     exposition = Exposition()
     exposition.add_gauge(Series.FRESHNESS_CHECK_AGE_S, lambda: None)
     name = f"{PREFIX}{Series.FRESHNESS_CHECK_AGE_S.value.name}"
     assert (name, ()) not in parse(exposition.format_text())
 
 
-async def test_tells_calls_to_the_store_and_the_age_of_its_proof(tmp_path):
+async def test_exposes_store_calls_and_freshness_check_age(tmp_path):
     # The store stops answering. The counter of refused or lost calls must grow,
     # and the age of the last freshness check must rise, so that the outage
     # shows in the metrics before any caller is refused.
--- a/tests/test_gateway_narrow_links.py
+++ b/tests/test_gateway_narrow_links.py
@@ -25,7 +25,7 @@
 SLACK_S = 0.7
 
 
-async def test_record_that_takes_longer_than_a_silence_may_is_read():
+async def test_record_that_takes_longer_than_the_inactivity_timeout_is_read():
     # Guards against reads that are aborted and started again indefinitely, so
     # that the newest configuration never comes into force.
     async with run_store() as (store, client):
@@ -39,7 +39,7 @@
             assert loop.time() - put_s < TRANSFER_S + SLACK_S
 
 
-async def test_gateway_begins_with_a_record_that_takes_long():
+async def test_gateway_starts_with_a_record_that_arrives_slowly():
     # Guards against a gateway that never becomes ready after a start, because
     # its first read is aborted each time.
     async with run_store() as (store, client):
@@ -52,7 +52,7 @@
             assert feed.is_synced
 
 
-async def test_answer_that_is_arriving_is_not_given_up_for_the_stores_return():
+async def test_arriving_answer_is_not_aborted_when_the_store_recovers():
     # Guards against a transfer that is aborted whenever another topic's feed
     # detects the store's recovery.
     async with run_store() as (store, client):
@@ -74,7 +74,7 @@
             await wait_until(lambda: listener.records, 0.8 * TRANSFER_S)
 
 
-async def test_answer_that_stops_midway_is_given_up_soon():
+async def test_answer_that_stops_midway_is_aborted_soon():
     # Guards against waiting indefinitely on a connection that stopped sending.
     async with run_store() as (store, client):
         store.put(TOPIC, "config", LARGE)
@@ -142,7 +142,7 @@
         """Does nothing: there are no followers."""
 
 
-async def test_read_that_lacks_what_a_watcher_has_read_proves_nothing():
+async def test_read_that_lacks_records_known_to_a_watcher_confirms_nothing():
     # Guards against accepting an old configuration as current while the store
     # answers from an outdated copy.
     async with run_store() as (store, client):
--- a/tests/test_gateway_placement.py
+++ b/tests/test_gateway_placement.py
@@ -141,7 +141,7 @@
     return tokens, sum(times_s) / len(times_s)
 
 
-def test_prompts_are_read_where_their_subject_is_kept(monkeypatch):
+def test_prompts_are_prefilled_where_their_prefix_is_cached(monkeypatch):
     # 100 long prompts a second arrive at 24 gateways in front of 23 upstreams,
     # and fill most of these with prefill. A shorter queue at another upstream,
     # known with a delay of a quarter of a second, draws a prompt away from the
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("wait_s", [0.0, 5.0])
-def test_a_busy_upstream_is_left_also_by_its_own_subjects(wait_s):
+def test_requests_leave_a_busy_upstream_despite_its_cached_prefix(wait_s):
     # One upstream has seconds of work in its queue. Its cached prefix is worth
     # some times the prefill that it saves, and no more.
     rotation = Rotation()
@@ -196,7 +196,7 @@
     assert len(checks) <= 50 * (choice.SAMPLE + 1)
 
 
-def test_subjects_are_spread_evenly_and_move_only_where_they_must():
+def test_prefixes_are_spread_evenly_and_move_only_where_they_must():
     rotation = Rotation()
     for number in range(28):
         entry = UpstreamEntry("pool", f"h:{number}", "a", "v1", 8, False)
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -92,7 +92,7 @@
         await runner.cleanup()
 
 
-async def test_a_planned_stop_cuts_nothing(tmp_path):
+async def test_planned_stop_completes_open_requests(tmp_path):
     # SIGTERM arrives while a stream runs and a kept-alive connection is idle.
     # The gateway must report not ready immediately, still answer requests that
     # arrive before the balancer has noticed, and exit when all requests are
@@ -116,7 +116,7 @@
         assert await stopping == 0
 
 
-async def test_stream_that_outlasts_the_stop_is_cut_and_said_so(tmp_path):
+async def test_stream_longer_than_the_stop_is_cut_and_logged(tmp_path):
     # SIGTERM arrives while a stream runs that takes longer than the process may
     # take to stop. The caller's connection must break without an end of the
     # stream, and the log line of the request must not blame the caller.
@@ -135,7 +135,7 @@
         assert any("event=drain_timeout" in line for line in lines)
 
 
-async def test_stream_asked_for_long_after_the_stop_is_refused(tmp_path):
+async def test_stream_requested_late_in_the_stop_is_refused(tmp_path):
     # SIGTERM arrives while a stream runs. The caller sends its next request on
     # the same connection, which the gateway reads only when that stream has
     # ended, after most of the stop time. A stream started then would be cut
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -30,7 +30,7 @@
     return times
 
 
-def test_waits_are_not_taken_for_reading():
+def test_queue_times_do_not_count_as_prefill():
     # Most answers have waited behind others, by very different times. If these
     # times were taken for the prompt's own prefill, a queue of ten requests
     # would count each wait ten times over, and its upstream would seem to be
@@ -68,7 +68,7 @@
     assert 0.0 < times.get("large", 10) <= times.get("large", 20_000)
 
 
-def test_what_is_read_of_a_prompt():
+def test_tokens_to_prefill_of_a_prompt():
     system = PromptPart("a", 2_000)
     prefix = PromptPart("b", 300)
     own_part = PromptPart("c", 40)
@@ -94,9 +94,7 @@
 
 
 @pytest.mark.parametrize(("wait_s", "goes_home"), [(1.1, True), (1.3, False)])
-def test_subject_leaves_its_upstream_only_for_a_shorter_total(
-    wait_s, goes_home
-):
+def test_prefix_leaves_its_upstream_only_for_a_shorter_total(wait_s, goes_home):
     # The upstream that has cached the prompt prefix has a queue. Another
     # upstream is free, but would have to prefill the shared prefix again,
     # which takes 0.4 s of its time from all requests: three times that is
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -122,7 +122,7 @@
     monkeypatch.setattr(watchers_module, "MIN_WATCHERS", 1)
 
 
-async def test_follower_asks_the_store_nothing_while_nothing_changes():
+async def test_follower_does_not_call_the_store_while_nothing_changes():
     # Guards against calls to the store from followers without a change, and
     # against freshness confirmations that are too old.
     async with run_gateways() as (_, watcher, follower):
@@ -158,7 +158,7 @@
             await asyncio.sleep(0.7)
 
 
-async def test_change_reaches_a_follower_whose_news_are_lost():
+async def test_change_reaches_a_follower_whose_notification_is_lost():
     # The datagram that notifies of the change is lost. The next response states
     # the new end of the topic, and the follower reads the store.
     async with run_gateways() as (store, watcher, follower):
@@ -186,7 +186,7 @@
         )
 
 
-async def test_follower_counts_its_questions():
+async def test_follower_counts_its_queries():
     async with run_gateways() as (_, watcher, follower):
         name = "lovagestage_relay_questions_total"
         answered, lost = (
@@ -214,7 +214,7 @@
         assert not watcher.listener.records
 
 
-async def test_proof_counts_from_the_question():
+async def test_confirmation_is_dated_to_the_query():
     # The watcher makes its response and is paused before it sends it. A key is
     # revoked in between. If the freshness confirmation were dated to the
     # response's arrival, the follower would accept the key for too long.
@@ -237,7 +237,7 @@
         assert follower.listener.proofs[-1] <= watcher.listener.proofs[-1]
 
 
-async def test_answer_to_an_earlier_question_proves_nothing():
+async def test_response_to_an_earlier_query_confirms_nothing():
     # The response arrives after the next query was sent. If it were dated by
     # that query, its freshness confirmation would appear too recent.
     async with run_gateways() as (_, watcher, follower):
@@ -251,7 +251,7 @@
         assert not follower.relay._pending_response.done()
 
 
-async def test_follower_knows_of_an_outage_that_it_did_not_see():
+async def test_follower_learns_of_an_outage_from_its_watcher():
     # The store is unavailable for a moment in which the follower does not call
     # it. Entries of upstreams expire meanwhile. Their removal must not be taken
     # for a departure of the upstreams, so the follower must learn of the
@@ -359,7 +359,7 @@
     assert socket.peers == {("127.0.0.1", 3)}
 
 
-async def test_idle_gateway_is_not_taken_for_gone(monkeypatch):
+async def test_idle_gateway_sends_keepalive_reports(monkeypatch):
     # A gateway without waiting requests has nothing to report. It must send a
     # keep-alive report long before the other gateways remove it.
     monkeypatch.setattr(gossip_module, "KEEPALIVE_INTERVAL_S", 0.3)
@@ -401,7 +401,7 @@
         change_options(gateway.feed, is_told=True)
 
 
-async def test_follower_gets_what_is_new_from_its_watcher():
+async def test_follower_gets_new_records_from_its_watcher():
     # Upstreams are replaced one after the other. Each change would cost the
     # store a call from every follower; the watcher sends the records instead.
     async with run_gateways() as (store, watcher, follower):
@@ -448,7 +448,7 @@
         assert follower.listener.records == [("config", b"new")]
 
 
-async def test_records_with_callers_keys_are_not_told():
+async def test_records_with_callers_keys_are_not_relayed():
     # Guards against callers' keys in datagrams between gateways.
     async with run_gateways() as (store, watcher, follower):
         calls = follower.calls
@@ -458,7 +458,7 @@
         assert follower.calls > calls
 
 
-async def test_a_watchers_proof_stays_sound_while_there_is_news():
+async def test_a_watchers_confirmation_stays_fresh_while_records_arrive():
     # A record is appended every 0.3 s. Each held read that returns one confirms
     # freshness only for the time at which it was sent. If the next read were
     # held as well, the follower would find the confirmation too old and read
@@ -473,7 +473,7 @@
         assert follower.calls == calls
 
 
-def test_records_are_parted_by_datagram():
+def test_records_are_split_into_datagrams():
     sizes = [300] * 10 + [MAX_DATAGRAM_BYTES + 1, 300]
     records = [Record(n, "", b"x" * size) for n, size in enumerate(sizes)]
     groups = split_records(records)
@@ -483,7 +483,7 @@
         assert total_bytes <= MAX_DATAGRAM_BYTES
 
 
-def test_followers_of_a_watcher_without_the_store_ask_another_watcher():
+def test_followers_of_a_watcher_without_the_store_query_another_watcher():
     # The store rejects the VM of a watcher. The watcher still responds, with a
     # freshness confirmation that becomes too old, and each of its followers
     # would read the store itself in each round until the watcher can read the
@@ -527,7 +527,7 @@
     assert list(relay.watchers.get_watchers(get_elapsed_s())) == watchers
 
 
-async def test_followers_leave_a_store_alone_that_all_have_lost():
+async def test_followers_rarely_read_a_store_that_all_gateways_have_lost():
     # The store is unavailable for seconds. Without a limit, every gateway would
     # read each topic every second. The watchers detect the recovery and notify
     # the followers.
--- a/tests/test_gateway_repeats.py
+++ b/tests/test_gateway_repeats.py
@@ -61,14 +61,14 @@
     assert acquire_all(budget, now_s) >= MAX_RESERVED - 1.0
 
 
-def test_a_young_process_reckons_with_gateways_unheard_of():
+def test_a_young_process_assumes_undiscovered_gateways():
     share = SLACK_RATIO * SLACK
     assert make_budget().get_limit(1.0, 1) == share / MIN_STARTUP_GATEWAYS
     assert make_budget().get_limit(WINDOW_S, 1) == share
     assert make_budget().get_limit(99.0, None) == share / ASSUMED_GATEWAYS
 
 
-def test_a_repeat_that_reached_nobody_is_given_back():
+def test_a_retry_that_reached_no_upstream_is_released():
     budget = make_budget()
     before = acquire_all(budget, 0.0)
     assert before >= 1
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -261,7 +261,7 @@
     assert choose_version(rollout, BOTH, active_session, 105.0).is_new
 
 
-async def test_gateways_tell_each_other_which_sessions_go_on():
+async def test_gateways_report_active_sessions_to_each_other():
     async with run_stage() as harness:
         await harness.add_worker("n1", Version="v2")
         for number in range(200):
@@ -503,7 +503,7 @@
         assert rollout.is_stopped
 
 
-def test_a_version_that_bears_bursts_passes_its_trial():
+def test_a_version_that_sustains_bursts_passes_its_trial():
     for seed in range(6):
         used, rollout = simulate_trial(12, seed)
         assert rollout.get_due_outcome(19.5) is RolloutOutcome.COMPLETED
--- a/tests/test_gateway_rotation.py
+++ b/tests/test_gateway_rotation.py
@@ -59,7 +59,7 @@
     assert get_ready_ids(rotation) == []
 
 
-def test_an_entry_that_lapsed_while_the_store_was_away_may_come_back():
+def test_an_entry_that_expired_during_a_store_outage_may_return():
     # The store was unavailable, so upstreams could not write and their entries
     # expired. They still serve requests and write their entries again within
     # seconds.
@@ -72,7 +72,7 @@
     assert get_ready_ids(rotation) == ["w1"]
 
 
-def test_a_lapsed_entry_that_stays_away_is_gone_before_the_drain_is_over():
+def test_an_expired_entry_is_gone_before_the_drain_time_is_over():
     # An upstream left at the moment when the store recovered, without writing
     # that it drains. It must get no requests after the drain time, though its
     # removal looks like an expiry.
--- a/tests/test_gateway_seal.py
+++ b/tests/test_gateway_seal.py
@@ -42,20 +42,20 @@
         make_authenticator(5).sign(b"what waits", 5)[:-1] + b"!",
     ],
 )
-def test_datagrams_of_others_are_refused(datagram):
+def test_forged_datagrams_are_rejected(datagram):
     # An attacker who can reach the port announces an upstream of their own.
     # Without the bytes of the configuration they can't sign the datagram.
     with pytest.raises(SealError):
         make_authenticator(5).verify(datagram)
 
 
-def test_old_keys_are_forgotten():
+def test_old_keys_are_discarded():
     authenticator = make_authenticator(*range(1, MAX_KEYS + 2))
     with pytest.raises(SealError):
         authenticator.verify(make_authenticator(1).sign(b"old", 1))
 
 
-def test_a_forged_datagram_reaches_no_part_and_adds_no_peer(caplog):
+def test_a_forged_datagram_reaches_no_handler_and_adds_no_peer(caplog):
     # Forged datagrams must not fill the log either: each reason is logged once
     # in each interval between expiry checks.
     socket = PeerSocket("127.0.0.1:1", Exposition())
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -27,13 +27,13 @@
 would be a third of all requests."""
 
 
-def test_patience_grows_with_what_answers_take():
+def test_stall_timeout_grows_with_the_expected_time():
     assert get_patience_s(0.01) == MIN_STALL_TIMEOUT_S
     assert get_patience_s(0.5) == STALL_TIMEOUT_FACTOR * 0.5
     assert get_patience_s(None) == DEFAULT_STALL_TIMEOUT_S
 
 
-def test_silence_counts_while_a_request_waits():
+def test_an_upstream_is_stalled_only_while_a_request_waits():
     detector = Silence()
     assert not detector.is_stalled(99.0)
     number = detector.add(100.0, 0.25)
@@ -43,7 +43,7 @@
     assert not detector.is_stalled(100.3)
 
 
-def test_any_sign_shows_that_an_upstream_works():
+def test_any_data_shows_that_an_upstream_works():
     # The prefill of a long prompt takes a second, and events of other streams
     # arrive in that time. The upstream is busy and has not stalled.
     detector = Silence()
@@ -54,7 +54,7 @@
     assert detector.is_stalled(101.3)
 
 
-async def test_few_requests_find_out_that_an_upstream_hangs():
+async def test_few_requests_fail_before_a_stall_is_detected():
     # One of three upstreams accepts each request and answers none during the
     # whole test. A request that must not run twice waits there until its
     # deadline, and no failure occurs before that. The further requests, fifty a
@@ -146,7 +146,7 @@
         heapq.heappush(self.pending_ends, (end_s, number, end))
 
 
-def test_gateways_tell_each_other_of_an_upstream_that_hangs():
+def test_gateways_detect_a_stalled_upstream_together():
     # Each of 24 gateways receives three plain requests a second. One of three
     # upstreams accepts requests and answers none for six seconds. A gateway has
     # no other request in progress when its next one arrives, and judged by the
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -53,7 +53,7 @@
     accepted.pop().close()
 
 
-def test_address_in_use_is_named_with_an_exit_code(tmp_path, capsys):
+def test_address_in_use_is_reported_with_exit_code(tmp_path, capsys):
     harness = GatewayHarness()
     path = tmp_path / "boot.conf"
     path.write_text(make_settings_text(harness.client_port, 2, 3))
@@ -102,7 +102,7 @@
     await runner.cleanup()
 
 
-async def test_caller_of_a_starting_gateway_is_refused_soon_without_store():
+async def test_starting_gateway_refuses_early_without_store():
     # The store is unavailable while the gateway starts. The caller must be
     # refused early, with a time after which to retry, and not when its deadline
     # has nearly passed.
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -18,7 +18,7 @@
     return {line[6:] for line in lines if line.startswith("data: ")}
 
 
-async def test_passes_all_events_on():
+async def test_forwards_all_events():
     async with run_stage(script=lab.make_stream(6)) as harness:
         reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
         assert (reply.status, reply.whole) == (200, True)
@@ -26,7 +26,7 @@
         assert reply.headers["response-signature"] == lab.SIGNATURE
 
 
-async def test_goes_on_at_another_upstream_after_the_last_whole_event():
+async def test_resumes_at_another_upstream_after_last_complete_event():
     # The first upstream resets the connection in the middle of event 3. The
     # caller must receive each event once: the next run is asked for the events
     # after event 2, and the received part of event 3 is dropped.
@@ -53,7 +53,7 @@
         assert sorted(resume_ids, key=str) == ["2", None]
 
 
-async def test_a_stream_that_nobody_can_finish_does_not_look_complete():
+async def test_unfinished_stream_does_not_look_complete():
     # Every upstream breaks off after event 2 and never gets further.
     script = lab.make_stream(6, break_after=2)
     async with run_stage(script=script) as harness:
@@ -62,7 +62,7 @@
         assert not reply.whole
 
 
-async def test_a_stream_that_may_not_be_resumed_is_not_repeated():
+async def test_stream_without_resumption_is_not_retried():
     # If the route does not allow resumption, a stream may run only once. It
     # breaks off, and no second upstream may receive it.
     from tests.gateway_stage import make_route
@@ -75,7 +75,7 @@
         assert sum(len(w.started) for w in harness.workers.values()) == 1
 
 
-async def test_goes_on_elsewhere_when_an_upstream_falls_silent():
+async def test_resumes_at_another_upstream_after_inactivity():
     # The first upstream sends two events and then nothing, with its connection
     # open. After the longest interval that the route allows between events, the
     # stream must continue at the other upstream, and the first upstream's work
@@ -107,7 +107,7 @@
         )
 
 
-async def test_asks_the_largest_model_where_the_smallest_doubts():
+async def test_escalates_if_the_small_model_has_low_confidence():
     # The small model has low confidence in its answer before any of it is
     # forwarded. The caller must receive the large model's answer only.
     script = lab.make_stream(3, confidence={"small": 10, "large": 90})
@@ -117,14 +117,14 @@
         assert get_ids(reply) == [1, 2, 3]
 
 
-async def test_keeps_the_smallest_models_answer_where_it_is_sure():
+async def test_keeps_the_small_models_confident_answer():
     script = lab.make_stream(3, confidence={"small": 90})
     async with run_stage(script=script) as harness:
         reply = await harness.call("/sized/x", body=b"p", Model_Name="*")
         assert get_texts(reply) == {"small"}
 
 
-async def test_an_event_is_passed_on_before_the_next_is_made():
+async def test_forwards_each_event_immediately():
     async with run_stage(script=lab.make_stream(4, pause_s=0.2)) as harness:
         reader, writer = await harness.connect()
         writer.write(make_request("/stream/x", body=b"p"))
@@ -136,7 +136,7 @@
         writer.close()
 
 
-async def test_a_caller_that_leaves_a_stream_frees_its_upstream():
+async def test_caller_disconnect_cancels_stream_at_upstream():
     script = lab.make_stream(100, pause_s=0.05)
     async with run_stage(workers=1, script=script) as harness:
         reader, writer = await harness.connect()
--- a/tests/test_gateway_topic_log.py
+++ b/tests/test_gateway_topic_log.py
@@ -45,7 +45,7 @@
     assert len(log.get_recent(20)) == MAX_RECENT_RECORDS
 
 
-def test_what_was_kept_is_forgotten_with_the_history():
+def test_records_are_discarded_with_the_history():
     # The store has dropped its history, and the newest record of each key is
     # read again. Records from before must not be sent to followers as if they
     # were the complete list.
--- a/tests/test_gateway_trust.py
+++ b/tests/test_gateway_trust.py
@@ -29,7 +29,7 @@
         assert (await harness.call("/safe/x", key=SECOND_KEY)).status == 200
 
 
-async def test_keys_are_refused_for_now_when_the_store_falls_silent():
+async def test_keys_are_refused_while_the_store_does_not_answer():
     # The store's connections stop delivering data: nothing is reset, and polls
     # get no answer. An API key may have been revoked meanwhile, so requests
     # with a key are asked to retry later, while public ones are still served.
@@ -166,11 +166,11 @@
 FreshnessMachine.TestCase.settings = settings(
     max_examples=60, stateful_step_count=30, deadline=None
 )
-TestTrust = FreshnessMachine.TestCase
+TestConfigurationFreshness = FreshnessMachine.TestCase
 
 
 @pytest.mark.parametrize("revoke_s", [1.5, 5.0, 30.0])
-def test_trust_outlasts_the_loss_of_the_store_by_a_fifth(revoke_s):
+def test_freshness_outlasts_the_loss_of_the_store_by_a_fifth(revoke_s):
     # A read returned a record just before its wait was over, so it is a
     # freshness check only for the time at which it was sent; the next read
     # waits as long, and the store is lost at its end. Callers with keys must
@@ -182,7 +182,7 @@
     assert revoke_s - MARGIN_S - oldest_check_s >= 0.2 * revoke_s
 
 
-def test_news_end_trust_once_they_must_be_in_force():
+def test_configuration_is_superseded_once_a_newer_one_must_be_in_force():
     trust = Trust(5.0, 3.0)
     trust.note_proof(10.0)
     trust.record_update_notification(10.5)
@@ -195,7 +195,7 @@
     assert not trust.is_superseded(13.0)
 
 
-def test_nothing_is_overdue_without_news():
+def test_configuration_is_not_superseded_without_a_notification():
     trust = Trust(5.0, 3.0)
     trust.note_proof(10.0)
     assert not trust.is_superseded(60.0)
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -27,7 +27,7 @@
     assert get_common_homes(route, workspace) == homes
 
 
-def test_a_zone_of_an_unknown_region_is_no_home():
+def test_a_zone_of_an_unknown_region_is_not_allowed():
     assert not is_home(None, EAST)
     assert is_home(None, None)
 
@@ -42,7 +42,7 @@
     await stage.wait_until(lambda: len(rotation) == 2)
 
 
-def test_a_request_runs_at_home_or_not_at_all():
+def test_a_request_runs_in_its_regions_or_not_at_all():
     # Guards against a request that runs outside its allowed regions because the
     # upstreams in these regions have failed, are gone or are evacuated.
     async def run():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -85,7 +85,7 @@
     assert get_balance(table) >= 0
 
 
-def test_silent_peer_returning_charges_a_bounded_debt():
+def test_first_row_after_omitted_rows_charges_a_bounded_debt():
     # Rows of low demand are omitted for hours; the next row contains all tokens
     # used meanwhile. Charged in full, they would block the workspace for hours.
     table = make_table(peers=[PEER])
@@ -121,7 +121,7 @@
     assert sum(used[100:]) == pytest.approx(1000, rel=0.1)
 
 
-def test_unused_estimate_is_given_back():
+def test_unused_estimate_is_refunded():
     # A request asks for 5000 tokens and all upstreams refuse it. The charged
     # estimate has to be refunded, so that the next request is served.
     table = make_table()
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -101,7 +101,7 @@
     assert decode_answer(event).is_not_run
 
 
-def test_decodes_what_keeps_a_connection():
+def test_decodes_an_answers_connection_headers():
     event = h11.Response(
         status_code=200,
         headers=[
@@ -184,7 +184,7 @@
         decode_settings(text.replace("RevokeMs=1500", "RevokeMs=-1"), "f")
 
 
-def test_what_cold_upstreams_bear_and_where_requests_may_run():
+def test_decodes_warmup_rates_and_allowed_regions():
     services = [
         {"Name": "pool", "WarmupS": 3.0, "WarmupPerS": 14.0},
         {"Name": "plain", "WarmupS": 0.0, "WarmupPerS": 0.0},
--- a/tests/test_request_keys_rules.py
+++ b/tests/test_request_keys_rules.py
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("behind", ["asker", "asked"])
-def test_past_of_a_slot_is_told_only_in_the_same_epoch(behind):
+def test_history_of_a_slot_is_sent_only_in_the_same_epoch(behind):
     # A new holder asks a process that has not read of the membership change
     # yet. That process may continue to grant in the old epoch after its answer,
     # while the new holder would consider its history of the slot complete: the
@@ -203,7 +203,7 @@
             assert view.get_holders(slot) == holders
 
 
-def test_view_comes_back_whole_from_its_snapshot():
+def test_view_is_restored_completely_from_its_snapshot():
     view = make_view(("a", "z1"), ("b", "z2"))
     view.apply(5, MemberRemoved("a", 1, ended=False))
     copy = MemberView()
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -73,7 +73,7 @@
         assert acquired <= BUDGET_LIMIT + earned + 1e-6
 
 
-def test_spent_budget_makes_the_failure_final_with_when_to_come_back():
+def test_spent_budget_makes_the_failure_final_with_a_retry_time():
     budget = RetryBudget(0.0)
     failure = Failure(make_error(RunState.NOT_RUN), 1, False, False, 60.0)
     while get_retry_delay_s(failure, budget, 0.0, 0.5) is not None:
@@ -91,7 +91,7 @@
         (NoCapacityError("full", retry_after_s=7), False, 7),
     ],
 )
-def test_caller_is_told_to_come_back_only_where_that_is_safe(
+def test_caller_is_told_to_retry_only_if_that_is_safe(
     error, repeatable, expected
 ):
     failure = Failure(error, 4, False, repeatable, 9.0)
--- a/tests/test_store_records.py
+++ b/tests/test_store_records.py
@@ -28,7 +28,7 @@
     st.lists(st.binary(min_size=1, max_size=60), max_size=6),
     st.lists(st.integers(0, 400), max_size=12),
 )
-def test_records_are_the_same_however_their_answer_is_parted(values, cuts):
+def test_records_are_the_same_however_their_answer_is_split(values, cuts):
     body = make_body(values)
     pages = []
     reader = PageReader(TOPIC, FIRST, pages.append)
@@ -45,7 +45,7 @@
     assert {page.end for page in pages} == {FIRST + len(values)}
 
 
-def test_records_that_were_dropped_are_told_and_none_is_taken():
+def test_dropped_records_are_reported_and_none_is_read():
     pages = []
     reader = PageReader(TOPIC, FIRST, pages.append)
     reader.add_part(make_body([b"x"], first=FIRST + 1))
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "sidecar"])
-def test_one_vm_that_goes_moves_few_links(entries, role):
+def test_removal_of_one_vm_moves_few_connections(entries, role):
     sidecars = make_places("sidecar", SIDECARS, ZONES)
     before = choose_all(entries, sidecars, SIZE)
     if role == "entry":
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -82,7 +82,7 @@
     assert {p.requests for p in get_paces(NAMES, zone="b")} == {0}
 
 
-def test_gateways_that_cannot_hear_of_each_other_send_few():
+def test_gateways_without_discovery_send_few_requests():
     (pace,) = get_paces(NAMES[:1], neighbours=None)
     assert pace.requests == 1
     assert pace.span_s > 1.0
@@ -121,7 +121,7 @@
     assert log.has_room(Pace(3), 11.1)
 
 
-def test_a_late_word_makes_no_upstream_warm():
+def test_a_late_report_does_not_end_the_warm_up():
     log = WarmupLog()
     assert log.note_left(3.0, 10.0)
     assert not log.note_left(0.0, 10.1)
@@ -168,7 +168,7 @@
     return statuses, math.ceil(loop.time() - started_s)
 
 
-def test_a_cold_upstream_is_not_felled_by_a_crowd(monkeypatch):
+def test_an_upstream_that_warms_up_is_not_crashed_by_a_burst(monkeypatch):
     # Guards against an empty upstream that gets all requests while it is
     # warming up, so that it crashes, restarts, warms up again and crashes
     # again.
@@ -193,7 +193,7 @@
     asyncio.run(run())
 
 
-def test_a_zone_that_is_given_back_is_taken_for_cold(monkeypatch):
+def test_a_restored_zone_counts_as_warming_up(monkeypatch):
     # Guards against a burst of requests to upstreams that started to warm up
     # while their zone was evacuated, and whose next heartbeat has not reported
     # that yet.
@@ -213,7 +213,9 @@
     asyncio.run(run())
 
 
-def test_dealers_use_more_than_half_and_never_break_the_rule(monkeypatch):
+def test_warmup_gateways_use_more_than_half_and_never_break_the_rule(
+    monkeypatch,
+):
     # Guards against a rule that holds only while all gateways agree on which
     # gateways exist: a third of them have just started and some are gone.
     monkeypatch.setattr(experiment, "DAYS", {3: 5, 31: 5})
@@ -241,7 +243,7 @@
         assert placement.upstream is busy[0]
 
 
-def test_what_is_remembered_of_an_upstream_is_bounded():
+def test_retained_send_times_are_bounded():
     log = WarmupLog()
     for number in range(5000):
         log.note_placed()
