--- a/tests/gateway_stage.py
+++ b/tests/gateway_harness.py
@@ -153,7 +153,9 @@
 
 
 @contextlib.asynccontextmanager
-async def run_stage(workers=2, script=None, more="", **configuration):
+async def run_gateway_harness(
+    workers=2, script=None, extra_settings="", **configuration
+):
     """Yields a harness with a ready gateway and workers `w1`, `w2` etc."""
     harness = GatewayHarness()
     runner, store_port = await start_app(
@@ -165,7 +167,7 @@
     text = make_settings_text(
         harness.client_port, harness.readiness_port, store_port
     )
-    text += f"\nIp=127.0.0.1\nPortRange={get_free_port()},0\n{more}"
+    text += f"\nIp=127.0.0.1\nPortRange={get_free_port()},0\n{extra_settings}"
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "boot.conf"
         path.write_text(text)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lovagestage.decisions.evacuation import Evacuations
-from tests.gateway_stage import run_stage
+from tests.gateway_harness import run_gateway_harness
 
 
 def test_the_newest_record_of_a_zone_decides():
@@ -72,40 +72,40 @@
         assert (zone in evacuations) == is_evacuated
 
 
-def put_evacuation(stage, zone, body=b"{}"):
-    stage.store.put("keyed.op", f"evacuate/{zone}", body)
+def put_evacuation(harness, zone, body=b"{}"):
+    harness.store.put("keyed.op", f"evacuate/{zone}", body)
 
 
-async def send_calls(stage, count=12):
-    replies = [await stage.call("/safe/x") for _ in range(count)]
+async def send_calls(harness, count=12):
+    replies = [await harness.call("/safe/x") for _ in range(count)]
     return [reply.status for reply in replies]
 
 
-async def wait_evacuated(stage, zone, is_evacuated):
-    evacuations = stage.gateway.deployment.evacuations
-    await stage.wait_until(lambda: (zone in evacuations) == is_evacuated)
+async def wait_evacuated(harness, zone, is_evacuated):
+    evacuations = harness.gateway.deployment.evacuations
+    await harness.wait_until(lambda: (zone in evacuations) == is_evacuated)
 
 
 def test_an_evacuated_zone_gets_nothing_until_it_is_restored():
     # Guards against requests that are still sent to upstreams of a zone which
     # operators have evacuated, because these upstreams still answer.
     async def run():
-        async with run_stage(1) as stage:
-            await stage.add_worker("w2", Zone="b")
-            await stage.wait_until(
-                lambda: len(stage.gateway.deployment.rotation) == 2
+        async with run_gateway_harness(1) as harness:
+            await harness.add_worker("w2", Zone="b")
+            await harness.wait_until(
+                lambda: len(harness.gateway.deployment.rotation) == 2
             )
-            put_evacuation(stage, "b")
-            await wait_evacuated(stage, "b", True)
-            before = len(stage.workers["w2"].arrivals)
-            assert set(await send_calls(stage)) == {200}
-            assert len(stage.workers["w2"].arrivals) == before
-            put_evacuation(stage, "b", b"")
-            await wait_evacuated(stage, "b", False)
-            await stage.workers["w1"].stop()
-            del stage.workers["w1"]
-            assert 200 in await send_calls(stage)
-            assert len(stage.workers["w2"].arrivals) > before
+            put_evacuation(harness, "b")
+            await wait_evacuated(harness, "b", True)
+            before = len(harness.workers["w2"].arrivals)
+            assert set(await send_calls(harness)) == {200}
+            assert len(harness.workers["w2"].arrivals) == before
+            put_evacuation(harness, "b", b"")
+            await wait_evacuated(harness, "b", False)
+            await harness.workers["w1"].stop()
+            del harness.workers["w1"]
+            assert 200 in await send_calls(harness)
+            assert len(harness.workers["w2"].arrivals) > before
 
     asyncio.run(run())
 
@@ -114,17 +114,17 @@
     # Guards against requests that wait for upstreams to which nothing may be
     # sent.
     async def run():
-        async with run_stage(1) as stage:
-            put_evacuation(stage, "a")
-            await wait_evacuated(stage, "a", True)
+        async with run_gateway_harness(1) as harness:
+            put_evacuation(harness, "a")
+            await wait_evacuated(harness, "a", True)
             loop = asyncio.get_running_loop()
             started_s = loop.time()
-            reply = await stage.call("/safe/x")
+            reply = await harness.call("/safe/x")
             assert reply.status == 503
             assert float(reply.headers["retry-after"]) > 0.0
             assert json.loads(reply.body)["error"] == "no_upstream"
             assert loop.time() - started_s < 0.5
-            assert stage.workers["w1"].arrivals == []
+            assert harness.workers["w1"].arrivals == []
 
     asyncio.run(run())
 
@@ -134,20 +134,22 @@
     # history, and against an order that remains in force after the record of
     # its removal was dropped.
     async def run():
-        async with run_stage(2) as stage:
-            put_evacuation(stage, "b")
-            await wait_evacuated(stage, "b", True)
-            stage.store.faults.outage = "503"
-            stage.put_configuration(version=2)
-            stage.store.get_topic("keyed.op").forget()
-            stage.store.faults.outage = ""
-            deployment = stage.gateway.deployment
-            await stage.wait_until(lambda: deployment.configuration.version > 1)
+        async with run_gateway_harness(2) as harness:
+            put_evacuation(harness, "b")
+            await wait_evacuated(harness, "b", True)
+            harness.store.faults.outage = "503"
+            harness.put_configuration(version=2)
+            harness.store.get_topic("keyed.op").forget()
+            harness.store.faults.outage = ""
+            deployment = harness.gateway.deployment
+            await harness.wait_until(
+                lambda: deployment.configuration.version > 1
+            )
             assert "b" in deployment.evacuations
-            stage.store.faults.outage = "503"
-            put_evacuation(stage, "b", b"")
-            stage.store.get_topic("keyed.op").forget()
-            stage.store.faults.outage = ""
-            await wait_evacuated(stage, "b", False)
+            harness.store.faults.outage = "503"
+            put_evacuation(harness, "b", b"")
+            harness.store.get_topic("keyed.op").forget()
+            harness.store.faults.outage = ""
+            await wait_evacuated(harness, "b", False)
 
     asyncio.run(run())
--- a/tests/test_gateway_absence.py
+++ b/tests/test_gateway_absence.py
@@ -9,7 +9,7 @@
 from lab import worker as lab
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.performance import SLOW_CONNECT_S, Performance
-from tests.gateway_stage import make_route, run_stage
+from tests.gateway_harness import make_route, run_gateway_harness
 
 ARRIVAL_INTERVAL_S = 0.01
 OUTAGE_S = 3.0
@@ -51,7 +51,7 @@
     # second, must not follow a probe while its result is open.
     script = lab.make_stream(1, first_s=FIRST_EVENT_S)
     with open_unresponsive_address() as address:
-        async with run_stage(workers=2, script=script) as harness:
+        async with run_gateway_harness(workers=2, script=script) as harness:
             harness.put_configuration(version=2, routes=[LONG_TARGET_ROUTE])
             harness.put_entry("w2", Address=address)
             unresponsive = next(
--- a/tests/test_gateway_callers.py
+++ b/tests/test_gateway_callers.py
@@ -7,12 +7,12 @@
 import pytest
 
 from lovagestage.gateway import server
-from tests.gateway_stage import (
+from tests.gateway_harness import (
     HOST,
     KEY,
     make_request,
     read_reply,
-    run_stage,
+    run_gateway_harness,
 )
 
 HEAD = f"Host: {HOST}\r\nAttempt-Id: a1\r\nAuthorization: Token {KEY}\r\n"
@@ -61,7 +61,7 @@
     # two keys, a head or body that is too long, and a head that does not end.
     # An upstream must not receive any of these requests, and bytes that follow
     # on the connection must not be read as a request.
-    async with run_stage(workers=1) as harness:
+    async with run_gateway_harness(workers=1) as harness:
         reply, rest = await send_raw(harness, data)
         assert reply.status == status
         assert reply.headers["connection"] == "close"
@@ -73,7 +73,7 @@
     # Guards against request smuggling: the body contains a complete request. If
     # the body's length is honoured, it reaches the upstream as a body and never
     # as a request of its own.
-    async with run_stage(workers=1) as harness:
+    async with run_gateway_harness(workers=1) as harness:
         inner = make_request("/unsafe/y", request_id="inner")
         reply = await harness.call("/safe/x", body=inner)
         assert reply.status == 200
@@ -83,7 +83,7 @@
 
 
 async def test_chunked_bodies_arrive_whole():
-    async with run_stage(workers=1) as harness:
+    async with run_gateway_harness(workers=1) as harness:
         reader, writer = await harness.connect()
         head = make_request("/safe/x", Transfer_Encoding="chunked")
         writer.write(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
@@ -93,7 +93,7 @@
 
 
 async def test_pipelined_requests_are_answered_in_order():
-    async with run_stage(workers=1) as harness:
+    async with run_gateway_harness(workers=1) as harness:
         reader, writer = await harness.connect()
         # The second request is sent before the first one is answered.
         writer.write(make_request("/safe/x", request_id="a1"))
@@ -108,7 +108,7 @@
     # Callers reuse a connection that was idle for up to four fifths of the
     # limit. If the gateway closed it at that moment, their request would be
     # lost.
-    async with run_stage(workers=1) as harness:
+    async with run_gateway_harness(workers=1) as harness:
         reader, writer = await harness.connect()
         writer.write(make_request("/safe/x", request_id="a1"))
         await read_reply(reader)
@@ -121,13 +121,13 @@
 
 @pytest.mark.parametrize(("key", "status"), [("wrong", 401), (None, 401)])
 async def test_refuses_unknown_keys(key, status):
-    async with run_stage(workers=1) as harness:
+    async with run_gateway_harness(workers=1) as harness:
         assert (await harness.call("/safe/x", key=key)).status == status
         assert count_arrivals(harness) == 0
 
 
 async def test_public_routes_need_no_key():
-    async with run_stage(workers=1) as harness:
+    async with run_gateway_harness(workers=1) as harness:
         assert (await harness.call("/open/x", key=None)).status == 200
         headers = harness.workers["w1"].arrivals[0].headers
         assert "tenant-id" not in headers
@@ -155,11 +155,11 @@
     # again because it takes long, although the caller's deadline has not
     # passed.
     monkeypatch.setattr(server, "BODY_INACTIVITY_TIMEOUT_S", 0.3)
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         assert await send_slowly(harness, 8, 0.1) == 200
 
 
 async def test_caller_that_stalls_within_its_body_is_refused(monkeypatch):
     monkeypatch.setattr(server, "BODY_INACTIVITY_TIMEOUT_S", 0.3)
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         assert await send_slowly(harness, 2, 0.6) == 408
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lab import worker as lab
-from tests.gateway_stage import KEY, run_stage
+from tests.gateway_harness import KEY, run_gateway_harness
 
 FORGED_HEADERS = {
     "Tenant_Id": "other",
@@ -34,7 +34,7 @@
 
 
 async def test_forwards_answer_unchanged():
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         reply = await harness.call("/safe/x?y=1", body=b"text")
         worker = await get_only_worker(harness)
         arrival = worker.arrivals[0]
@@ -51,7 +51,7 @@
     # A caller forges headers that only the system may set. The upstream must
     # get the workspace of the key, but neither the key nor any forged value:
     # forged values would reserve or copy the memory of other requests.
-    async with run_stage(workers=1) as harness:
+    async with run_gateway_harness(workers=1) as harness:
         await harness.call("/safe/x", body=b"t", **FORGED_HEADERS)
         headers = harness.workers["w1"].arrivals[0].headers
         assert headers["tenant-id"] == "clinic"
@@ -68,7 +68,7 @@
 async def test_retries_safe_request_at_another_upstream(script):
     # The first upstream resets the connection, fails or sends nothing. The
     # request may run again, so the caller must get the other upstream's answer.
-    async with run_stage(workers=0) as harness:
+    async with run_gateway_harness(workers=0) as harness:
         scripts = [script]
 
         async def respond(arrival, writer):
@@ -88,7 +88,7 @@
 async def test_logs_each_failed_answer_and_next_step(caplog):
     # Both upstreams answer with a failure. The first answer is followed by a
     # retry and the second one is forwarded; each must have its own log line.
-    async with run_stage(workers=2, script=lab.fail) as harness:
+    async with run_gateway_harness(workers=2, script=lab.fail) as harness:
         reply = await harness.call("/safe/x")
         assert reply.status == 500
     lines = [r for r in caplog.records if r.message == "answer_failed"]
@@ -104,7 +104,7 @@
     # The upstream resets the connection after it received the request, or it
     # fails. The request may have run, so it must not be sent to another
     # upstream, and the answer must not state that it has not run.
-    async with run_stage(script=script) as harness:
+    async with run_gateway_harness(script=script) as harness:
         reply = await harness.call("/unsafe/x", body=b"pay")
         assert (reply.status, count_runs(harness)) == (status, 1)
 
@@ -113,7 +113,7 @@
     # The upstream drops idle connections without notice and resets them when
     # data arrives. A request that must not run twice could then neither be
     # retried nor be reported as not run, so it must get a new connection.
-    async with run_stage(workers=1) as harness:
+    async with run_gateway_harness(workers=1) as harness:
         worker = harness.workers["w1"]
         await harness.call("/safe/x", request_id="a0")
         for number in range(3):
@@ -128,7 +128,7 @@
 async def test_retries_unsafe_request_that_provably_has_not_run():
     # One upstream refuses the request and proves that it has not run, the other
     # one accepts it: the request runs once.
-    async with run_stage(workers=0) as harness:
+    async with run_gateway_harness(workers=0) as harness:
         refusing_scripts = [lab.refuse]
 
         async def respond(arrival, writer):
@@ -147,7 +147,7 @@
 
 
 async def test_sends_retry_after_if_all_upstreams_refuse():
-    async with run_stage(script=lab.refuse) as harness:
+    async with run_gateway_harness(script=lab.refuse) as harness:
         reply = await harness.call("/unsafe/x", body=b"pay")
         assert reply.status == 503
         assert 0 < float(reply.headers["retry-after"]) < 1.4
@@ -156,7 +156,7 @@
 async def test_skips_crashed_upstream():
     # An upstream has crashed, so that connections to its address are refused.
     # Nothing was sent, so even an unsafe request may go to the other upstream.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.workers["w1"].stop()
         replies = [await harness.call("/unsafe/x") for _ in range(4)]
         assert [reply.status for reply in replies] == [200] * 4
@@ -166,7 +166,7 @@
     # The upstream restarted under another id before its entry in the store
     # ended. It refuses requests for the expected id, and the other upstream
     # answers.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         harness.workers["w1"].instance = "w1-reborn"
         replies = [await harness.call("/unsafe/x") for _ in range(4)]
         assert [reply.status for reply in replies] == [200] * 4
@@ -181,7 +181,7 @@
     # The upstream answers each request twice. On a kept-alive connection the
     # second answer arrives where the answer to the next request is expected; no
     # caller may get it.
-    async with run_stage(workers=1, script=answer_twice) as harness:
+    async with run_gateway_harness(workers=1, script=answer_twice) as harness:
         for number in range(4):
             reply = await harness.call("/safe/x", request_id=f"a{number}")
             assert reply.body == b"first"
@@ -200,7 +200,7 @@
         previous_arrivals.append(arrival)
         await lab.send(writer, 200, arrival, arrival.request_id.encode())
 
-    async with run_stage(workers=1, script=respond) as harness:
+    async with run_gateway_harness(workers=1, script=respond) as harness:
         await harness.call("/safe/x", request_id="a1")
         reply = await harness.call("/safe/x", request_id="a2")
         assert reply.body == b"a2"
@@ -212,7 +212,7 @@
         await writer.drain()
         writer.close()
 
-    async with run_stage(workers=1, script=respond) as harness:
+    async with run_gateway_harness(workers=1, script=respond) as harness:
         reply = await harness.call("/unsafe/x")
         assert (reply.status, reply.body) == (200, b"unframed")
 
@@ -227,7 +227,7 @@
         await asyncio.sleep(0.05)
         lab.reset_connection(writer)
 
-    async with run_stage(workers=1, script=respond) as harness:
+    async with run_gateway_harness(workers=1, script=respond) as harness:
         assert (await harness.call("/unsafe/x")).status == 502
 
 
@@ -248,14 +248,14 @@
         await writer.drain()
         writer.close()
 
-    async with run_stage(workers=1, script=respond) as harness:
+    async with run_gateway_harness(workers=1, script=respond) as harness:
         assert (await harness.call("/unsafe/x")).status == 502
 
 
 async def test_an_early_answer_leaves_no_body_for_the_next_request():
     # The upstream answers before it has read the body and keeps the connection
     # open. Each request must arrive complete and separate from the others.
-    async with run_stage(workers=1) as harness:
+    async with run_gateway_harness(workers=1) as harness:
         body = b"x" * 60_000
         for number in range(3):
             await harness.call("/safe/x", body=body, request_id=f"a{number}")
@@ -268,10 +268,10 @@
     # The upstream never answers an unsafe request. At the route's time limit
     # the caller must get an answer, which must not state that the request has
     # not run.
-    from tests.gateway_stage import make_route
+    from tests.gateway_harness import make_route
 
     routes = [make_route("slow", "unsafe", TimeoutMs=400)]
-    async with run_stage(script=lab.hang, routes=routes) as harness:
+    async with run_gateway_harness(script=lab.hang, routes=routes) as harness:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         reply = await harness.call("/slow/x")
@@ -283,8 +283,8 @@
     # The caller closes its connection while the upstream works. The answer is
     # no longer needed, so the connection to the upstream must be closed
     # immediately.
-    async with run_stage(workers=1, script=lab.hang) as harness:
-        from tests.gateway_stage import make_request
+    async with run_gateway_harness(workers=1, script=lab.hang) as harness:
+        from tests.gateway_harness import make_request
 
         _, writer = await harness.connect()
         writer.write(make_request("/safe/x"))
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -15,7 +15,7 @@
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.upstream import UpstreamEntry
 from lovagestage.platform.configuration import decode_upstream
-from tests.gateway_stage import run_stage
+from tests.gateway_harness import run_gateway_harness
 
 START_MS = 1_700_000_000_000
 ENTRY = UpstreamEntry("pool", "10.0.0.1:80", "a", "v1", 4, False, START_MS)
@@ -189,7 +189,7 @@
     # upstreams; each invalid entry is logged once, and its key names no
     # upstream until a valid entry is written under it again.
     caplog.set_level(logging.ERROR)
-    async with run_stage(3) as harness:
+    async with run_gateway_harness(3) as harness:
         for name, data in (
             ("x1", b"\xff\xfe{"),
             ("x2", b'{"Service":"pool"}'),
@@ -219,7 +219,7 @@
     # An upstream's VM stops responding while connections to it are pooled, and
     # the upstream starts again under its id. A request on one of these
     # connections would wait for an answer that never comes.
-    async with run_stage(1) as harness:
+    async with run_gateway_harness(1) as harness:
         harness.put_entry("w1", born=START_MS)
         rotation = harness.gateway.deployment.rotation
         await harness.wait_until(
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -8,7 +8,7 @@
 
 from lab import worker as lab
 from lovagestage.gateway.latency import UNKNOWN_S, LoadGauge
-from tests.gateway_stage import MODELS, make_route, run_stage
+from tests.gateway_harness import MODELS, make_route, run_gateway_harness
 
 TARGET_LATENCY_S = 1.5
 BURST = 20
@@ -58,7 +58,7 @@
         Resumable=True,
         TargetLatencyMs=TARGET_LATENCY_S * 1000,
     )
-    async with run_stage(1, run, routes=[route]) as harness:
+    async with run_gateway_harness(1, run, routes=[route]) as harness:
         calls = [
             asyncio.ensure_future(
                 harness.call("/sized/x", request_id=name, Model_Name="*")
@@ -75,7 +75,7 @@
     # known. It must count as load nevertheless, or all requests would be sent
     # to one upstream.
     script = lab.make_stream(1, first_s=SLOW_START_S)
-    async with run_stage(workers=1, script=script) as harness:
+    async with run_gateway_harness(workers=1, script=script) as harness:
         (upstream,) = harness.gateway.deployment.rotation.get_all()
         call = asyncio.ensure_future(
             harness.call("/stream/x", body=b"p", Model_Name="m")
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -12,7 +12,7 @@
     SeriesKind,
 )
 from lovagestage.gateway.peers import PeerSocket
-from tests.gateway_stage import get_free_port
+from tests.gateway_harness import get_free_port
 from tests.test_gateway_process import run_gateway_process
 
 SAMPLE = re.compile(r"^([a-z_]+)(?:\{(.*)\})? (-?[0-9.e+-]+|\+Inf)$")
--- a/tests/test_gateway_narrow_links.py
+++ b/tests/test_gateway_narrow_links.py
@@ -12,7 +12,7 @@
 from lovagestage.gateway.relay import RelayedState, RelayMode
 from lovagestage.gateway.store_return import StoreReturn
 from lovagestage.gateway.trust import NEWS_S
-from tests.gateway_stage import run_stage
+from tests.gateway_harness import run_gateway_harness
 from tests.test_gateway_feeds import TOPIC, run_feed, run_store, wait_until
 from tests.test_gateway_relay import one_watcher, run_gateways
 
@@ -165,25 +165,25 @@
 async def test_configuration_that_is_overdue_is_not_served_by_the_old_one():
     # Guards against the use of a route that was removed by a configuration
     # whose existence is known but whose content has not arrived.
-    async with run_stage() as stage:
-        gateway = stage.gateway
-        assert (await stage.call("/open/x")).status == 200
-        stage.store.faults.stall = True
-        stage.put_configuration(version=5)
-        await stage.wait_until(
+    async with run_gateway_harness() as harness:
+        gateway = harness.gateway
+        assert (await harness.call("/open/x")).status == 200
+        harness.store.faults.stall = True
+        harness.put_configuration(version=5)
+        await harness.wait_until(
             lambda: gateway.deployment.trust.is_superseded(get_elapsed_s()), 6.0
         )
-        refused = await stage.call("/open/x")
+        refused = await harness.call("/open/x")
         assert refused.status == 503
         assert float(refused.headers["retry-after"]) > 0
-        assert not await stage.is_ready()
+        assert not await harness.is_ready()
         # The store becomes unavailable: a newer configuration no longer counts
         # as readable.
-        stage.store.faults.outage = "503"
+        harness.store.faults.outage = "503"
         await asyncio.sleep(NEWS_S + 0.2)
-        assert (await stage.call("/open/x")).status == 200
-        stage.store.faults.outage = ""
-        stage.store.faults.stall = False
-        await stage.wait_until(gateway.is_ready, 6.0)
+        assert (await harness.call("/open/x")).status == 200
+        harness.store.faults.outage = ""
+        harness.store.faults.stall = False
+        await harness.wait_until(gateway.is_ready, 6.0)
         assert gateway.deployment.configuration.version == 5
-        assert (await stage.call("/open/x")).status == 200
+        assert (await harness.call("/open/x")).status == 200
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -12,7 +12,7 @@
 
 from lab import worker as lab
 from lab.server import start_app
-from tests.gateway_stage import (
+from tests.gateway_harness import (
     GatewayHarness,
     get_free_port,
     make_request,
--- a/tests/test_gateway_repeats.py
+++ b/tests/test_gateway_repeats.py
@@ -15,7 +15,7 @@
     SLACK_RATIO,
     RepeatBudget,
 )
-from tests.gateway_stage import run_stage
+from tests.gateway_harness import run_gateway_harness
 from tests.test_gateway_streams import get_ids
 
 RATIO = 0.9
@@ -120,7 +120,7 @@
     # first upstream of its retry is the other crashed one; callers receive
     # every event exactly once.
     script = lab.make_stream(EVENTS, pause_s=EVENT_INTERVAL_S)
-    async with run_stage(4, script) as harness:
+    async with run_gateway_harness(4, script) as harness:
         # The pause is longer than the window, so that the budget knows the
         # number of gateways.
         await asyncio.sleep(1.1)
@@ -149,7 +149,7 @@
     # Four of five upstreams have crashed while the store still lists their
     # entries. The caller is served by the fifth, however many of the others
     # were tried first.
-    async with run_stage(5) as harness:
+    async with run_gateway_harness(5) as harness:
         for name in ("w1", "w2", "w3", "w4"):
             await harness.workers[name].stop()
         replies = await asyncio.gather(
@@ -171,7 +171,7 @@
             return
         await lab.answer_plain(arrival, writer)
 
-    async with run_stage(1, run) as harness:
+    async with run_gateway_harness(1, run) as harness:
         assert (await harness.call("/safe/x", request_id="first")).status == 200
         reply = await harness.call("/safe/x", request_id="last")
         assert reply.status == 502
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -47,7 +47,7 @@
 from lovagestage.gateway.upstream import UpstreamEntry
 from lovagestage.platform.settings import decode_settings
 from lovagestage.platform.store import StoreClient
-from tests.gateway_stage import make_settings_text, run_stage
+from tests.gateway_harness import make_settings_text, run_gateway_harness
 
 ORDER = RolloutOrder("pool", "v2", 20.0)
 BOTH = ["v1", "v2"]
@@ -262,7 +262,7 @@
 
 
 async def test_gateways_report_active_sessions_to_each_other():
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", Version="v2")
         for number in range(200):
             await harness.call(
@@ -307,7 +307,7 @@
     # The new version fails every request. The callers are served by the old
     # one, and once the evidence suffices the roll-out's outcome is written to
     # the store.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", lab.fail, Version="v2")
         await harness.add_worker("n2", lab.fail, Version="v2")
         await put_order(harness, duration_s=30.0)
@@ -328,7 +328,7 @@
 
 
 async def test_a_good_version_is_completed_and_gets_all():
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", Version="v2")
         await put_order(harness, duration_s=3.0)
         await call_until(harness, "completed")
@@ -341,7 +341,7 @@
 async def test_an_outcome_is_written_once_though_its_answer_is_lost():
     # The store carries out the append and its answer is lost. The gateway
     # reads the topic again, finds its own record and writes no second one.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", Version="v2")
         harness.store.faults.lose_appends = 2
         await put_order(harness, duration_s=3.0)
@@ -353,7 +353,7 @@
 async def test_a_final_outcome_in_the_store_wins():
     # Another gateway has reverted the order; this one has just started and
     # must not send any request to the new version.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", Version="v2")
         offset = harness.store.get_topic("keyed.op").end
         record = {"State": "reverted", "Target": "v2", "Order": offset}
@@ -369,7 +369,7 @@
 
 
 async def test_all_gateways_follow_the_first_share_that_was_written():
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", Version="v2")
         offset = harness.store.get_topic("keyed.op").end
         record = {
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -15,7 +15,7 @@
     Silence,
     get_patience_s,
 )
-from tests.gateway_stage import run_stage
+from tests.gateway_harness import run_gateway_harness
 from tests.test_gateway_gossip import NAMES, make_rotation, tell_waits
 
 INTERVAL_S = 0.02
@@ -65,15 +65,15 @@
             script = lab.answer_plain
         await script(arrival, writer)
 
-    async with run_stage(2, lab.answer_plain) as stage:
-        await stage.add_worker("w3", hang_unless_warm)
-        rotation = stage.gateway.deployment.rotation
-        await stage.wait_until(lambda: len(rotation.get_ready("pool")) == 3)
+    async with run_gateway_harness(2, lab.answer_plain) as harness:
+        await harness.add_worker("w3", hang_unless_warm)
+        rotation = harness.gateway.deployment.rotation
+        await harness.wait_until(lambda: len(rotation.get_ready("pool")) == 3)
         for number in range(12):
-            await stage.call("/unsafe/x", request_id=f"warm{number}")
+            await harness.call("/unsafe/x", request_id=f"warm{number}")
         calls = []
         for number in range(REQUESTS):
-            call = stage.call(
+            call = harness.call(
                 "/unsafe/x", request_id=f"r{number}", Deadline_Ms="1500"
             )
             calls.append(asyncio.ensure_future(call))
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -19,7 +19,7 @@
 from lovagestage.gateway.listeners import open_listener
 from lovagestage.gateway.process import STARTUP_WAIT_S, Gateway
 from lovagestage.platform.settings import decode_settings
-from tests.gateway_stage import (
+from tests.gateway_harness import (
     GatewayHarness,
     make_request,
     make_route,
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from lab import worker as lab
-from tests.gateway_stage import make_request, run_stage
+from tests.gateway_harness import make_request, run_gateway_harness
 
 
 def get_ids(reply):
@@ -19,7 +19,7 @@
 
 
 async def test_forwards_all_events():
-    async with run_stage(script=lab.make_stream(6)) as harness:
+    async with run_gateway_harness(script=lab.make_stream(6)) as harness:
         reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
         assert (reply.status, reply.whole) == (200, True)
         assert get_ids(reply) == [1, 2, 3, 4, 5, 6]
@@ -30,7 +30,7 @@
     # The first upstream resets the connection in the middle of event 3. The
     # caller must receive each event once: the next run is asked for the events
     # after event 2, and the received part of event 3 is dropped.
-    async with run_stage(workers=0) as harness:
+    async with run_gateway_harness(workers=0) as harness:
         scripts = [lab.make_stream(6, break_after=2)]
 
         async def respond(arrival, writer):
@@ -56,7 +56,7 @@
 async def test_unfinished_stream_does_not_look_complete():
     # Every upstream breaks off after event 2 and never gets further.
     script = lab.make_stream(6, break_after=2)
-    async with run_stage(script=script) as harness:
+    async with run_gateway_harness(script=script) as harness:
         reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
         assert get_ids(reply) == [1, 2]
         assert not reply.whole
@@ -65,11 +65,11 @@
 async def test_stream_without_resumption_is_not_retried():
     # If the route does not allow resumption, a stream may run only once. It
     # breaks off, and no second upstream may receive it.
-    from tests.gateway_stage import make_route
+    from tests.gateway_harness import make_route
 
     routes = [make_route("once", "streaming")]
     script = lab.make_stream(6, break_after=2)
-    async with run_stage(script=script, routes=routes) as harness:
+    async with run_gateway_harness(script=script, routes=routes) as harness:
         reply = await harness.call("/once/x", body=b"p")
         assert not reply.whole
         assert sum(len(w.started) for w in harness.workers.values()) == 1
@@ -88,7 +88,7 @@
         await writer.drain()
         await asyncio.sleep(60)
 
-    async with run_stage(workers=0) as harness:
+    async with run_gateway_harness(workers=0) as harness:
         scripts = [send_two_events_and_stall]
 
         async def respond(arrival, writer):
@@ -111,7 +111,7 @@
     # The small model has low confidence in its answer before any of it is
     # forwarded. The caller must receive the large model's answer only.
     script = lab.make_stream(3, confidence={"small": 10, "large": 90})
-    async with run_stage(script=script) as harness:
+    async with run_gateway_harness(script=script) as harness:
         reply = await harness.call("/sized/x", body=b"p", Model_Name="*")
         assert get_texts(reply) == {"large"}
         assert get_ids(reply) == [1, 2, 3]
@@ -119,13 +119,15 @@
 
 async def test_keeps_the_small_models_confident_answer():
     script = lab.make_stream(3, confidence={"small": 90})
-    async with run_stage(script=script) as harness:
+    async with run_gateway_harness(script=script) as harness:
         reply = await harness.call("/sized/x", body=b"p", Model_Name="*")
         assert get_texts(reply) == {"small"}
 
 
 async def test_forwards_each_event_immediately():
-    async with run_stage(script=lab.make_stream(4, pause_s=0.2)) as harness:
+    async with run_gateway_harness(
+        script=lab.make_stream(4, pause_s=0.2)
+    ) as harness:
         reader, writer = await harness.connect()
         writer.write(make_request("/stream/x", body=b"p"))
         loop = asyncio.get_running_loop()
@@ -138,7 +140,7 @@
 
 async def test_caller_disconnect_cancels_stream_at_upstream():
     script = lab.make_stream(100, pause_s=0.05)
-    async with run_stage(workers=1, script=script) as harness:
+    async with run_gateway_harness(workers=1, script=script) as harness:
         reader, writer = await harness.connect()
         writer.write(make_request("/stream/x", body=b"p"))
         await reader.readuntil(b"id: 2")
--- a/tests/test_gateway_suspects.py
+++ b/tests/test_gateway_suspects.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lab import worker as lab
-from tests.gateway_stage import run_stage
+from tests.gateway_harness import run_gateway_harness
 
 CRASHING_BODY = b"crash me"
 
@@ -12,7 +12,7 @@
     # A request's body crashes each upstream that runs it, and its caller sends
     # it repeatedly under new ids. After the third crash no upstream may
     # receive it, while other requests are still served.
-    async with run_stage(workers=0) as harness:
+    async with run_gateway_harness(workers=0) as harness:
 
         async def run(arrival, writer):
             if arrival.body != CRASHING_BODY:
@@ -49,7 +49,7 @@
     # The upstream resets each connection but accepts new ones, as after a
     # failure of a network link. The request is not suspected and may be sent
     # again.
-    async with run_stage(script=lab.reset) as harness:
+    async with run_gateway_harness(script=lab.reset) as harness:
         for number in range(4):
             reply = await harness.call("/safe/x", request_id=f"a{number}")
             assert reply.status == 502
--- a/tests/test_gateway_trust.py
+++ b/tests/test_gateway_trust.py
@@ -12,13 +12,13 @@
 from lovagestage.gateway.settings import Bounds
 from lovagestage.gateway.trust import MARGIN_S, NEWS_S, Trust
 from lovagestage.gateway.wiring import get_operator_wait_s
-from tests.gateway_stage import KEY, make_configuration, run_stage
+from tests.gateway_harness import KEY, make_configuration, run_gateway_harness
 
 SECOND_KEY = "anfqasnmgkcuyj8pjbvk"
 
 
 async def test_a_key_that_was_taken_away_is_refused():
-    async with run_stage(keys=(KEY, SECOND_KEY)) as harness:
+    async with run_gateway_harness(keys=(KEY, SECOND_KEY)) as harness:
         assert (await harness.call("/safe/x")).status == 200
         harness.put_configuration(version=5, keys=(SECOND_KEY,))
         gateway = harness.gateway
@@ -34,7 +34,7 @@
     # get no answer. An API key may have been revoked meanwhile, so requests
     # with a key are asked to retry later, while public ones are still served.
     # When the store answers again, the gateway accepts keys again.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         harness.store.faults.outage = "silent"
         gateway = harness.gateway
         await harness.wait_until(lambda: not gateway.is_ready(), 6.0)
@@ -52,7 +52,7 @@
     # The configuration may be out of date, and the newest one may have the
     # route: the caller is asked to retry later, and is not told that there is
     # no such route.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         assert (await harness.call("/nowhere/x")).status == 404
         harness.store.faults.outage = "503"
         await harness.wait_until(lambda: not harness.gateway.is_ready(), 6.0)
@@ -61,7 +61,7 @@
 
 async def test_an_older_configuration_never_comes_back():
     # Reads are stale after the store has lost its history.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         gateway = harness.gateway
         for version in (7, 3):
             harness.put_configuration(version=version)
@@ -72,7 +72,7 @@
 async def test_follows_on_when_the_store_drops_its_history():
     # The records that a read asks for were dropped (410). The newest record of
     # each key is read again, and a change made between the two reads is found.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         for topic in harness.store.topics.values():
             topic.forget()
         harness.put_configuration(version=9)
@@ -87,7 +87,7 @@
     # The store does not wake reads that wait for records. An upstream's entry
     # is removed just after a read began; that read must end early enough for
     # the next one to stop requests within the drain time of 2 s.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         harness.store.faults.deaf = True
         await asyncio.sleep(0.1)
         harness.store.put("keyed.servers", "w1", b"")
@@ -98,7 +98,7 @@
 
 
 async def test_a_configuration_that_cannot_be_read_changes_nothing():
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         harness.store.put("keyed.op", "config", b"{")
         harness.store.put("keyed.op", "config", b'{"Version": "x"}')
         harness.put_configuration(version=4)
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lovagestage.decisions.homes import get_common_homes, is_home
-from tests.gateway_stage import KEY, LIMITS, make_route, run_stage
+from tests.gateway_harness import KEY, LIMITS, make_route, run_gateway_harness
 
 EAST, WEST = frozenset(["east"]), frozenset(["west"])
 
@@ -35,11 +35,11 @@
 SETTINGS = "Zones.a=east\nZones.b=west"
 
 
-async def add_upstreams(stage):
-    await stage.add_worker("w1", Zone="a")
-    await stage.add_worker("w2", Zone="b")
-    rotation = stage.gateway.deployment.rotation
-    await stage.wait_until(lambda: len(rotation) == 2)
+async def add_upstreams(harness):
+    await harness.add_worker("w1", Zone="a")
+    await harness.add_worker("w2", Zone="b")
+    rotation = harness.gateway.deployment.rotation
+    await harness.wait_until(lambda: len(rotation) == 2)
 
 
 def test_a_request_runs_in_its_regions_or_not_at_all():
@@ -50,29 +50,31 @@
             make_route("safe", AllowedRegions=["west"]),
             make_route("unsafe", "unsafe"),
         ]
-        async with run_stage(0, routes=routes, more=SETTINGS) as stage:
-            await add_upstreams(stage)
+        async with run_gateway_harness(
+            0, routes=routes, extra_settings=SETTINGS
+        ) as harness:
+            await add_upstreams(harness)
             for _ in range(8):
-                assert (await stage.call("/safe/x")).status == 200
-            assert stage.workers["w1"].arrivals == []
-            await stage.workers["w2"].stop()
-            await stage.call("/safe/x")
-            stage.store.put("keyed.op", "evacuate/b", b"{}")
-            deployment = stage.gateway.deployment
-            await stage.wait_until(lambda: "b" in deployment.evacuations)
-            reply = await stage.call("/safe/x")
+                assert (await harness.call("/safe/x")).status == 200
+            assert harness.workers["w1"].arrivals == []
+            await harness.workers["w2"].stop()
+            await harness.call("/safe/x")
+            harness.store.put("keyed.op", "evacuate/b", b"{}")
+            deployment = harness.gateway.deployment
+            await harness.wait_until(lambda: "b" in deployment.evacuations)
+            reply = await harness.call("/safe/x")
             assert reply.status == 503
             assert json.loads(reply.body)["error"] == "no_upstream_at_home"
-            assert stage.workers["w1"].arrivals == []
-            assert (await stage.call("/unsafe/x")).status == 200
+            assert harness.workers["w1"].arrivals == []
+            assert (await harness.call("/unsafe/x")).status == 200
 
     asyncio.run(run())
 
 
 def test_a_workspace_keeps_its_regions_on_every_route():
     async def run():
-        async with run_stage(0, more=SETTINGS) as stage:
-            await add_upstreams(stage)
+        async with run_gateway_harness(0, extra_settings=SETTINGS) as harness:
+            await add_upstreams(harness)
             configuration = {
                 "Version": 2,
                 "Routes": [make_route("safe")],
@@ -86,11 +88,13 @@
                 ],
             }
             data = json.dumps(configuration).encode()
-            stage.store.put("keyed.op", "config", data)
-            deployment = stage.gateway.deployment
-            await stage.wait_until(lambda: deployment.configuration.version > 1)
+            harness.store.put("keyed.op", "config", data)
+            deployment = harness.gateway.deployment
+            await harness.wait_until(
+                lambda: deployment.configuration.version > 1
+            )
             for _ in range(8):
-                assert (await stage.call("/safe/x")).status == 200
-            assert stage.workers["w2"].arrivals == []
+                assert (await harness.call("/safe/x")).status == 200
+            assert harness.workers["w2"].arrivals == []
 
     asyncio.run(run())
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -30,7 +30,7 @@
     encode_request,
 )
 from lovagestage.platform.settings import decode_settings
-from tests.gateway_stage import (
+from tests.gateway_harness import (
     KEY,
     make_configuration,
     make_route,
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -26,7 +26,7 @@
 from lovagestage.gateway.choice import Work, choose_upstream
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.upstream import UpstreamEntry
-from tests.gateway_stage import make_route, run_stage
+from tests.gateway_harness import make_route, run_gateway_harness
 
 PER_S = 14.0
 NAMES = [f"10.0.0.{number}:7000" for number in range(9)]
@@ -153,9 +153,9 @@
 ROUTES = [make_route("safe", Public=True)]
 
 
-async def send_burst(stage, seconds, per_s):
+async def send_burst(harness, seconds, per_s):
     async def call_one(number):
-        reply = await stage.call("/safe/x", request_id=f"r{number}")
+        reply = await harness.call("/safe/x", request_id=f"r{number}")
         return reply.status
 
     loop = asyncio.get_running_loop()
@@ -176,19 +176,21 @@
 
     async def run():
         crashes = []
-        async with run_stage(1, services=SERVICES, routes=ROUTES) as stage:
+        async with run_gateway_harness(
+            1, services=SERVICES, routes=ROUTES
+        ) as harness:
             script = make_cold_script(crashes, 6 * 1.5 + 5)
-            await stage.add_worker("w2", script, WarmupLeftMs=3000)
-            rotation = stage.gateway.deployment.rotation
-            await stage.wait_until(lambda: len(rotation) == 2)
-            statuses, took_s = await send_burst(stage, 1.5, 60)
+            await harness.add_worker("w2", script, WarmupLeftMs=3000)
+            rotation = harness.gateway.deployment.rotation
+            await harness.wait_until(lambda: len(rotation) == 2)
+            statuses, took_s = await send_burst(harness, 1.5, 60)
             assert set(statuses) == {200}
             assert crashes == []
-            cold = len(stage.workers["w2"].started)
+            cold = len(harness.workers["w2"].started)
             assert 0 < cold <= 6 * took_s
             await asyncio.sleep(max(0.0, 3.2 - took_s))
-            await send_burst(stage, 0.5, 60)
-            assert len(stage.workers["w2"].started) > cold
+            await send_burst(harness, 0.5, 60)
+            assert len(harness.workers["w2"].started) > cold
 
     asyncio.run(run())
 
@@ -200,14 +202,16 @@
     monkeypatch.setattr(warmups, "SETTLE_S", 0.0)
 
     async def run():
-        async with run_stage(1, services=SERVICES, routes=ROUTES) as stage:
-            deployment = stage.gateway.deployment
-            stage.store.put("keyed.op", "evacuate/a", b"{}")
-            await stage.wait_until(lambda: "a" in deployment.evacuations)
-            stage.store.put("keyed.op", "evacuate/a", b"")
-            await stage.wait_until(lambda: "a" not in deployment.evacuations)
-            statuses, took_s = await send_burst(stage, 0.8, 60)
-            assert len(stage.workers["w1"].started) <= 6 * took_s
+        async with run_gateway_harness(
+            1, services=SERVICES, routes=ROUTES
+        ) as harness:
+            deployment = harness.gateway.deployment
+            harness.store.put("keyed.op", "evacuate/a", b"{}")
+            await harness.wait_until(lambda: "a" in deployment.evacuations)
+            harness.store.put("keyed.op", "evacuate/a", b"")
+            await harness.wait_until(lambda: "a" not in deployment.evacuations)
+            statuses, took_s = await send_burst(harness, 0.8, 60)
+            assert len(harness.workers["w1"].started) <= 6 * took_s
             assert statuses.count(503) > 0
 
     asyncio.run(run())
