--- a/src/lovagestage/decisions/homes.py
+++ b/src/lovagestage/decisions/allowed_regions.py
@@ -12,10 +12,12 @@
 
 from lovagestage.types import RegionId
 
-Homes = frozenset[RegionId]
+RegionSet = frozenset[RegionId]
 
 
-def get_common_homes(*region_sets: Homes | None) -> Homes | None:
+def intersect_allowed_regions(
+    *region_sets: RegionSet | None,
+) -> RegionSet | None:
     """Returns the regions that route and workspace both allow.
 
     Args:
@@ -31,7 +33,9 @@
     return restricted[0].intersection(*restricted[1:])
 
 
-def is_home(region: RegionId | None, allowed_regions: Homes | None) -> bool:
+def is_region_allowed(
+    region: RegionId | None, allowed_regions: RegionSet | None
+) -> bool:
     """Returns whether a request may run in a region.
 
     Args:
--- a/src/lovagestage/gateway/admission.py
+++ b/src/lovagestage/gateway/admission.py
@@ -4,7 +4,10 @@
 
 import dataclasses
 
-from lovagestage.decisions.homes import Homes, get_common_homes
+from lovagestage.decisions.allowed_regions import (
+    RegionSet,
+    intersect_allowed_regions,
+)
 from lovagestage.exceptions import GatewayRefusalError
 from lovagestage.gateway.configuration import (
     Configuration,
@@ -57,11 +60,12 @@
         return min(MAX_PRIORITY, max(0, self.route.priority))
 
     @property
-    def homes(self) -> Homes | None:
+    def allowed_regions(self) -> RegionSet | None:
         """Regions where the request may run; None for any region."""
         workspace = self.workspace
-        return get_common_homes(
-            self.route.homes, None if workspace is None else workspace.homes
+        return intersect_allowed_regions(
+            self.route.allowed_regions,
+            None if workspace is None else workspace.allowed_regions,
         )
 
     def get_remaining_s(self, now_s: float) -> float:
--- a/src/lovagestage/gateway/attempts.py
+++ b/src/lovagestage/gateway/attempts.py
@@ -158,7 +158,9 @@
     def _get_missing_reason(self) -> str:
         """Returns the name of the reason why no upstream is left."""
         admitted, deployment = self.admitted, self._deployment
-        allowed = deployment.get_ready(admitted.service, admitted.homes)
+        allowed = deployment.get_ready(
+            admitted.service, admitted.allowed_regions
+        )
         if not allowed and deployment.get_ready(admitted.service, None):
             return "no_upstream_at_home"
         if allowed and not deployment.filter_available(
@@ -175,7 +177,7 @@
             admitted.request.session,
             str(admitted.request.id),
             now_s,
-            admitted.homes,
+            admitted.allowed_regions,
         )
         for upstreams in self._get_upstream_groups():
             placement = choice.choose_upstream(
@@ -207,7 +209,7 @@
             return
         admitted, deployment = self.admitted, self._deployment
         same_version = deployment.get_version_upstreams(
-            admitted.service, self.assignment, admitted.homes
+            admitted.service, self.assignment, admitted.allowed_regions
         )
         yield deployment.filter_available(same_version, get_elapsed_s())
         yield self._get_fallback_upstreams()
@@ -215,7 +217,7 @@
     def _get_fallback_upstreams(self) -> Sequence[Upstream]:
         admitted, deployment = self.admitted, self._deployment
         fallback = deployment.get_fallback(
-            admitted.service, self.assignment, admitted.homes
+            admitted.service, self.assignment, admitted.allowed_regions
         )
         return deployment.filter_available(fallback, get_elapsed_s())
 
@@ -234,7 +236,10 @@
     def _get_assigned_upstreams(self) -> Sequence[Upstream]:
         now_s = get_elapsed_s()
         upstreams = self._deployment.get_upstreams(
-            self.admitted.service, self.assignment, now_s, self.admitted.homes
+            self.admitted.service,
+            self.assignment,
+            now_s,
+            self.admitted.allowed_regions,
         )
         return self._deployment.filter_available(upstreams, now_s)
 
--- a/src/lovagestage/gateway/configuration.py
+++ b/src/lovagestage/gateway/configuration.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-from lovagestage.decisions.homes import Homes
+from lovagestage.decisions.allowed_regions import RegionSet
 from lovagestage.decisions.warmup import Warmup
 from lovagestage.types import ServiceId, WorkspaceId
 
@@ -55,7 +55,8 @@
         models: Models that may answer, smallest first; empty where the caller
             names the model.
         backends: Services that the route's requests are sent to, by weight.
-        homes: Regions where the route's requests may run; None for any region.
+        allowed_regions: Regions where the route's requests may run; None for
+            any region.
     """
 
     name: str
@@ -71,7 +72,7 @@
     is_resumable: bool
     models: tuple[str, ...]
     backends: tuple[Backend, ...]
-    homes: Homes | None = None
+    allowed_regions: RegionSet | None = None
 
     @property
     def is_repeatable(self) -> bool:
@@ -99,13 +100,13 @@
         name: Name of the workspace.
         priority: Rank of the workspace's requests; None for the rank of their
             routes.
-        homes: Regions where the workspace's requests may run; None for any
-            region.
+        allowed_regions: Regions where the workspace's requests may run; None
+            for any region.
     """
 
     name: WorkspaceId
     priority: int | None = None
-    homes: Homes | None = None
+    allowed_regions: RegionSet | None = None
 
 
 class Configuration:
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -5,8 +5,8 @@
 import logging
 from collections.abc import Mapping, Sequence
 
+from lovagestage.decisions.allowed_regions import RegionSet, is_region_allowed
 from lovagestage.decisions.evacuation import Evacuations
-from lovagestage.decisions.homes import Homes, is_home
 from lovagestage.decisions.warmup import Warmup
 from lovagestage.gateway.configuration import Configuration
 from lovagestage.gateway.pins import SessionPins
@@ -81,7 +81,7 @@
         self.configuration = configuration
 
     def get_ready(
-        self, service: ServiceId, allowed_regions: Homes | None
+        self, service: ServiceId, allowed_regions: RegionSet | None
     ) -> list[Upstream]:
         """Returns the upstreams of a service to which requests may be sent.
 
@@ -101,7 +101,9 @@
             upstream
             for upstream in ready
             if upstream.entry.zone not in self.evacuations
-            and is_home(self.regions.get(upstream.entry.zone), allowed_regions)
+            and is_region_allowed(
+                self.regions.get(upstream.entry.zone), allowed_regions
+            )
         ]
 
     def get_warmup(self, service: ServiceId) -> Warmup | None:
@@ -157,7 +159,7 @@
         session: str | None,
         request: str,
         now_s: float,
-        allowed_regions: Homes | None = None,
+        allowed_regions: RegionSet | None = None,
     ) -> Assignment:
         """Chooses the version that a request's session is assigned to.
 
@@ -196,7 +198,7 @@
         service: ServiceId,
         assignment: Assignment,
         now_s: float,
-        allowed_regions: Homes | None = None,
+        allowed_regions: RegionSet | None = None,
     ) -> list[Upstream]:
         """Returns the upstreams that take requests of an assignment.
 
@@ -224,7 +226,7 @@
         self,
         service: ServiceId,
         assignment: Assignment,
-        allowed_regions: Homes | None = None,
+        allowed_regions: RegionSet | None = None,
     ) -> list[Upstream]:
         """Returns all upstreams of an assignment's version, on trial or not."""
         ready = self.get_ready(service, allowed_regions)
@@ -236,7 +238,7 @@
         self,
         service: ServiceId,
         assignment: Assignment,
-        allowed_regions: Homes | None = None,
+        allowed_regions: RegionSet | None = None,
     ) -> list[Upstream]:
         """Returns upstreams for a request that its own version cannot answer.
 
--- a/src/lovagestage/platform/configuration.py
+++ b/src/lovagestage/platform/configuration.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lovagestage.decisions.homes import Homes
+from lovagestage.decisions.allowed_regions import RegionSet
 from lovagestage.decisions.warmup import Warmup
 from lovagestage.exceptions import CodecError
 from lovagestage.gateway.configuration import (
@@ -126,11 +126,11 @@
             Backend(ServiceId(backend["Service"]), float(backend["Weight"]))
             for backend in backends
         ),
-        homes=_decode_allowed_regions(fields),
+        allowed_regions=_decode_allowed_regions(fields),
     )
 
 
-def _decode_allowed_regions(fields: JsonObject) -> Homes | None:
+def _decode_allowed_regions(fields: JsonObject) -> RegionSet | None:
     regions = fields.get("AllowedRegions")
     return frozenset(RegionId(name) for name in regions) if regions else None
 
--- a/tests/test_homes.py
+++ b/tests/test_allowed_regions.py
@@ -7,7 +7,10 @@
 
 import pytest
 
-from lovagestage.decisions.homes import get_common_homes, is_home
+from lovagestage.decisions.allowed_regions import (
+    intersect_allowed_regions,
+    is_region_allowed,
+)
 from tests.gateway_harness import KEY, LIMITS, make_route, run_gateway_harness
 
 EAST, WEST = frozenset(["east"]), frozenset(["west"])
@@ -24,12 +27,12 @@
     ],
 )
 def test_regions_of_route_and_workspace_both_bind(route, workspace, homes):
-    assert get_common_homes(route, workspace) == homes
+    assert intersect_allowed_regions(route, workspace) == homes
 
 
 def test_a_zone_of_an_unknown_region_is_not_allowed():
-    assert not is_home(None, EAST)
-    assert is_home(None, None)
+    assert not is_region_allowed(None, EAST)
+    assert is_region_allowed(None, None)
 
 
 SETTINGS = "Zones.a=east\nZones.b=west"
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -210,9 +210,9 @@
     )
     configuration = decode_configuration(data.encode())
     assert configuration.warmups == {"pool": Warmup(3.0, 14.0)}
-    assert configuration.get_route("h", "/p/x").homes == {"east"}
-    assert configuration.keys["k1"].homes == {"west"}
-    assert configuration.keys["k2"].homes is None
+    assert configuration.get_route("h", "/p/x").allowed_regions == {"east"}
+    assert configuration.keys["k1"].allowed_regions == {"west"}
+    assert configuration.keys["k2"].allowed_regions is None
 
 
 def test_only_orders_for_zones_name_one():
