--- a/src/lovagestage/decisions/retries.py
+++ b/src/lovagestage/decisions/retries.py
@@ -29,7 +29,7 @@
 BUDGET_LIMIT = 128.0
 """Maximum number of retries that may accumulate. The loss of one upstream fails
 all of its running requests simultaneously, and these are to be retried."""
-COME_BACK_S = 1
+RETRY_AFTER_S = 1
 """Seconds after which a caller is told to retry a failed request."""
 PROBE_WAIT_S = 0.1
 """Mean wait in seconds before a request that waits for a probe is tried
@@ -79,11 +79,11 @@
         """Number of retries that are left."""
         return self._tokens
 
-    def note_request(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Adds the retries that one request earns."""
         self._refill(now_s, self._ratio)
 
-    def take(self, now_s: float, reserve: float = 0.0) -> bool:
+    def try_acquire(self, now_s: float, reserve: float = 0.0) -> bool:
         """Acquires one retry; False if no more than the reserve is left."""
         self._refill(now_s, 0.0)
         if self._tokens < 1.0 + reserve:
@@ -91,7 +91,7 @@
         self._tokens -= 1.0
         return True
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Releases an acquired retry that was not made."""
         self._tokens = min(self.limit, self._tokens + 1.0)
 
@@ -108,14 +108,15 @@
     Attributes:
         error: The error, with the known state of the run.
         attempts: Number of attempts so far, including this one.
-        passed_on: Whether a part of the answer was forwarded to the caller.
+        has_forwarded_answer: Whether a part of the answer was forwarded to the
+            caller.
         repeatable: Whether the request may run more than once.
         remaining_s: Seconds until the deadline.
     """
 
     error: RequestRefusedError
     attempts: int
-    passed_on: bool
+    has_forwarded_answer: bool
     repeatable: bool
     remaining_s: float
 
@@ -138,7 +139,7 @@
     it was not run. A part of the answer that the caller has received can't be
     revoked, and a second run may begin with other words.
     """
-    if isinstance(failure.error, _FINAL) or failure.passed_on:
+    if isinstance(failure.error, _FINAL) or failure.has_forwarded_answer:
         return False
     if failure.attempts >= MAX_ATTEMPTS:
         return False
@@ -161,7 +162,7 @@
     if not is_retryable(failure):
         return None
     delay_s = get_backoff_s(failure.attempts, jitter)
-    if delay_s >= failure.remaining_s or not budget.take(now_s):
+    if delay_s >= failure.remaining_s or not budget.try_acquire(now_s):
         return None
     return delay_s
 
@@ -182,5 +183,5 @@
     is_final = isinstance(error, _FINAL)
     may_retry = error.run is RunState.NOT_RUN or failure.repeatable
     if error.retry_after_s is None and may_retry and not is_final:
-        error.retry_after_s = COME_BACK_S
+        error.retry_after_s = RETRY_AFTER_S
     return error
--- a/src/lovagestage/entry/dispatcher.py
+++ b/src/lovagestage/entry/dispatcher.py
@@ -14,7 +14,7 @@
 from lovagestage.bus.upstreams import UpstreamTable
 from lovagestage.decisions.crash_suspects import get_fingerprint
 from lovagestage.decisions.retries import (
-    COME_BACK_S,
+    RETRY_AFTER_S,
     Failure,
     RetryBudget,
     get_retry_delay_s,
@@ -106,7 +106,7 @@
         Raises:
             RequestRefusedError: There is no whole answer; says what was run.
         """
-        self._budget.note_request(time.monotonic())
+        self._budget.record_request(time.monotonic())
         try:
             async for data in self._run(request, result):
                 yield data
@@ -245,7 +245,7 @@
                 raise NoCapacityError(
                     f"No upstream can take {version!r} now.",
                     RunState.NOT_RUN,
-                    retry_after_s=COME_BACK_S,
+                    retry_after_s=RETRY_AFTER_S,
                 )
             # All connections may have gone silent together, with nothing
             # wrong at their ends. New ones are seconds away at most: by then
--- a/src/lovagestage/gateway/admission.py
+++ b/src/lovagestage/gateway/admission.py
@@ -19,7 +19,7 @@
 from lovagestage.gateway.trust import Trust
 from lovagestage.types import ServiceId
 
-COME_BACK_S = 0.4
+RETRY_AFTER_S = 0.4
 """Time in seconds after which a refused caller should retry: long enough for a
 retry at the upstreams of another gateway, and within a third of the shortest
 deadline."""
@@ -96,9 +96,11 @@
         GatewayRefusalError: The request may not run, or not at the moment.
     """
     if configuration is None:
-        raise GatewayRefusalError(503, "no_configuration", COME_BACK_S)
+        raise GatewayRefusalError(503, "no_configuration", RETRY_AFTER_S)
     if freshness.is_superseded(now_s):
-        raise GatewayRefusalError(503, "configuration_superseded", COME_BACK_S)
+        raise GatewayRefusalError(
+            503, "configuration_superseded", RETRY_AFTER_S
+        )
     route = configuration.get_route(request.host, request.path)
     if route is None:
         # An outdated configuration may lack a route that a newer one has, so
@@ -113,7 +115,7 @@
             raise GatewayRefusalError(401, "unknown_key")
     service = choose_backend(route, request.session or str(request.id))
     if service is None:
-        raise GatewayRefusalError(503, "no_backend", COME_BACK_S)
+        raise GatewayRefusalError(503, "no_backend", RETRY_AFTER_S)
     budget_s = min(request.budget_s - DEADLINE_MARGIN_S, route.timeout_s)
     return Admitted(
         request,
@@ -127,4 +129,4 @@
 
 def _check_freshness(freshness: Trust, now_s: float) -> None:
     if not freshness.holds(now_s):
-        raise GatewayRefusalError(503, "configuration_too_old", COME_BACK_S)
+        raise GatewayRefusalError(503, "configuration_too_old", RETRY_AFTER_S)
--- a/src/lovagestage/gateway/attempts.py
+++ b/src/lovagestage/gateway/attempts.py
@@ -10,10 +10,10 @@
 
 from lovagestage.exceptions import AttemptFailedError, GatewayRefusalError
 from lovagestage.gateway import choice
-from lovagestage.gateway.admission import COME_BACK_S, Admitted
+from lovagestage.gateway.admission import RETRY_AFTER_S, Admitted
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.deployment import Deployment
-from lovagestage.gateway.repeats import RepeatBudget
+from lovagestage.gateway.retry_budget import ServiceRetryBudget
 from lovagestage.gateway.rollouts import Assignment
 from lovagestage.gateway.suspects import make_fingerprint
 from lovagestage.gateway.upstream import Upstream
@@ -74,7 +74,7 @@
         self,
         admitted: Admitted,
         deployment: Deployment,
-        budget: RepeatBudget,
+        budget: ServiceRetryBudget,
         zone: ZoneId,
         rng: random.Random,
     ) -> None:
@@ -301,7 +301,7 @@
             for upstream in upstreams
         )
 
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Returns whether a retry is allowed, and takes it from the budget.
 
         After an attempt that may have run, only a request that may run more
@@ -312,7 +312,7 @@
             return False
         if self.runs >= route.max_attempts:
             return False
-        if self.runs and not route.is_repeatable:
+        if self.runs and not route.may_run_again:
             return False
         if self._budget.try_acquire(get_elapsed_s()):
             return True
@@ -333,12 +333,12 @@
         requests is left to them.
         """
         route = self.admitted.route
-        if self.runs >= route.max_attempts or not route.is_repeatable:
+        if self.runs >= route.max_attempts or not route.may_run_again:
             return False
         return self._budget.try_acquire_escalation(get_elapsed_s())
 
     def make_refusal(
-        self, reason: str, comes_back: bool = True
+        self, reason: str, is_retryable: bool = True
     ) -> GatewayRefusalError:
         """Makes the final error of a request that no upstream has answered.
 
@@ -347,14 +347,14 @@
 
         Args:
             reason: Stable name of the reason.
-            comes_back: Whether a retry by the caller could help.
+            is_retryable: Whether a retry by the caller could help.
 
         Returns:
             The refusal: 503 where no attempt can have run, 504 where too
             little time is left until the deadline, 502 otherwise.
         """
         if self.runs == 0:
-            retry_after_s = COME_BACK_S if comes_back else None
+            retry_after_s = RETRY_AFTER_S if is_retryable else None
             return GatewayRefusalError(503, reason, retry_after_s)
         if self.left_s <= MIN_REMAINING_S:
             return GatewayRefusalError(504, reason)
--- a/src/lovagestage/gateway/configuration.py
+++ b/src/lovagestage/gateway/configuration.py
@@ -75,7 +75,7 @@
     allowed_regions: RegionSet | None = None
 
     @property
-    def is_repeatable(self) -> bool:
+    def may_run_again(self) -> bool:
         """Whether a request may run again after it may have run."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
--- a/src/lovagestage/gateway/forwarder.py
+++ b/src/lovagestage/gateway/forwarder.py
@@ -14,7 +14,7 @@
 from lovagestage.gateway.latency import LatencyTable, LoadGauge
 from lovagestage.gateway.plain import forward_plain
 from lovagestage.gateway.reading import ReadingTimes
-from lovagestage.gateway.repeats import RepeatBudget
+from lovagestage.gateway.retry_budget import ServiceRetryBudget
 from lovagestage.gateway.runs import RunContext
 from lovagestage.gateway.settings import Bounds, GatewaySettings
 from lovagestage.gateway.sinks import AnswerSink, EvidenceSink
@@ -53,7 +53,7 @@
         self._bounds = settings.bounds
         self._deployment = deployment
         self._rng = rng
-        self._budgets: dict[ServiceId, RepeatBudget] = {}
+        self._budgets: dict[ServiceId, ServiceRetryBudget] = {}
         self._context = RunContext(
             pool,
             evidence,
@@ -66,7 +66,7 @@
     def make_attempts(self, admitted: Admitted) -> Attempts:
         """Counts a request in the retry budget and prepares its attempts."""
         budget = self._get_budget(admitted.service)
-        budget.note_request(get_elapsed_s(), self._count_gateways())
+        budget.record_request(get_elapsed_s(), self._count_gateways())
         return Attempts(
             admitted, self._deployment, budget, self._zone, self._rng
         )
@@ -93,10 +93,10 @@
         self._bounds = bounds
         self._budgets.clear()
 
-    def _get_budget(self, service: ServiceId) -> RepeatBudget:
+    def _get_budget(self, service: ServiceId) -> ServiceRetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = RepeatBudget(
+            budget = ServiceRetryBudget(
                 get_elapsed_s(),
                 self._bounds.retry_ratio,
                 self._bounds.retry_window_s,
--- a/src/lovagestage/gateway/plain.py
+++ b/src/lovagestage/gateway/plain.py
@@ -44,7 +44,7 @@
             head, body = await _fetch_answer(context, attempts, upstream)
         except AttemptFailedError as error:
             record_failed_attempt(context, attempts, upstream, error)
-            if not attempts.may_repeat():
+            if not attempts.may_retry():
                 raise attempts.make_refusal(error.reason) from error
             continue
         _record_answer(context, attempts, upstream, head, started_s)
--- a/src/lovagestage/gateway/repeats.py
+++ b/src/lovagestage/gateway/retry_budget.py
@@ -43,7 +43,7 @@
 """Slices of the window, in each of which requests are counted."""
 
 
-class RepeatBudget:
+class ServiceRetryBudget:
     """Retry budget of one service's requests at this gateway.
 
     Args:
@@ -102,7 +102,7 @@
         share = self._slack / max(1, gateways)
         return max(MIN_LIMIT, share + self._accumulated_ratio * self._requests)
 
-    def note_request(self, now_s: float, gateways: int | None) -> None:
+    def record_request(self, now_s: float, gateways: int | None) -> None:
         """Counts a request and adds the share of a retry that it earns."""
         slice_s = self._window_s / _WINDOW_SLICES
         slice_index = int(now_s / slice_s)
@@ -120,11 +120,11 @@
             self._slice_counts.append((slice_index, 1))
         self._requests += 1
         self._bucket.limit = self.get_limit(now_s, gateways)
-        self._bucket.note_request(now_s)
+        self._bucket.record_request(now_s)
 
     def try_acquire(self, now_s: float) -> bool:
         """Takes a retry for a failed request; False where none is left."""
-        return self._bucket.take(now_s)
+        return self._bucket.try_acquire(now_s)
 
     def try_acquire_escalation(self, now_s: float) -> bool:
         """Takes a retry for an escalation to a larger model.
@@ -134,8 +134,8 @@
             failed requests.
         """
         reserve = min(MAX_RESERVED, RESERVED_RATIO * self._bucket.limit)
-        return self._bucket.take(now_s, reserve)
+        return self._bucket.try_acquire(now_s, reserve)
 
     def release(self) -> None:
         """Returns a retry that reached no upstream to the budget."""
-        self._bucket.give_back()
+        self._bucket.release()
--- a/src/lovagestage/gateway/runs.py
+++ b/src/lovagestage/gateway/runs.py
@@ -89,7 +89,7 @@
     while True:
         admission = context.suspects.admit(fingerprint)
         if admission is Admission.REFUSE:
-            raise attempts.make_refusal("crashes_upstreams", comes_back=False)
+            raise attempts.make_refusal("crashes_upstreams", is_retryable=False)
         if admission is not Admission.WAIT:
             break
         if attempts.left_s <= PROBE_WAIT_S:
@@ -171,7 +171,7 @@
         context.pool,
         upstream,
         call,
-        admitted.route.is_repeatable,
+        admitted.route.may_run_again,
         get_expected_latency_s(context, attempts, model),
         attempts.work_s,
     )
@@ -196,7 +196,7 @@
     """
     route = attempts.admitted.route
     left_s = max(0.0, attempts.left_s)
-    if not route.is_repeatable or attempts.runs >= route.max_attempts:
+    if not route.may_run_again or attempts.runs >= route.max_attempts:
         return left_s
     mean_s = context.latency.get((route.name, model)) or 0.0
     limit_s = max(TIMEOUT_TARGET_RATIO * route.aim_s, TIMEOUT_MEANS * mean_s)
@@ -275,7 +275,7 @@
     The call also logs the answer and, for a retry, takes it from the budget.
     """
     attempts.note_failed_answer(upstream)
-    is_retried = attempts.has_other() and attempts.may_repeat()
+    is_retried = attempts.has_other() and attempts.may_retry()
     _log.warning(
         "answer_failed",
         extra={
--- a/src/lovagestage/gateway/service.py
+++ b/src/lovagestage/gateway/service.py
@@ -7,7 +7,7 @@
 from http import HTTPStatus
 
 from lovagestage.exceptions import AttemptFailedError, GatewayRefusalError
-from lovagestage.gateway.admission import COME_BACK_S, Admitted, admit
+from lovagestage.gateway.admission import RETRY_AFTER_S, Admitted, admit
 from lovagestage.gateway.attempts import Attempts
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.cold_start import StartupGate
@@ -109,7 +109,7 @@
             admitted.route.kind is RouteKind.STREAM
             and not self._accepts_streams
         ):
-            raise GatewayRefusalError(503, "stopping", COME_BACK_S)
+            raise GatewayRefusalError(503, "stopping", RETRY_AFTER_S)
         return admitted
 
     def _get_configuration_age_s(self) -> float | None:
--- a/src/lovagestage/gateway/stream_runs.py
+++ b/src/lovagestage/gateway/stream_runs.py
@@ -87,7 +87,7 @@
         except AttemptFailedError as error:
             progress = run.progress
             record_failed_attempt(context, attempts, upstream, error)
-            if attempts.may_repeat():
+            if attempts.may_retry():
                 continue
             if progress.is_started:
                 raise
--- a/tests/test_gateway_repeats.py
+++ b/tests/test_gateway_repeats.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 
 from lab import worker as lab
-from lovagestage.gateway.repeats import (
+from lovagestage.gateway.retry_budget import (
     ASSUMED_GATEWAYS,
     MAX_RESERVED,
     MIN_STARTUP_GATEWAYS,
     SLACK_RATIO,
-    RepeatBudget,
+    ServiceRetryBudget,
 )
 from tests.gateway_harness import run_gateway_harness
 from tests.test_gateway_streams import get_ids
@@ -27,13 +27,13 @@
 
 
 def make_budget(ratio=RATIO, slack=SLACK):
-    return RepeatBudget(0.0, ratio, WINDOW_S, slack, 0.0, 1)
+    return ServiceRetryBudget(0.0, ratio, WINDOW_S, slack, 0.0, 1)
 
 
 def record_requests(budget, per_s, seconds, gateways=1, start_s=0.0):
     count = int(per_s * seconds)
     for number in range(count):
-        budget.note_request(start_s + number / per_s, gateways)
+        budget.record_request(start_s + number / per_s, gateways)
     return start_s + seconds
 
 
@@ -87,7 +87,7 @@
     # them and takes all at the worst moment. The rule counts retries in any
     # window against the requests of that window or of the one before it.
     budgets = [
-        RepeatBudget(0.0, RATIO, WINDOW_S, slack, 0.0, gateways)
+        ServiceRetryBudget(0.0, RATIO, WINDOW_S, slack, 0.0, gateways)
         for _ in range(gateways)
     ]
     arrivals = []
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -142,7 +142,7 @@
     stream = found.get_route("ficu95.example", "/s/x")
     split = found.get_route("ficu95.example", "/w/x")
     assert found.version == 7
-    assert (stream.kind, stream.is_repeatable) == (RouteKind.STREAM, True)
+    assert (stream.kind, stream.may_run_again) == (RouteKind.STREAM, True)
     assert stream.models == ("m0", "m1")
     assert [b.weight for b in split.backends] == [90.0, 10.0]
     assert found.keys[KEY].name == "clinic"
@@ -150,7 +150,7 @@
     # Requests of an unknown kind of route must not run twice, which is the safe
     # assumption.
     other = found.get_route("ficu95.example", "/n/x")
-    assert (other.kind, other.is_repeatable) == (RouteKind.UNSAFE, False)
+    assert (other.kind, other.may_run_again) == (RouteKind.UNSAFE, False)
 
 
 @given(st.binary(max_size=60) | st.just(b'{"Version":1,"Routes":[{}]}'))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -67,8 +67,8 @@
         now_s += pause_s
         requests += sent
         for _ in range(sent):
-            budget.note_request(now_s)
-        acquired += sum(budget.take(now_s) for _ in range(failed))
+            budget.record_request(now_s)
+        acquired += sum(budget.try_acquire(now_s) for _ in range(failed))
         earned = BUDGET_RATIO * requests + BUDGET_MINIMUM_PER_S * now_s
         assert acquired <= BUDGET_LIMIT + earned + 1e-6
 
