--- a/src/lovagestage/decisions/warmup.py
+++ b/src/lovagestage/decisions/warmup.py
@@ -77,7 +77,7 @@
     Attributes:
         own: Name of the gateway that decides.
         zone: Availability zone of the gateway that decides.
-        neighbours: Names of the other gateways in the zone; None where gateways
+        zone_peers: Names of the other gateways in the zone; None where gateways
             can't learn of each other.
         is_settled: Whether the gateway has run for long enough that it has
             learnt of the other gateways and they have learnt of it.
@@ -85,7 +85,7 @@
 
     own: str
     zone: ZoneId
-    neighbours: Collection[str] | None
+    zone_peers: Collection[str] | None
     is_settled: bool
 
 
@@ -126,12 +126,12 @@
         per_s: float,
     ) -> Pace:
         """Returns the limit for one gateway's requests to one upstream."""
-        if gateways.neighbours is None:
+        if gateways.zone_peers is None:
             return make_pace(per_s / ASSUMED_GATEWAYS)
         if zone != gateways.zone or not gateways.is_settled:
             return NOTHING
         ranked = sorted(
-            (gateways.own, *gateways.neighbours),
+            (gateways.own, *gateways.zone_peers),
             key=lambda name: xxhash.xxh3_64_intdigest(
                 f"{upstream}/{name}".encode()
             ),
--- a/src/lovagestage/exceptions.py
+++ b/src/lovagestage/exceptions.py
@@ -104,7 +104,7 @@
     code = "undecodable"
 
 
-class SealError(LovagestageError):
+class DatagramAuthenticationError(LovagestageError):
     """A datagram is not sealed by what gateways share."""
 
     code = "seal_wrong"
--- a/src/lovagestage/gateway/seal.py
+++ b/src/lovagestage/gateway/datagram_authentication.py
@@ -14,7 +14,7 @@
 import hmac
 import struct
 
-from lovagestage.exceptions import SealError
+from lovagestage.exceptions import DatagramAuthenticationError
 
 MAX_KEYS = 16
 """Number of configurations whose keys are retained. In a burst there are a few
@@ -62,19 +62,23 @@
             The version of the configuration, and the datagram's content.
 
         Raises:
-            SealError: The tag is missing or wrong, or was made with a
-                configuration that is not known here.
+            DatagramAuthenticationError: The tag is missing or wrong, or was
+                made with a configuration that is not known here.
         """
         if len(datagram) < _HEAD.size:
-            raise SealError("Datagram too short for an authentication tag.")
+            raise DatagramAuthenticationError(
+                "Datagram too short for an authentication tag."
+            )
         version, tag = _HEAD.unpack_from(datagram)
         if self._keys and version not in self._keys:
-            raise SealError(
+            raise DatagramAuthenticationError(
                 "Datagram authenticated with a configuration that is not known."
             )
         data = datagram[_HEAD.size :]
         if not hmac.compare_digest(tag, self._make_tag(version, data)):
-            raise SealError("Datagram with a wrong authentication tag.")
+            raise DatagramAuthenticationError(
+                "Datagram with a wrong authentication tag."
+            )
         return version, data
 
     def _make_tag(self, version: int, data: bytes) -> bytes:
--- a/src/lovagestage/gateway/gossip.py
+++ b/src/lovagestage/gateway/gossip.py
@@ -18,7 +18,10 @@
 import xxhash
 
 from lovagestage.gateway.clocks import get_elapsed_s
-from lovagestage.gateway.neighbours import GossipTargets, choose_gossip_targets
+from lovagestage.gateway.gossip_targets import (
+    GossipTargets,
+    choose_gossip_targets,
+)
 from lovagestage.gateway.peers import PeerAddress, PeerSocket
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.told_waits import ToldWaits
@@ -102,7 +105,7 @@
         self._last_broadcast_s = 0.0
         socket.register(DATAGRAM_KIND, self.apply_report)
 
-    def note_zone(self, peer: PeerAddress, zone: ZoneId) -> None:
+    def record_zone(self, peer: PeerAddress, zone: ZoneId) -> None:
         """Records the availability zone of a gateway."""
         if self._zones.get(peer) != zone:
             self._zones[peer] = zone
@@ -123,7 +126,7 @@
         except (struct.error, UnicodeDecodeError) as error:
             _log.warning("gossip_refused", extra={"error": str(error)})
             return
-        self.note_zone(address, zone)
+        self.record_zone(address, zone)
         last_report = self._reports.get(sender)
         now_s = asyncio.get_running_loop().time()
         if sender == self._own_hash:
--- a/src/lovagestage/gateway/notes.py
+++ b/src/lovagestage/gateway/peer_messages.py
@@ -12,10 +12,10 @@
 from lovagestage.messages.crashes import CrashReport
 from lovagestage.types import InstanceId, ServiceId, VmId, ZoneId
 
-TOPIC = "lovagestage"
+PEER_MESSAGES_TOPIC = "lovagestage"
 
 
-class HelloNote(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
+class HelloMessage(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
     """Announces that a gateway has started.
 
     Attributes:
@@ -28,7 +28,9 @@
     zone: ZoneId = ZoneId("")
 
 
-class FailureNote(msgspec.Struct, frozen=True, array_like=True, tag="failure"):
+class FailureMessage(
+    msgspec.Struct, frozen=True, array_like=True, tag="failure"
+):
     """Reports a failed or far too slow answer of a roll-out's new version.
 
     Attributes:
@@ -49,7 +51,9 @@
     age_s: float
 
 
-class CountNote(msgspec.Struct, frozen=True, array_like=True, tag="count"):
+class AnswerCountMessage(
+    msgspec.Struct, frozen=True, array_like=True, tag="count"
+):
     """Reports how many answers of the new version a gateway has received.
 
     Attributes:
@@ -67,7 +71,7 @@
     age_s: float
 
 
-class SessionsNote(
+class ActiveSessionsMessage(
     msgspec.Struct, frozen=True, array_like=True, tag="sessions"
 ):
     """Reports sessions that were active when a roll-out's share was agreed.
@@ -86,7 +90,9 @@
     age_s: float
 
 
-class OutcomeNote(msgspec.Struct, frozen=True, array_like=True, tag="outcome"):
+class OutcomeMessage(
+    msgspec.Struct, frozen=True, array_like=True, tag="outcome"
+):
     """Reports a state of a roll-out that was written for the operators.
 
     Attributes:
@@ -105,11 +111,11 @@
 
 
 GatewayMessage = (
-    HelloNote
-    | FailureNote
-    | CountNote
-    | SessionsNote
-    | OutcomeNote
+    HelloMessage
+    | FailureMessage
+    | AnswerCountMessage
+    | ActiveSessionsMessage
+    | OutcomeMessage
     | CrashReport
 )
 
@@ -120,12 +126,12 @@
     Attributes:
         vm: The gateway's VM.
         incarnation: Start time of the gateway's process in nanoseconds.
-        notes: The messages in the order of sending.
+        messages: The messages in the order of sending.
     """
 
     vm: VmId
     incarnation: int
-    notes: tuple[GatewayMessage, ...]
+    messages: tuple[GatewayMessage, ...]
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -137,7 +143,7 @@
     return _encoder.encode(batch)
 
 
-def decode_letter(data: bytes) -> MessageBatch:
+def decode_batch(data: bytes) -> MessageBatch:
     """Decodes a batch that `encode_batch` has encoded.
 
     Raises:
--- a/src/lovagestage/gateway/mailbox.py
+++ b/src/lovagestage/gateway/peer_messenger.py
@@ -10,16 +10,16 @@
 import mode
 
 from lovagestage.exceptions import CodecError, StoreError
-from lovagestage.gateway.notes import (
-    TOPIC,
-    CountNote,
-    FailureNote,
+from lovagestage.gateway.peer_messages import (
+    PEER_MESSAGES_TOPIC,
+    ActiveSessionsMessage,
+    AnswerCountMessage,
+    FailureMessage,
     GatewayMessage,
-    HelloNote,
+    HelloMessage,
     MessageBatch,
-    OutcomeNote,
-    SessionsNote,
-    decode_letter,
+    OutcomeMessage,
+    decode_batch,
     encode_batch,
 )
 from lovagestage.messages.crashes import CrashReport
@@ -30,11 +30,11 @@
 _log = logging.getLogger(__name__)
 _MessageKind = TypeVar(
     "_MessageKind",
-    HelloNote,
-    FailureNote,
-    CountNote,
-    SessionsNote,
-    OutcomeNote,
+    HelloMessage,
+    FailureMessage,
+    AnswerCountMessage,
+    ActiveSessionsMessage,
+    OutcomeMessage,
     CrashReport,
 )
 
@@ -51,7 +51,7 @@
 The oldest are dropped first."""
 
 
-class Mailbox(mode.Service):
+class PeerMessenger(mode.Service):
     """Exchanges messages with the other gateways through a topic of the store.
 
     Args:
@@ -66,7 +66,7 @@
         store: StoreClient,
         vm: VmId,
         incarnation: int,
-        hello: HelloNote,
+        hello: HelloMessage,
     ) -> None:
         super().__init__()
         self._store = store
@@ -79,7 +79,7 @@
         self._message_added.set()
 
     @property
-    def gateways(self) -> int:
+    def gateway_count(self) -> int:
         """Number of gateways that have sent messages, including this one."""
         return len(self._gateways)
 
@@ -94,7 +94,7 @@
         """
         self._handlers[kind] = handler
 
-    def post(self, message: GatewayMessage) -> None:
+    def enqueue(self, message: GatewayMessage) -> None:
         """Queues a message to the other gateways.
 
         If the queue is full, the oldest message is dropped and a warning
@@ -114,7 +114,7 @@
         """Dispatches message batches in order, except this gateway's own."""
         for record in page.records:
             try:
-                batch = decode_letter(record.value or b"")
+                batch = decode_batch(record.value or b"")
             except CodecError as error:
                 _log.error("letter_refused", extra={"error": error.message})
                 continue
@@ -124,15 +124,15 @@
             ):
                 continue
             self._gateways.add(batch.vm)
-            for message in batch.notes:
+            for message in batch.messages:
                 handler = self._handlers.get(type(message))
                 if handler is not None:
                     handler(message)
 
-    def on_proof(self, at_s: float) -> None:
+    def on_freshness_confirmed(self, at_s: float) -> None:
         """Does nothing: no decision depends on the age of the messages."""
 
-    def on_news(self, at_s: float) -> None:
+    def on_update_available(self, at_s: float) -> None:
         """Does nothing: no decision depends on messages not read yet."""
 
     @mode.Service.task
@@ -161,5 +161,5 @@
         # idempotent.
         batch = MessageBatch(self._vm, self._incarnation, messages)
         await self._store.append(
-            TOPIC, [("", encode_batch(batch))], APPEND_TIMEOUT_S
+            PEER_MESSAGES_TOPIC, [("", encode_batch(batch))], APPEND_TIMEOUT_S
         )
--- a/src/lovagestage/gateway/peers.py
+++ b/src/lovagestage/gateway/peers.py
@@ -8,10 +8,10 @@
 
 import mode
 
-from lovagestage.exceptions import SealError
+from lovagestage.exceptions import DatagramAuthenticationError
 from lovagestage.gateway.clocks import get_elapsed_s
+from lovagestage.gateway.datagram_authentication import DatagramAuthenticator
 from lovagestage.gateway.exposition import Exposition, Series
-from lovagestage.gateway.seal import DatagramAuthenticator
 
 _log = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
         exposition: Metrics, for the counts of datagrams.
 
     Attributes:
-        own: The socket's address.
+        own_address: The socket's address.
         peers: Addresses of the other gateways known so far.
     """
 
@@ -50,7 +50,7 @@
         super().__init__()
         self._exposition = exposition
         host, _, port = address.rpartition(":")
-        self.own: PeerAddress = (host, int(port))
+        self.own_address: PeerAddress = (host, int(port))
         self.peers: set[PeerAddress] = set()
         self._last_received_s: dict[PeerAddress, float] = {}
         self._handlers: dict[bytes, Handler] = {}
@@ -59,7 +59,7 @@
         self._peer_versions: dict[PeerAddress, int] = {}
         self._logged_reasons: set[str] = set()
 
-    def add_key(self, version: int, configuration: bytes) -> None:
+    def add_configuration(self, version: int, configuration: bytes) -> None:
         """Adds a configuration from whose bytes an authentication key is made.
 
         Args:
@@ -97,7 +97,7 @@
         """Opens the socket."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _DatagramReceiver(self), local_addr=self.own
+            lambda: _DatagramReceiver(self), local_addr=self.own_address
         )
         self._transport = transport
 
@@ -125,13 +125,15 @@
         """
         try:
             version, data = self._authenticator.verify(datagram)
-        except SealError as error:
+        except DatagramAuthenticationError as error:
             self._log_rejected(sender, error)
             return
         self._peer_versions[sender] = version
         self.dispatch(data, sender)
 
-    def _log_rejected(self, sender: PeerAddress, error: SealError) -> None:
+    def _log_rejected(
+        self, sender: PeerAddress, error: DatagramAuthenticationError
+    ) -> None:
         """Logs the rejection of a datagram.
 
         Each reason is logged once per `EXPIRY_CHECK_INTERVAL_S`, so that
@@ -190,7 +192,7 @@
         self._exposition.count(Series.DATAGRAM_BYTES, labels, size_bytes)
 
     def _record_peer(self, peer: PeerAddress) -> None:
-        if peer == self.own:
+        if peer == self.own_address:
             return
         self._last_received_s[peer] = get_elapsed_s()
         if peer in self.peers:
--- a/src/lovagestage/gateway/relay.py
+++ b/src/lovagestage/gateway/relay.py
@@ -176,7 +176,7 @@
         self.watch_wait_s = WATCH_RATIO * bound_s
         self._query_interval_s = PERIOD_RATIO * bound_s
         self._socket = socket
-        self.watchers = WatcherList(socket.own, socket.peers)
+        self.watchers = WatcherList(socket.own_address, socket.peers)
         self._sources: dict[str, TopicSource] = {}
         self._followers: dict[PeerAddress, float] = {}
         self._query_number = 0
@@ -197,7 +197,9 @@
         """Returns how this gateway is to keep its view up to date now."""
         if 1 + len(self._socket.peers) < MIN_RELAY_GATEWAYS:
             return RelayMode.ALONE
-        if self._socket.own in self.watchers.get_watchers(get_elapsed_s()):
+        if self._socket.own_address in self.watchers.get_watchers(
+            get_elapsed_s()
+        ):
             return RelayMode.WATCHER
         return RelayMode.FOLLOWER
 
--- a/src/lovagestage/gateway/rollout_service.py
+++ b/src/lovagestage/gateway/rollout_service.py
@@ -15,13 +15,13 @@
 )
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.deployment import Deployment
-from lovagestage.gateway.mailbox import Mailbox
-from lovagestage.gateway.notes import (
-    CountNote,
-    FailureNote,
-    OutcomeNote,
-    SessionsNote,
+from lovagestage.gateway.peer_messages import (
+    ActiveSessionsMessage,
+    AnswerCountMessage,
+    FailureMessage,
+    OutcomeMessage,
 )
+from lovagestage.gateway.peer_messenger import PeerMessenger
 from lovagestage.gateway.risks import FailureRateTable
 from lovagestage.gateway.rollouts import (
     COUNT_REPORT_RATIOS,
@@ -97,14 +97,14 @@
         self._store = store
         self._deployment = deployment
         self._rng = rng
-        self._mailbox: Mailbox | None = None
+        self._peer_messenger: PeerMessenger | None = None
         self._unresolved: dict[ServiceId, Rollout] = {}
         self._recorded_orders: dict[ServiceId, int] = {}
         self._write_at_s: dict[ServiceId, float] = {}
 
-    def set_mailbox(self, mailbox: Mailbox) -> None:
+    def set_peer_messenger(self, peer_messenger: PeerMessenger) -> None:
         """Sets the messenger to the other gateways; called once."""
-        self._mailbox = mailbox
+        self._peer_messenger = peer_messenger
 
     def apply_bounds(self, bounds: Bounds) -> None:
         """Applies new limits; they hold for orders that arrive later."""
@@ -129,11 +129,13 @@
         self._progress[order.service] = _Progress()
 
     def _get_first_share(self, order: RolloutOrder) -> float:
-        assert self._mailbox is not None
+        assert self._peer_messenger is not None
         own_per_s = self._failure_rates.get_request_rate(
             order.service, get_elapsed_s()
         )
-        expected = own_per_s * self._mailbox.gateways * order.duration_s
+        expected = (
+            own_per_s * self._peer_messenger.gateway_count * order.duration_s
+        )
         share = get_first_share(
             self._bounds.exposure_ratio, self._bounds.exposure_slack, expected
         )
@@ -145,12 +147,12 @@
                 "share": share,
                 "expected": round(expected),
                 "own_per_s": round(own_per_s, 2),
-                "gateways": self._mailbox.gateways,
+                "gateways": self._peer_messenger.gateway_count,
             },
         )
         return share
 
-    def add_answer(
+    def record_answer(
         self,
         service: ServiceId,
         route: str,
@@ -206,7 +208,7 @@
         progress.unreported[route] = max(EVIDENCE_FLOOR, unreported)
         if not failed:
             return
-        note = FailureNote(
+        message = FailureMessage(
             service,
             rollout.offset,
             route,
@@ -214,42 +216,54 @@
             progress.unreported.pop(route),
             rollout.get_age_s(get_elapsed_s()),
         )
-        self._count_failure(rollout, note)
-        self._post(note)
+        self._count_failure(rollout, message)
+        self._post(message)
 
     def _post(
-        self, note: FailureNote | CountNote | SessionsNote | OutcomeNote
+        self,
+        message: FailureMessage
+        | AnswerCountMessage
+        | ActiveSessionsMessage
+        | OutcomeMessage,
     ) -> None:
-        assert self._mailbox is not None
-        self._mailbox.post(note)
+        assert self._peer_messenger is not None
+        self._peer_messenger.enqueue(message)
 
-    def on_failure_note(self, note: FailureNote) -> None:
+    def on_failure_message(self, message: FailureMessage) -> None:
         """Applies another gateway's evidence on a new version."""
-        rollout = self._find_rollout(note.service, note.order, note.age_s)
+        rollout = self._find_rollout(
+            message.service, message.order, message.age_s
+        )
         if rollout is not None:
-            rollout.add_evidence(note.route, note.evidence)
-            self._count_failure(rollout, note)
+            rollout.add_evidence(message.route, message.evidence)
+            self._count_failure(rollout, message)
 
-    def on_count_note(self, note: CountNote) -> None:
+    def on_count_message(self, message: AnswerCountMessage) -> None:
         """Applies another gateway's number of answers from a new version."""
-        rollout = self._find_rollout(note.service, note.order, note.age_s)
+        rollout = self._find_rollout(
+            message.service, message.order, message.age_s
+        )
         if rollout is not None:
-            rollout.record_answers(note.gateway, note.answers)
+            rollout.record_answers(message.gateway, message.answers)
 
-    def on_sessions_note(self, note: SessionsNote) -> None:
+    def on_sessions_message(self, message: ActiveSessionsMessage) -> None:
         """Applies the active sessions that another gateway has reported."""
-        rollout = self._find_rollout(note.service, note.order, note.age_s)
+        rollout = self._find_rollout(
+            message.service, message.order, message.age_s
+        )
         if rollout is not None:
-            rollout.held_sessions.update(note.sessions)
+            rollout.held_sessions.update(message.sessions)
 
-    def on_outcome_note(self, note: OutcomeNote) -> None:
+    def on_outcome_message(self, message: OutcomeMessage) -> None:
         """Applies an outcome that another gateway has written to the store."""
-        rollout = self._find_rollout(note.service, note.order, note.age_s)
+        rollout = self._find_rollout(
+            message.service, message.order, message.age_s
+        )
         if rollout is None:
             return
-        rollout.set_first_share(note.first_share, get_elapsed_s())
-        outcome = RolloutOutcome(note.outcome)
-        self._recorded_orders[note.service] = note.order
+        rollout.set_first_share(message.first_share, get_elapsed_s())
+        outcome = RolloutOutcome(message.outcome)
+        self._recorded_orders[message.service] = message.order
         if outcome is not RolloutOutcome.RUNNING:
             self._conclude(rollout, outcome, "peer")
 
@@ -262,23 +276,23 @@
         rollout.apply_age(age_s, get_elapsed_s())
         return rollout
 
-    def _count_failure(self, rollout: Rollout, note: FailureNote) -> None:
+    def _count_failure(self, rollout: Rollout, message: FailureMessage) -> None:
         was_stopped = rollout.is_stopped
-        ready = self._deployment.rotation.get_ready(note.service)
+        ready = self._deployment.rotation.get_ready(message.service)
         target = rollout.order.version
         peers = sum(u.entry.version == target for u in ready)
-        rollout.add_failure(note.upstream, peers)
+        rollout.add_failure(message.upstream, peers)
         if rollout.is_stopped and not was_stopped:
             _log.warning(
                 "rollout_stopped",
                 extra={
-                    "service": note.service,
+                    "service": message.service,
                     "version": target,
                     "failures": rollout.new_failures,
-                    "route": note.route,
-                    "upstream": note.upstream,
+                    "route": message.route,
+                    "upstream": message.upstream,
                     "answers": rollout.get_answer_count(),
-                    "age_s": round(note.age_s, 2),
+                    "age_s": round(message.age_s, 2),
                 },
             )
 
@@ -332,7 +346,7 @@
                 continue
             age_s = rollout.get_age_s(now_s)
             self._post(
-                CountNote(
+                AnswerCountMessage(
                     service,
                     rollout.offset,
                     self._vm,
@@ -363,7 +377,9 @@
                 continue
             rollout.held_sessions.update(sessions)
             age_s = rollout.get_age_s(now_s)
-            self._post(SessionsNote(service, rollout.offset, sessions, age_s))
+            self._post(
+                ActiveSessionsMessage(service, rollout.offset, sessions, age_s)
+            )
 
     async def _look_up_outcomes(self) -> None:
         if not self._unresolved:
@@ -439,5 +455,5 @@
             self._conclude(rollout, outcome, "own")
         age_s = rollout.get_age_s(get_elapsed_s())
         self._post(
-            OutcomeNote(service, rollout.offset, outcome.value, share, age_s)
+            OutcomeMessage(service, rollout.offset, outcome.value, share, age_s)
         )
--- a/src/lovagestage/gateway/wiring.py
+++ b/src/lovagestage/gateway/wiring.py
@@ -20,15 +20,15 @@
 from lovagestage.gateway.feeds import TopicFeed, TopicReading
 from lovagestage.gateway.forwarder import Forwarder
 from lovagestage.gateway.gossip import Gossip
-from lovagestage.gateway.mailbox import Mailbox
-from lovagestage.gateway.notes import (
-    TOPIC,
-    CountNote,
-    FailureNote,
-    HelloNote,
-    OutcomeNote,
-    SessionsNote,
+from lovagestage.gateway.peer_messages import (
+    PEER_MESSAGES_TOPIC,
+    ActiveSessionsMessage,
+    AnswerCountMessage,
+    FailureMessage,
+    HelloMessage,
+    OutcomeMessage,
 )
+from lovagestage.gateway.peer_messenger import PeerMessenger
 from lovagestage.gateway.peers import PeerSocket
 from lovagestage.gateway.pins import SessionPins
 from lovagestage.gateway.relay import (
@@ -130,7 +130,7 @@
     warmup_guard = WarmupGuard(
         ZoneDealers(),
         settings.zone,
-        None if socket is None else socket.own,
+        None if socket is None else socket.own_address,
         lambda: () if gossip is None else gossip.get_zone_peers(),
         get_elapsed_s(),
     )
@@ -144,18 +144,20 @@
     rollouts = RolloutService(
         make_store(), deployment, settings.vm, bounds, rng
     )
-    mailbox = Mailbox(
+    peer_messenger = PeerMessenger(
         make_store(),
         settings.vm,
         time.time_ns(),
-        HelloNote(settings.peer_address or "", settings.zone),
+        HelloMessage(settings.peer_address or "", settings.zone),
     )
-    rollouts.set_mailbox(mailbox)
-    suspects = SuspectWatch(mailbox.post)
+    rollouts.set_peer_messenger(peer_messenger)
+    suspects = SuspectWatch(peer_messenger.enqueue)
     if socket is not None and gossip is not None:
-        mailbox.subscribe(HelloNote, _make_hello_handler(socket, gossip))
+        peer_messenger.subscribe(
+            HelloMessage, _make_hello_handler(socket, gossip)
+        )
     relay = _make_relay(settings, socket, exposition)
-    _subscribe_to_peer_messages(mailbox, rollouts, suspects)
+    _subscribe_to_peer_messages(peer_messenger, rollouts, suspects)
     pool = ConnectionPool()
     forwarder = Forwarder(
         settings,
@@ -180,7 +182,7 @@
         make_store(), bounds, deployment, rng, store_return, relay
     )
     peer_messages_feed = _make_peer_messages_feed(
-        make_store(), mailbox, rng, store_return, relay
+        make_store(), peer_messenger, rng, store_return, relay
     )
     if relay is not None:
         for feed in (operator_feed, upstream_feed, peer_messages_feed):
@@ -194,7 +196,7 @@
         operator_feed,
         upstream_feed,
         peer_messages_feed,
-        mailbox,
+        peer_messenger,
         rollouts,
     )
     return Components(
@@ -215,7 +217,7 @@
     def on_configuration(version: int, configuration: bytes) -> None:
         startup_gate.set_configured()
         if socket is not None:
-            socket.add_key(version, configuration)
+            socket.add_configuration(version, configuration)
 
     return on_configuration
 
@@ -267,13 +269,17 @@
 
 
 def _subscribe_to_peer_messages(
-    mailbox: Mailbox, rollouts: RolloutService, suspects: SuspectWatch
+    peer_messenger: PeerMessenger,
+    rollouts: RolloutService,
+    suspects: SuspectWatch,
 ) -> None:
-    mailbox.subscribe(CrashReport, suspects.on_report)
-    mailbox.subscribe(FailureNote, rollouts.on_failure_note)
-    mailbox.subscribe(CountNote, rollouts.on_count_note)
-    mailbox.subscribe(SessionsNote, rollouts.on_sessions_note)
-    mailbox.subscribe(OutcomeNote, rollouts.on_outcome_note)
+    peer_messenger.subscribe(CrashReport, suspects.on_report)
+    peer_messenger.subscribe(FailureMessage, rollouts.on_failure_message)
+    peer_messenger.subscribe(AnswerCountMessage, rollouts.on_count_message)
+    peer_messenger.subscribe(
+        ActiveSessionsMessage, rollouts.on_sessions_message
+    )
+    peer_messenger.subscribe(OutcomeMessage, rollouts.on_outcome_message)
 
 
 def _make_peer_socket(
@@ -286,11 +292,11 @@
 
 def _make_hello_handler(
     socket: PeerSocket, gossip: Gossip
-) -> Callable[[HelloNote], None]:
-    def on_hello(note: HelloNote) -> None:
-        peer = socket.add_peer(note.peer_address)
-        if peer is not None and note.zone:
-            gossip.note_zone(peer, note.zone)
+) -> Callable[[HelloMessage], None]:
+    def on_hello(message: HelloMessage) -> None:
+        peer = socket.add_peer(message.peer_address)
+        if peer is not None and message.zone:
+            gossip.record_zone(peer, message.zone)
 
     return on_hello
 
@@ -394,7 +400,7 @@
 
 def _make_peer_messages_feed(
     store: StoreClient,
-    mailbox: Mailbox,
+    peer_messenger: PeerMessenger,
     rng: random.Random,
     store_return: StoreReturn,
     relay: Relay | None,
@@ -402,7 +408,7 @@
     return TopicFeed(
         store,
         TopicReading(
-            TOPIC,
+            PEER_MESSAGES_TOPIC,
             PEER_MESSAGES_POLL_S,
             PEER_MESSAGES_READ_PAUSE_S,
             is_keyed=False,
@@ -410,7 +416,7 @@
             is_told=True,
             is_timely=False,
         ),
-        mailbox,
+        peer_messenger,
         rng,
         store_return,
         relay,
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -21,7 +21,7 @@
     REPORT_TTL_S,
     Gossip,
 )
-from lovagestage.gateway.neighbours import choose_gossip_targets
+from lovagestage.gateway.gossip_targets import choose_gossip_targets
 from lovagestage.gateway.peers import PeerSocket
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.told_waits import ToldWaits
@@ -38,7 +38,7 @@
     return rotation
 
 
-def tell_waits(rotations):
+def exchange_queue_times(rotations):
     """Gives each gateway the sum of the others' queue times, as gossip does."""
     for upstreams in zip(*(r.get_all() for r in rotations), strict=True):
         performances = [upstream.performance for upstream in upstreams]
@@ -181,7 +181,7 @@
     socket.peers = set(peers)
     gossip = Gossip("edge", "z1", socket, rotation)
     for peer, zone in peers.items():
-        gossip.note_zone(peer, zone)
+        gossip.record_zone(peer, zone)
         reporter = Gossip(str(peer), zone, socket, make_rotation())
         upstream = reporter._rotation.get_ready("pool")[0]
         upstream.performance.waiting_s = 0.02
@@ -210,7 +210,7 @@
     socket.send = lambda kind, data, peer: receivers.append(peer)
     gossip = Gossip("edge", "z1", socket, make_rotation())
     for peer, zone in peers.items():
-        gossip.note_zone(peer, zone)
+        gossip.record_zone(peer, zone)
     await gossip.start()
     try:
         await wait_until(lambda: receivers.count(("10.3.0.1", 9)) >= 2)
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -122,7 +122,7 @@
         socket.register(b"kind", lambda data, sender: None)
         await socket.start()
     try:
-        sockets[0].send(b"kind", b"12345", sockets[1].own)
+        sockets[0].send(b"kind", b"12345", sockets[1].own_address)
         async with asyncio.timeout(5.0):
             while not sockets[1].peers:
                 await asyncio.sleep(0.01)
--- a/tests/test_gateway_placement.py
+++ b/tests/test_gateway_placement.py
@@ -14,7 +14,7 @@
 from lovagestage.gateway.performance import Performance
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.upstream import UpstreamEntry
-from tests.test_gateway_gossip import tell_waits
+from tests.test_gateway_gossip import exchange_queue_times
 
 GATEWAYS = 24
 UPSTREAMS = 23
@@ -83,7 +83,7 @@
         heapq.heappush(self.events, (at_s, self.count, call, args))
 
     def report_waits(self, _now_s):
-        tell_waits(self.rotations)
+        exchange_queue_times(self.rotations)
 
     def send(self, now_s, arrived_s, prefix, model):
         rotation = self.rng.choice(self.rotations)
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -83,7 +83,7 @@
     runner, port = await start_app(store.make_app(), "127.0.0.1", 0)
     pair = sorted(
         (Gateway(port), Gateway(port)),
-        key=lambda each: watchers_module.get_rank(each.socket.own),
+        key=lambda each: watchers_module.get_rank(each.socket.own_address),
     )
     pair[0].name, pair[1].name = "watcher", "follower"
     add_fake_peers(pair)
@@ -319,10 +319,10 @@
     for socket in (one, two):
         await socket.start()
     try:
-        one.send(b"kind", b"", two.own)
-        await wait_until(lambda: one.own in two.peers)
+        one.send(b"kind", b"", two.own_address)
+        await wait_until(lambda: one.own_address in two.peers)
         two.dispatch(b"none of ours", ("127.0.0.1", 9))
-        assert two.peers == {one.own}
+        assert two.peers == {one.own_address}
     finally:
         for socket in (one, two):
             await socket.stop()
@@ -503,7 +503,9 @@
             relay,
         )
     )
-    ranked = sorted([socket.own, *socket.peers], key=watchers_module.get_rank)
+    ranked = sorted(
+        [socket.own_address, *socket.peers], key=watchers_module.get_rank
+    )
     watchers = ranked[:5]
     first_choice = relay.watchers.choose_watcher(get_elapsed_s())
     assert first_choice in watchers
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -14,13 +14,13 @@
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.latency import LatencyTable
-from lovagestage.gateway.mailbox import Mailbox
-from lovagestage.gateway.notes import (
-    TOPIC,
-    HelloNote,
-    SessionsNote,
-    decode_letter,
+from lovagestage.gateway.peer_messages import (
+    PEER_MESSAGES_TOPIC,
+    ActiveSessionsMessage,
+    HelloMessage,
+    decode_batch,
 )
+from lovagestage.gateway.peer_messenger import PeerMessenger
 from lovagestage.gateway.pins import SessionPins
 from lovagestage.gateway.rollout_service import RolloutService
 from lovagestage.gateway.rollouts import (
@@ -277,13 +277,14 @@
 
         def count_reported_sessions():
             batches = map(
-                decode_letter, harness.store.get_topic(TOPIC).read(0, 99)
+                decode_batch,
+                harness.store.get_topic(PEER_MESSAGES_TOPIC).read(0, 99),
             )
             return sum(
-                len(note.sessions)
-                for letter in batches
-                for note in letter.notes
-                if isinstance(note, SessionsNote)
+                len(message.sessions)
+                for batch in batches
+                for message in batch.messages
+                if isinstance(message, ActiveSessionsMessage)
             )
 
         await harness.wait_until(
@@ -558,7 +559,9 @@
         self.service = RolloutService(
             store, deployment, "vm", bounds, random.Random(1)
         )
-        self.service.set_mailbox(Mailbox(store, "vm", 1, HelloNote("")))
+        self.service.set_peer_messenger(
+            PeerMessenger(store, "vm", 1, HelloMessage(""))
+        )
         self.service.on_order(ORDER, 7)
         self.rollout = deployment.rollouts["pool"]
         for number in range(3):
@@ -568,7 +571,7 @@
 
     def answer(self, quality):
         self.upstreams.append(self.upstreams.pop(0))
-        self.service.add_answer(
+        self.service.record_answer(
             "pool", "r", Assignment("v2", True), self.upstreams[0], quality
         )
 
--- a/tests/test_gateway_seal.py
+++ b/tests/test_gateway_seal.py
@@ -4,10 +4,14 @@
 
 import pytest
 
-from lovagestage.exceptions import SealError
+from lovagestage.exceptions import DatagramAuthenticationError
+from lovagestage.gateway.datagram_authentication import (
+    MAX_KEYS,
+    NO_VERSION,
+    DatagramAuthenticator,
+)
 from lovagestage.gateway.exposition import Exposition
 from lovagestage.gateway.peers import PeerSocket
-from lovagestage.gateway.seal import MAX_KEYS, NO_VERSION, DatagramAuthenticator
 
 SENDER = ("127.0.0.1", 9)
 
@@ -45,13 +49,13 @@
 def test_forged_datagrams_are_rejected(datagram):
     # An attacker who can reach the port announces an upstream of their own.
     # Without the bytes of the configuration they can't sign the datagram.
-    with pytest.raises(SealError):
+    with pytest.raises(DatagramAuthenticationError):
         make_authenticator(5).verify(datagram)
 
 
 def test_old_keys_are_discarded():
     authenticator = make_authenticator(*range(1, MAX_KEYS + 2))
-    with pytest.raises(SealError):
+    with pytest.raises(DatagramAuthenticationError):
         authenticator.verify(make_authenticator(1).sign(b"old", 1))
 
 
@@ -61,7 +65,7 @@
     socket = PeerSocket("127.0.0.1:1", Exposition())
     dispatched = []
     socket.register(b"kind", lambda data, sender: dispatched.append(data))
-    socket.add_key(5, b"configuration 5")
+    socket.add_configuration(5, b"configuration 5")
     for version in range(6, 200):
         socket.receive(
             make_authenticator(version).sign(b"kindforged", version), SENDER
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -16,7 +16,7 @@
     get_patience_s,
 )
 from tests.gateway_harness import run_gateway_harness
-from tests.test_gateway_gossip import NAMES, make_rotation, tell_waits
+from tests.test_gateway_gossip import NAMES, exchange_queue_times, make_rotation
 
 INTERVAL_S = 0.02
 REQUESTS = 150
@@ -115,7 +115,7 @@
                 end()
             if now_s >= next_gossip_s:
                 next_gossip_s = now_s + GOSSIP_S
-                tell_waits(self.rotations)
+                exchange_queue_times(self.rotations)
             self.send(self.rng.choice(self.rotations), now_s, number)
 
     def send(self, rotation, now_s, number):
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -38,7 +38,7 @@
         **{
             "own": own,
             "zone": "a",
-            "neighbours": others,
+            "zone_peers": others,
             "is_settled": True,
             **fields,
         }
@@ -83,7 +83,7 @@
 
 
 def test_gateways_without_discovery_send_few_requests():
-    (pace,) = get_paces(NAMES[:1], neighbours=None)
+    (pace,) = get_paces(NAMES[:1], zone_peers=None)
     assert pace.requests == 1
     assert pace.span_s > 1.0
 
