--- a/src/lovagestage/gateway/admission.py
+++ b/src/lovagestage/gateway/admission.py
@@ -15,8 +15,8 @@
     WorkspaceEntry,
     choose_backend,
 )
+from lovagestage.gateway.freshness import ConfigurationFreshness
 from lovagestage.gateway.messages import CallerRequest
-from lovagestage.gateway.trust import Trust
 from lovagestage.types import ServiceId
 
 RETRY_AFTER_S = 0.4
@@ -76,7 +76,7 @@
 def admit(
     request: CallerRequest,
     configuration: Configuration | None,
-    freshness: Trust,
+    freshness: ConfigurationFreshness,
     now_s: float,
 ) -> Admitted:
     """Finds the request's route and checks its API key.
@@ -127,6 +127,6 @@
     )
 
 
-def _check_freshness(freshness: Trust, now_s: float) -> None:
-    if not freshness.holds(now_s):
+def _check_freshness(freshness: ConfigurationFreshness, now_s: float) -> None:
+    if not freshness.is_fresh(now_s):
         raise GatewayRefusalError(503, "configuration_too_old", RETRY_AFTER_S)
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -9,6 +9,7 @@
 from lovagestage.decisions.evacuation import Evacuations
 from lovagestage.decisions.warmup import Warmup
 from lovagestage.gateway.configuration import Configuration
+from lovagestage.gateway.freshness import ConfigurationFreshness
 from lovagestage.gateway.pins import SessionPins
 from lovagestage.gateway.rollouts import (
     Assignment,
@@ -18,7 +19,6 @@
     choose_version,
 )
 from lovagestage.gateway.rotation import Rotation
-from lovagestage.gateway.trust import Trust
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.gateway.warmups import WarmupGuard
 from lovagestage.types import RegionId, ServiceId, VersionId, ZoneId
@@ -30,7 +30,7 @@
     """Configuration, upstreams and roll-outs in force.
 
     Args:
-        trust: Freshness of the configuration.
+        freshness: Freshness of the configuration.
         pins: Versions that sessions were last answered by.
         warmup_guard: Decides which upstreams that are warming up may get a
             request; None where upstreams handle their full load from the
@@ -38,7 +38,7 @@
 
     Attributes:
         configuration: The newest configuration; None before the first one.
-        trust: Freshness of the configuration.
+        freshness: Freshness of the configuration.
         rotation: All known upstreams and their states.
         rollouts: The last roll-out order of each service.
         pins: Versions that sessions were last answered by.
@@ -48,12 +48,12 @@
 
     def __init__(
         self,
-        trust: Trust,
+        freshness: ConfigurationFreshness,
         pins: SessionPins,
         warmup_guard: WarmupGuard | None = None,
     ) -> None:
         self.configuration: Configuration | None = None
-        self.trust = trust
+        self.freshness = freshness
         self.rotation = Rotation()
         self.rollouts: dict[ServiceId, Rollout] = {}
         self.pins = pins
--- a/src/lovagestage/gateway/feed_protocols.py
+++ b/src/lovagestage/gateway/feed_protocols.py
@@ -21,14 +21,14 @@
     def on_records(self, page: Page) -> None:
         """Called with new records in the order of their offsets."""
 
-    def on_proof(self, at_s: float) -> None:
+    def on_freshness_confirmed(self, at_s: float) -> None:
         """Called when it is confirmed that no newer record existed.
 
         Args:
             at_s: Elapsed time for which that is confirmed.
         """
 
-    def on_news(self, at_s: float) -> None:
+    def on_update_available(self, at_s: float) -> None:
         """Called when records exist that the listener has not received.
 
         Args:
--- a/src/lovagestage/gateway/feeds.py
+++ b/src/lovagestage/gateway/feeds.py
@@ -19,17 +19,21 @@
 )
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.feed_protocols import FeedListener, RelayClient
-from lovagestage.gateway.lag import Lag
-from lovagestage.gateway.relay import SLACK_S, RelayedState, RelayMode
+from lovagestage.gateway.relay import (
+    CONFIRMATION_AGE_SLACK_S,
+    RelayedState,
+    RelayMode,
+)
 from lovagestage.gateway.relay_messages import TopicState
-from lovagestage.gateway.store_return import StoreReturn
+from lovagestage.gateway.store_recovery import StoreRecoverySignal
+from lovagestage.gateway.topic_lag import TopicLag
 from lovagestage.gateway.topic_log import TopicLog
 from lovagestage.platform.records import Page, Record
 from lovagestage.platform.store import StoreClient
 
 _log = logging.getLogger(__name__)
 
-SILENCE_S = 0.9
+INACTIVITY_TIMEOUT_S = 0.9
 """Inactivity timeout of a read in seconds: the time without a received byte,
 beyond the wait that the read asked for, after which the read is aborted. It is
 over ten times the response time of a slow store, and short enough for two
@@ -70,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class TopicReading:
+class TopicReadOptions:
     """Options for reading a topic.
 
     Attributes:
@@ -83,11 +87,12 @@
         watch_wait_s: Time in seconds for which the store holds a watcher's
             read; None for the time that the relay computes from the time
             limit for applying a change.
-        is_told: Whether a watcher sends the topic's records to its followers.
-            Callers' keys are never sent: each gateway reads them from the
-            store.
-        is_timely: Whether a change must be in force within a time limit, so
-            that followers rely on recent freshness confirmations only.
+        is_relayed: Whether a watcher sends the topic's records to its
+            followers. Callers' keys are never sent: each gateway reads them
+            from the store.
+        requires_freshness: Whether a change must be in force within a time
+            limit, so that followers rely on recent freshness confirmations
+            only.
     """
 
     topic: str
@@ -95,8 +100,8 @@
     pause_s: float
     is_keyed: bool = True
     watch_wait_s: float | None = None
-    is_told: bool = False
-    is_timely: bool = True
+    is_relayed: bool = False
+    requires_freshness: bool = True
 
 
 class TopicFeed(mode.Service):
@@ -125,10 +130,10 @@
     def __init__(
         self,
         store: StoreClient,
-        options: TopicReading,
+        options: TopicReadOptions,
         listener: FeedListener,
         rng: random.Random,
-        store_recovery: StoreReturn,
+        store_recovery: StoreRecoverySignal,
         relay: RelayClient | None = None,
     ) -> None:
         super().__init__()
@@ -137,8 +142,10 @@
         self.topic = options.topic
         self._watch_wait_s = _get_watch_wait_s(options, relay)
         self.max_confirmation_age_s = math.inf
-        if options.is_timely:
-            self.max_confirmation_age_s = self._watch_wait_s + SLACK_S
+        if options.requires_freshness:
+            self.max_confirmation_age_s = (
+                self._watch_wait_s + CONFIRMATION_AGE_SLACK_S
+            )
         self._was_watching = False
         self._had_records = False
         self._has_notified_early = False
@@ -149,7 +156,7 @@
         self._relay = relay
         self._store_recovered = store_recovery.make_event()
         self._topic_log = TopicLog(None if options.is_keyed else 0)
-        self._lag = Lag()
+        self._lag = TopicLag()
         self._failures = 0
         self._last_failure_s: float | None = None
         self._own_failure_s: float | None = None
@@ -158,11 +165,11 @@
         self.is_synced = False
 
     @property
-    def is_beginning(self) -> bool:
+    def is_receiving_first_answer(self) -> bool:
         """Whether the store's first answer to this feed is arriving."""
         return not self.is_synced and self._store.is_receiving
 
-    def get_lost_age_s(self, now_s: float) -> float | None:
+    def get_last_failure_age_s(self, now_s: float) -> float | None:
         """Returns the time in seconds since the store last failed to answer.
 
         Args:
@@ -197,7 +204,7 @@
         end = self._topic_log.end
         if end is None or self._confirmed_s is None:
             return None
-        failure_age_s = self.get_lost_age_s(now_s)
+        failure_age_s = self.get_last_failure_age_s(now_s)
         # Includes records that this gateway is still reading: a follower must
         # not take the confirmation to mean that they don't exist.
         return TopicState(
@@ -222,7 +229,9 @@
             for topics whose records are not sent to followers.
         """
         return (
-            self._topic_log.get_recent(first) if self._options.is_told else ()
+            self._topic_log.get_recent(first)
+            if self._options.is_relayed
+            else ()
         )
 
     def apply_relayed_records(
@@ -238,7 +247,7 @@
             last_failure_s: Elapsed time at which the store last failed to
                 answer the watcher; None for never.
         """
-        if not self._options.is_told:
+        if not self._options.is_relayed:
             return
         self._record_store_failure(last_failure_s)
         if new_records := self._topic_log.add_relayed(records):
@@ -256,10 +265,10 @@
         logs the lag where that is due.
         """
         now_s, known_end = get_elapsed_s(), self._topic_log.end
-        self._lag.note_end(end, known_end, now_s)
+        self._lag.record_end(end, known_end, now_s)
         if self._lag.is_behind(known_end):
-            self._listener.on_news(now_s)
-        if (age_s := self._lag.take_report(now_s)) is not None:
+            self._listener.on_update_available(now_s)
+        if (age_s := self._lag.check_report_due(now_s)) is not None:
             _log.warning(
                 "topic_behind",
                 extra={
@@ -272,7 +281,7 @@
 
     def _record_known_end(self) -> None:
         known_end = self._topic_log.end
-        age_s = self._lag.note_known(known_end, get_elapsed_s())
+        age_s = self._lag.record_known_end(known_end, get_elapsed_s())
         if age_s is not None:
             _log.info(
                 "topic_caught_up",
@@ -356,13 +365,13 @@
         self._record_store_failure(state.last_failure_s)
         if state.is_fresh:
             self._record_end(state.end)
-        if state.is_fresh and self._options.is_told:
+        if state.is_fresh and self._options.is_relayed:
             await self._wait_for_relayed_records(state.end)
         end = self._topic_log.end
         if not state.is_fresh or end is None or self._lag.is_behind(end):
             return False
         self._record_recovery("watcher")
-        self._listener.on_proof(state.confirmed_s)
+        self._listener.on_freshness_confirmed(state.confirmed_s)
         return True
 
     def _is_shared_outage(self, state: RelayedState) -> bool:
@@ -460,7 +469,11 @@
             await self._read_newest(sent_s)
             return False
         page = await self._store.read(
-            self.topic, known_end, wait_s, SILENCE_S, self._apply_partial_page
+            self.topic,
+            known_end,
+            wait_s,
+            INACTIVITY_TIMEOUT_S,
+            self._apply_partial_page,
         )
         if page.end < max(known_end, self._lag.end):
             # The answer comes from an outdated copy of the topic: it confirms
@@ -482,7 +495,7 @@
         return bool(page.records)
 
     async def _read_newest(self, sent_s: float) -> None:
-        page = await self._store.read_newest(self.topic, SILENCE_S)
+        page = await self._store.read_newest(self.topic, INACTIVITY_TIMEOUT_S)
         self._topic_log.restart(page.end)
         self._listener.on_newest(page)
         self._record_known_end()
@@ -514,7 +527,7 @@
 
     def _confirm_freshness(self, at_s: float) -> None:
         self._confirmed_s = at_s
-        self._listener.on_proof(at_s)
+        self._listener.on_freshness_confirmed(at_s)
 
     def _on_history_lost(self, error: StoreHistoryLostError) -> None:
         _log.warning(
@@ -572,7 +585,7 @@
 
 
 def _get_watch_wait_s(
-    options: TopicReading, relay: RelayClient | None
+    options: TopicReadOptions, relay: RelayClient | None
 ) -> float:
     if options.watch_wait_s is not None:
         return options.watch_wait_s
--- a/src/lovagestage/gateway/trust.py
+++ b/src/lovagestage/gateway/freshness.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-MARGIN_S = 0.25
+FRESHNESS_MARGIN_S = 0.25
 """Time in seconds by which freshness ends before its limit: a request that is
 admitted at the last moment still has to be sent, on a VM that may be slow."""
-NEWS_S = 3.0
+NOTIFICATION_LIFETIME_S = 3.0
 """Time in seconds for which a newer configuration is assumed to be readable
 after its last update notification: two reads that fail, with the pauses after
 them."""
 
 
-class Trust:
+class ConfigurationFreshness:
     """Age of the last check that no newer configuration existed.
 
     A freshness check counts from a moment at which the store certainly had
@@ -32,7 +32,7 @@
         self._checked_s: float | None = None
         self._notified_s: float | None = None
 
-    def note_proof(self, at_s: float) -> None:
+    def record_confirmation(self, at_s: float) -> None:
         """Records a freshness check; it cancels earlier update notifications.
 
         Args:
@@ -63,17 +63,18 @@
         """
         age_s = self.get_age_s(now_s)
         is_notified = (
-            self._notified_s is not None and now_s - self._notified_s < NEWS_S
+            self._notified_s is not None
+            and now_s - self._notified_s < NOTIFICATION_LIFETIME_S
         )
         return is_notified and (
-            age_s is None or age_s >= self.apply_s - MARGIN_S
+            age_s is None or age_s >= self.apply_s - FRESHNESS_MARGIN_S
         )
 
     def get_age_s(self, now_s: float) -> float | None:
         """Returns the age of the last freshness check; None without one."""
         return None if self._checked_s is None else now_s - self._checked_s
 
-    def holds(self, now_s: float) -> bool:
+    def is_fresh(self, now_s: float) -> bool:
         """Returns whether API keys of the configuration may be accepted."""
         age_s = self.get_age_s(now_s)
-        return age_s is not None and age_s < self.limit_s - MARGIN_S
+        return age_s is not None and age_s < self.limit_s - FRESHNESS_MARGIN_S
--- a/src/lovagestage/gateway/process.py
+++ b/src/lovagestage/gateway/process.py
@@ -192,8 +192,8 @@
             and self.deployment.configuration is not None
             and self._components.upstream_feed.is_synced
             and self._components.rollouts.is_resolved
-            and self.deployment.trust.holds(now_s)
-            and not self.deployment.trust.is_superseded(now_s)
+            and self.deployment.freshness.is_fresh(now_s)
+            and not self.deployment.freshness.is_superseded(now_s)
         )
 
     async def _answer_probe(
@@ -233,8 +233,8 @@
             return
         # Addresses and wait times, such as those of long polls and of the stop,
         # stay unchanged until a restart.
-        self.deployment.trust.limit_s = settings.bounds.revoke_s
-        self.deployment.trust.apply_s = settings.bounds.apply_s
+        self.deployment.freshness.limit_s = settings.bounds.revoke_s
+        self.deployment.freshness.apply_s = settings.bounds.apply_s
         self.deployment.regions = settings.regions
         self.deployment.pins.session_s = settings.bounds.session_s
         self._components.rollouts.apply_bounds(settings.bounds)
--- a/src/lovagestage/gateway/relay.py
+++ b/src/lovagestage/gateway/relay.py
@@ -54,10 +54,10 @@
 """Minimum number of gateways for the relay; fewer gateways read the store
 themselves. Two watchers read more often than the gateways would on their own,
 which outweighs the reads that the followers save."""
-WATCH_RATIO = 0.3
+HELD_READ_RATIO = 0.3
 """Time for which the store holds a watcher's read, as a fraction of the time
 within which a change must be in force."""
-PERIOD_RATIO = 0.2
+QUERY_INTERVAL_RATIO = 0.2
 """Interval between a follower's queries, as a fraction of the time within which
 a change must be in force. Together with the response timeout and the slack
 below, at most half of that time plus half a second passes until a follower
@@ -65,7 +65,7 @@
 RESPONSE_TIMEOUT_S = 0.25
 """Time limit in seconds for a response: over fifty times the time that a
 response takes between zones."""
-SLACK_S = 0.25
+CONFIRMATION_AGE_SLACK_S = 0.25
 """Slack in seconds for the age of a watcher's freshness confirmation, beyond
 the time for which its read is held: ten times the duration of a read where the
 store is slow."""
@@ -173,8 +173,8 @@
     ) -> None:
         super().__init__()
         self._exposition = exposition
-        self.watch_wait_s = WATCH_RATIO * bound_s
-        self._query_interval_s = PERIOD_RATIO * bound_s
+        self.watch_wait_s = HELD_READ_RATIO * bound_s
+        self._query_interval_s = QUERY_INTERVAL_RATIO * bound_s
         self._socket = socket
         self.watchers = WatcherList(socket.own_address, socket.peers)
         self._sources: dict[str, TopicSource] = {}
--- a/src/lovagestage/gateway/service.py
+++ b/src/lovagestage/gateway/service.py
@@ -102,7 +102,7 @@
         admitted = admit(
             request,
             self._deployment.configuration,
-            self._deployment.trust,
+            self._deployment.freshness,
             get_elapsed_s(),
         )
         if (
@@ -113,7 +113,7 @@
         return admitted
 
     def _get_configuration_age_s(self) -> float | None:
-        age_s = self._deployment.trust.get_age_s(get_elapsed_s())
+        age_s = self._deployment.freshness.get_age_s(get_elapsed_s())
         return None if age_s is None else round(age_s, 2)
 
     def _log_refusal(
--- a/src/lovagestage/gateway/beliefs.py
+++ b/src/lovagestage/gateway/state_view.py
@@ -34,7 +34,7 @@
 refusal is logged once."""
 
 
-class OperatorBeliefs:
+class OperatorStateView:
     """Applies configurations, roll-out orders and evacuations of zones.
 
     Args:
@@ -82,16 +82,16 @@
                     extra={"key": record.key, "error": error.message},
                 )
 
-    def on_proof(self, at_s: float) -> None:
+    def on_freshness_confirmed(self, at_s: float) -> None:
         """Records a freshness check of the configuration.
 
         Args:
             at_s: Elapsed time in seconds at which no newer configuration
                 existed.
         """
-        self._deployment.trust.note_proof(at_s)
+        self._deployment.freshness.record_confirmation(at_s)
 
-    def on_news(self, at_s: float) -> None:
+    def on_update_available(self, at_s: float) -> None:
         """Records an update notification: a newer configuration exists.
 
         The configuration in force counts as superseded if the newer one takes
@@ -100,7 +100,7 @@
         Args:
             at_s: Elapsed time in seconds of the notification.
         """
-        self._deployment.trust.record_update_notification(at_s)
+        self._deployment.freshness.record_update_notification(at_s)
 
     def _apply(self, record: Record) -> None:
         zone = get_evacuated_zone(record.key)
@@ -153,14 +153,14 @@
 class EntrySource(Protocol):
     """The feed from which the upstreams' entries are read."""
 
-    def get_lost_age_s(self, now_s: float) -> float | None:
+    def get_last_failure_age_s(self, now_s: float) -> float | None:
         """Returns the seconds since the store was last out of reach, or None.
 
         None means that the store was never out of reach.
         """
 
 
-class UpstreamBeliefs:
+class UpstreamStateView:
     """Applies the upstreams' entries to the rotation.
 
     Args:
@@ -198,15 +198,15 @@
         for name, entry, offset in self._decode(page.records):
             rotation.apply(name, entry, offset, now_s, was_store_unavailable)
 
-    def on_proof(self, at_s: float) -> None:
+    def on_freshness_confirmed(self, at_s: float) -> None:
         """Ignores freshness checks, which matter only to configurations."""
 
-    def on_news(self, at_s: float) -> None:
+    def on_update_available(self, at_s: float) -> None:
         """Ignores update notifications, which matter only to configurations."""
 
     def _was_store_unavailable(self, now_s: float) -> bool:
         assert self._source is not None
-        age_s = self._source.get_lost_age_s(now_s)
+        age_s = self._source.get_last_failure_age_s(now_s)
         return age_s is not None and age_s < STORE_OUTAGE_MEMORY_S
 
     def _decode(
--- a/src/lovagestage/gateway/store_return.py
+++ b/src/lovagestage/gateway/store_recovery.py
@@ -5,7 +5,7 @@
 import asyncio
 
 
-class StoreReturn:
+class StoreRecoverySignal:
     """Notifies feeds that have lost the store when another feed has reached it.
 
     On its own, each feed would detect the recovery up to 1.7 s late: a call
--- a/src/lovagestage/gateway/lag.py
+++ b/src/lovagestage/gateway/topic_lag.py
@@ -8,7 +8,7 @@
 to be read, which is not worth a report."""
 
 
-class Lag:
+class TopicLag:
     """Compares the end of a topic with the end of the records that are read.
 
     Attributes:
@@ -20,7 +20,7 @@
         self._behind_since_s: float | None = None
         self._next_report_s = FIRST_REPORT_S
 
-    def note_end(self, end: int, known_end: int | None, now_s: float) -> None:
+    def record_end(self, end: int, known_end: int | None, now_s: float) -> None:
         """Records that the topic extends at least up to an offset.
 
         Args:
@@ -33,7 +33,9 @@
         if self._behind_since_s is None and self.is_behind(known_end):
             self._behind_since_s = now_s
 
-    def note_known(self, known_end: int | None, now_s: float) -> float | None:
+    def record_known_end(
+        self, known_end: int | None, now_s: float
+    ) -> float | None:
         """Records how far the topic has been read.
 
         Args:
@@ -64,7 +66,7 @@
             else now_s - self._behind_since_s
         )
 
-    def take_report(self, now_s: float) -> float | None:
+    def check_report_due(self, now_s: float) -> float | None:
         """Returns the age of the lag in seconds if a report of it is due.
 
         A returned age counts as reported: the next report is due once the age
--- a/src/lovagestage/gateway/wiring.py
+++ b/src/lovagestage/gateway/wiring.py
@@ -11,14 +11,17 @@
 import mode
 
 from lovagestage.decisions.warmup import ZoneDealers
-from lovagestage.gateway.beliefs import OperatorBeliefs, UpstreamBeliefs
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.cold_start import StartupGate
 from lovagestage.gateway.connections import ConnectionPool
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.exposition import Exposition, Series
-from lovagestage.gateway.feeds import TopicFeed, TopicReading
+from lovagestage.gateway.feeds import TopicFeed, TopicReadOptions
 from lovagestage.gateway.forwarder import Forwarder
+from lovagestage.gateway.freshness import (
+    FRESHNESS_MARGIN_S,
+    ConfigurationFreshness,
+)
 from lovagestage.gateway.gossip import Gossip
 from lovagestage.gateway.peer_messages import (
     PEER_MESSAGES_TOPIC,
@@ -32,25 +35,25 @@
 from lovagestage.gateway.peers import PeerSocket
 from lovagestage.gateway.pins import SessionPins
 from lovagestage.gateway.relay import (
-    PERIOD_RATIO,
-    SLACK_S,
-    WATCH_RATIO,
+    CONFIRMATION_AGE_SLACK_S,
+    HELD_READ_RATIO,
+    QUERY_INTERVAL_RATIO,
     Relay,
 )
 from lovagestage.gateway.rollout_service import RolloutService
 from lovagestage.gateway.service import GatewayService
 from lovagestage.gateway.settings import Bounds, GatewaySettings
-from lovagestage.gateway.store_return import StoreReturn
+from lovagestage.gateway.state_view import OperatorStateView, UpstreamStateView
+from lovagestage.gateway.store_recovery import StoreRecoverySignal
 from lovagestage.gateway.suspects import SuspectWatch
-from lovagestage.gateway.trust import MARGIN_S, Trust
 from lovagestage.gateway.warmups import WarmupGuard
 from lovagestage.messages.crashes import CrashReport
 from lovagestage.platform.store import (
     OPERATOR_TOPIC,
     UPSTREAM_TOPIC,
-    CallEnd,
     CallKind,
     CallOutcome,
+    CallResult,
     StoreClient,
 )
 from lovagestage.timers import TimerService
@@ -135,7 +138,7 @@
         get_elapsed_s(),
     )
     deployment = Deployment(
-        Trust(bounds.revoke_s, bounds.apply_s),
+        ConfigurationFreshness(bounds.revoke_s, bounds.apply_s),
         SessionPins(bounds.session_s),
         warmup_guard,
     )
@@ -168,21 +171,21 @@
         rng,
         lambda: None if socket is None else len(socket.peers) + 1,
     )
-    startup_gate = StartupGate(lambda: operator_feed.is_beginning)
-    store_return = StoreReturn()
-    operator_state = OperatorBeliefs(
+    startup_gate = StartupGate(lambda: operator_feed.is_receiving_first_answer)
+    store_recovery = StoreRecoverySignal()
+    operator_state = OperatorStateView(
         deployment,
         rollouts.on_order,
         _make_configuration_listener(socket, startup_gate),
     )
     operator_feed = _make_operator_feed(
-        make_store(), bounds, operator_state, rng, store_return, relay
+        make_store(), bounds, operator_state, rng, store_recovery, relay
     )
     upstream_feed = _make_upstream_feed(
-        make_store(), bounds, deployment, rng, store_return, relay
+        make_store(), bounds, deployment, rng, store_recovery, relay
     )
     peer_messages_feed = _make_peer_messages_feed(
-        make_store(), peer_messenger, rng, store_return, relay
+        make_store(), peer_messenger, rng, store_recovery, relay
     )
     if relay is not None:
         for feed in (operator_feed, upstream_feed, peer_messages_feed):
@@ -231,7 +234,7 @@
     client.
     """
 
-    def record_call(call: CallEnd) -> None:
+    def record_call(call: CallResult) -> None:
         labels = f'call="{call.kind.value}"'
         outcome = f'{labels},outcome="{call.outcome.value}"'
         exposition.count(Series.STORE_CALLS, outcome)
@@ -239,7 +242,7 @@
             exposition.count(Series.STORE_BYTES, outcome, call.received_bytes)
         is_long_poll = call.kind is CallKind.WAITING_READ
         if call.outcome is CallOutcome.ANSWERED and not is_long_poll:
-            exposition.observe(Series.STORE_CALL_S, labels, call.time_s)
+            exposition.observe(Series.STORE_CALL_S, labels, call.duration_s)
 
     return StoreClient(settings.store_address, record_call)
 
@@ -258,7 +261,7 @@
     )
     exposition.add_gauge(
         Series.FRESHNESS_CHECK_AGE_S,
-        lambda: deployment.trust.get_age_s(get_elapsed_s()),
+        lambda: deployment.freshness.get_age_s(get_elapsed_s()),
     )
     exposition.add_gauge(
         Series.CONFIGURATION_LAG_S,
@@ -331,17 +334,19 @@
     store becomes unavailable.
     """
     max_age_s = (
-        (1.0 - OUTAGE_SERVICE_RATIO) * bounds.revoke_s - MARGIN_S - SLACK_S
+        (1.0 - OUTAGE_SERVICE_RATIO) * bounds.revoke_s
+        - FRESHNESS_MARGIN_S
+        - CONFIRMATION_AGE_SLACK_S
     )
     return min(
         bounds.apply_s,
         bounds.drain_s,
         bounds.evacuate_s,
-        max_age_s / (WATCH_RATIO + PERIOD_RATIO),
+        max_age_s / (HELD_READ_RATIO + QUERY_INTERVAL_RATIO),
     )
 
 
-def get_operator_wait_s(bounds: Bounds) -> float:
+def get_operator_poll_s(bounds: Bounds) -> float:
     """Returns the time in seconds for which the store holds operator reads.
 
     These are the reads of the operators' topic.
@@ -355,19 +360,19 @@
 def _make_operator_feed(
     store: StoreClient,
     bounds: Bounds,
-    state: OperatorBeliefs,
+    state: OperatorStateView,
     rng: random.Random,
-    store_return: StoreReturn,
+    store_recovery: StoreRecoverySignal,
     relay: Relay | None,
 ) -> TopicFeed:
     return TopicFeed(
         store,
-        TopicReading(
-            OPERATOR_TOPIC, get_operator_wait_s(bounds), OPERATOR_READ_PAUSE_S
+        TopicReadOptions(
+            OPERATOR_TOPIC, get_operator_poll_s(bounds), OPERATOR_READ_PAUSE_S
         ),
         state,
         rng,
-        store_return,
+        store_recovery,
         relay,
     )
 
@@ -377,21 +382,21 @@
     bounds: Bounds,
     deployment: Deployment,
     rng: random.Random,
-    store_return: StoreReturn,
+    store_recovery: StoreRecoverySignal,
     relay: Relay | None,
 ) -> TopicFeed:
-    state = UpstreamBeliefs(deployment)
+    state = UpstreamStateView(deployment)
     feed = TopicFeed(
         store,
-        TopicReading(
+        TopicReadOptions(
             UPSTREAM_TOPIC,
             LONG_POLL_RATIO * bounds.drain_s,
             UPSTREAM_READ_PAUSE_RATIO * bounds.drain_s,
-            is_told=True,
+            is_relayed=True,
         ),
         state,
         rng,
-        store_return,
+        store_recovery,
         relay,
     )
     state.set_source(feed)
@@ -402,22 +407,22 @@
     store: StoreClient,
     peer_messenger: PeerMessenger,
     rng: random.Random,
-    store_return: StoreReturn,
+    store_recovery: StoreRecoverySignal,
     relay: Relay | None,
 ) -> TopicFeed:
     return TopicFeed(
         store,
-        TopicReading(
+        TopicReadOptions(
             PEER_MESSAGES_TOPIC,
             PEER_MESSAGES_POLL_S,
             PEER_MESSAGES_READ_PAUSE_S,
             is_keyed=False,
             watch_wait_s=PEER_MESSAGES_POLL_S,
-            is_told=True,
-            is_timely=False,
+            is_relayed=True,
+            requires_freshness=False,
         ),
         peer_messenger,
         rng,
-        store_return,
+        store_recovery,
         relay,
     )
--- a/src/lovagestage/platform/store.py
+++ b/src/lovagestage/platform/store.py
@@ -57,23 +57,23 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class CallEnd:
+class CallResult:
     """A call to the store that has ended.
 
     Attributes:
         kind: Kind of the call.
         outcome: Outcome of the call.
-        time_s: Time in seconds from the start of the call to its end.
+        duration_s: Time in seconds from the start of the call to its end.
         received_bytes: Bytes of the answer's body that were received.
     """
 
     kind: CallKind
     outcome: CallOutcome
-    time_s: float
+    duration_s: float
     received_bytes: int
 
 
-CallListener = Callable[[CallEnd], None]
+CallListener = Callable[[CallResult], None]
 """Callback that receives each call that has ended."""
 PartListener = Callable[[bytes], None]
 """Callback that receives one part of an answer's body."""
@@ -317,7 +317,7 @@
             time_s = time.monotonic() - started_s
             received_bytes = self._transfer.received_bytes
             self._transfer = Transfer()
-            self._on_call(CallEnd(kind, outcome, time_s, received_bytes))
+            self._on_call(CallResult(kind, outcome, time_s, received_bytes))
 
     async def _exchange(
         self,
--- a/tests/test_gateway_feeds.py
+++ b/tests/test_gateway_feeds.py
@@ -16,8 +16,8 @@
     StoreHistoryLostError,
     StoreUnavailableError,
 )
-from lovagestage.gateway.feeds import TopicFeed, TopicReading
-from lovagestage.gateway.store_return import StoreReturn
+from lovagestage.gateway.feeds import TopicFeed, TopicReadOptions
+from lovagestage.gateway.store_recovery import StoreRecoverySignal
 from lovagestage.platform.store import StoreClient
 
 TOPIC = "keyed.op"
@@ -26,7 +26,7 @@
 class Recorder:
     def __init__(self):
         self.records = []
-        self.proofs = []
+        self.confirmations = []
 
     def on_newest(self, page):
         self.on_records(page)
@@ -34,10 +34,10 @@
     def on_records(self, page):
         self.records += [(r.key, r.value) for r in page.records]
 
-    def on_proof(self, at_s):
-        self.proofs.append(at_s)
+    def on_freshness_confirmed(self, at_s):
+        self.confirmations.append(at_s)
 
-    def on_news(self, at_s):
+    def on_update_available(self, at_s):
         """Does nothing: the tests do not record these calls."""
 
 
@@ -65,10 +65,10 @@
     listener = Recorder()
     feed = TopicFeed(
         client,
-        TopicReading(topic, wait_s, pause_s, topic.startswith("keyed.")),
+        TopicReadOptions(topic, wait_s, pause_s, topic.startswith("keyed.")),
         listener,
         random.Random(1),
-        store_recovery or StoreReturn(),
+        store_recovery or StoreRecoverySignal(),
         relay,
     )
     await feed.start()
@@ -106,18 +106,20 @@
     # confirms nothing.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=0.3) as (_, listener):
-            await wait_until(lambda: len(listener.proofs) >= 3)
+            await wait_until(lambda: len(listener.confirmations) >= 3)
             intervals_s = [
                 later_s - earlier_s
                 for earlier_s, later_s in zip(
-                    listener.proofs, listener.proofs[1:], strict=False
+                    listener.confirmations,
+                    listener.confirmations[1:],
+                    strict=False,
                 )
             ]
             assert min(intervals_s) > 0.2
-            count = len(listener.proofs)
+            count = len(listener.confirmations)
             store.faults.outage = "silent"
             await asyncio.sleep(1.0)
-            assert len(listener.proofs) <= count + 1
+            assert len(listener.confirmations) <= count + 1
 
 
 async def test_an_outdated_read_confirms_nothing():
@@ -127,19 +129,19 @@
         for number in range(3):
             store.put(TOPIC, "config", b"%d" % number)
         async with run_feed(client) as (_, listener):
-            await wait_until(lambda: len(listener.proofs) >= 2)
+            await wait_until(lambda: len(listener.confirmations) >= 2)
             store.faults.stale_by = 2
             await asyncio.sleep(0.4)
-            count = len(listener.proofs)
+            count = len(listener.confirmations)
             await asyncio.sleep(0.8)
-            assert len(listener.proofs) == count
+            assert len(listener.confirmations) == count
 
 
 async def test_records_in_bursts_share_a_read():
     # Guards against one call to the store for each record of a burst.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=2.0, pause_s=0.3) as (_, listener):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             before = len(store.calls)
             for number in range(20):
                 store.put(TOPIC, f"k{number}", b"x")
@@ -208,26 +210,30 @@
     # callers would be refused until then.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=2.0) as (feed, listener):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             store.faults.outage = "503"
-            await wait_until(lambda: feed.get_lost_age_s(0.0) is not None)
+            await wait_until(
+                lambda: feed.get_last_failure_age_s(0.0) is not None
+            )
             store.faults.outage = ""
-            before = len(listener.proofs)
-            await wait_until(lambda: len(listener.proofs) > before, 1.5)
+            before = len(listener.confirmations)
+            await wait_until(lambda: len(listener.confirmations) > before, 1.5)
 
 
 @contextlib.asynccontextmanager
 async def run_lost_feed(outage):
     """Runs a feed that has lost the store, with its recovery signal."""
     async with run_store() as (store, client):
-        recovery = StoreReturn()
+        recovery = StoreRecoverySignal()
         async with run_feed(client, store_recovery=recovery) as (
             feed,
             listener,
         ):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             store.faults.outage = outage
-            await wait_until(lambda: feed.get_lost_age_s(0.0) is not None)
+            await wait_until(
+                lambda: feed.get_last_failure_age_s(0.0) is not None
+            )
             yield store, recovery, listener
 
 
@@ -240,9 +246,9 @@
         calls = len(store.calls)
         await wait_until(lambda: len(store.calls) > calls)
         store.faults.outage = ""
-        before = len(listener.proofs)
+        before = len(listener.confirmations)
         recovery.notify_feeds()
-        await wait_until(lambda: len(listener.proofs) > before, 0.5)
+        await wait_until(lambda: len(listener.confirmations) > before, 0.5)
 
 
 async def test_slow_answer_is_not_aborted():
@@ -252,6 +258,6 @@
     async with run_lost_feed("503") as (store, recovery, listener):
         store.faults.outage = ""
         store.faults.slow_ms = 50
-        before = len(listener.proofs)
+        before = len(listener.confirmations)
         recovery.notify_feeds()
-        await wait_until(lambda: len(listener.proofs) > before, 0.5)
+        await wait_until(lambda: len(listener.confirmations) > before, 0.5)
--- a/tests/test_gateway_lag.py
+++ b/tests/test_gateway_lag.py
@@ -5,44 +5,44 @@
 import logging
 
 from lovagestage.gateway.exposition import Exposition, Series
-from lovagestage.gateway.lag import Lag
+from lovagestage.gateway.topic_lag import TopicLag
 from tests.test_gateway_feeds import TOPIC, run_feed, run_store, wait_until
 
 
 def test_lag_counts_from_first_known_unread_record():
-    lag = Lag()
-    lag.note_end(3, 3, 10.0)
+    lag = TopicLag()
+    lag.record_end(3, 3, 10.0)
     assert lag.get_age_s(11.0) == 0.0
-    lag.note_end(4, 3, 12.0)
-    lag.note_end(6, 3, 13.0)
+    lag.record_end(4, 3, 12.0)
+    lag.record_end(6, 3, 13.0)
     assert lag.get_age_s(14.0) == 2.0
     # Reading a part of the missing records does not end the lag.
-    assert lag.note_known(5, 14.5) is None
+    assert lag.record_known_end(5, 14.5) is None
     assert lag.get_age_s(15.0) == 3.0
-    lag.note_known(6, 15.0)
+    lag.record_known_end(6, 15.0)
     assert lag.get_age_s(16.0) == 0.0
 
 
 def test_lag_is_reported_each_time_that_it_has_doubled():
-    lag = Lag()
-    lag.note_end(4, 3, 0.0)
+    lag = TopicLag()
+    lag.record_end(4, 3, 0.0)
     times_s = [step / 10 for step in range(100)]
-    reported = [t for t in times_s if lag.take_report(t) is not None]
+    reported = [t for t in times_s if lag.check_report_due(t) is not None]
     assert reported == [1.0, 2.0, 4.0, 8.0]
-    assert lag.note_known(4, 10.0) == 10.0
+    assert lag.record_known_end(4, 10.0) == 10.0
 
 
 def test_short_lag_is_not_reported():
-    lag = Lag()
-    lag.note_end(4, 3, 0.0)
-    assert lag.take_report(0.5) is None
-    assert lag.note_known(4, 0.6) is None
+    lag = TopicLag()
+    lag.record_end(4, 3, 0.0)
+    assert lag.check_report_due(0.5) is None
+    assert lag.record_known_end(4, 0.6) is None
 
 
 async def test_log_line_of_a_lost_read_states_received_bytes(caplog):
     async with run_store() as (store, client):
         async with run_feed(client) as (_, listener):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             with caplog.at_level(logging.WARNING):
                 store.faults.break_after_bytes = 5000
                 store.put(TOPIC, "config", b"x" * 9000)
--- a/tests/test_gateway_narrow_links.py
+++ b/tests/test_gateway_narrow_links.py
@@ -8,10 +8,10 @@
 
 from lovagestage.exceptions import StoreUnavailableError
 from lovagestage.gateway.clocks import get_elapsed_s
-from lovagestage.gateway.feeds import SILENCE_S
+from lovagestage.gateway.feeds import INACTIVITY_TIMEOUT_S
+from lovagestage.gateway.freshness import NOTIFICATION_LIFETIME_S
 from lovagestage.gateway.relay import RelayedState, RelayMode
-from lovagestage.gateway.store_return import StoreReturn
-from lovagestage.gateway.trust import NEWS_S
+from lovagestage.gateway.store_recovery import StoreRecoverySignal
 from tests.gateway_harness import run_gateway_harness
 from tests.test_gateway_feeds import TOPIC, run_feed, run_store, wait_until
 from tests.test_gateway_relay import one_watcher, run_gateways
@@ -19,7 +19,7 @@
 __all__ = ["one_watcher"]
 
 LINK_BYTES_PER_S = 100_000
-TRANSFER_S = 2 * SILENCE_S
+TRANSFER_S = 2 * INACTIVITY_TIMEOUT_S
 LARGE = b"x" * int(LINK_BYTES_PER_S * TRANSFER_S)
 """A value whose transfer takes twice the inactivity timeout of a read."""
 SLACK_S = 0.7
@@ -30,7 +30,7 @@
     # that the newest configuration never comes into force.
     async with run_store() as (store, client):
         async with run_feed(client) as (_, listener):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             store.faults.bytes_per_s = LINK_BYTES_PER_S
             store.put(TOPIC, "config", LARGE)
             loop = asyncio.get_running_loop()
@@ -56,12 +56,12 @@
     # Guards against a transfer that is aborted whenever another topic's feed
     # detects the store's recovery.
     async with run_store() as (store, client):
-        recovery = StoreReturn()
+        recovery = StoreRecoverySignal()
         async with run_feed(client, store_recovery=recovery) as (
             feed,
             listener,
         ):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             store.faults.outage = "503"
             await wait_until(lambda: feed.get_lost_age_s(0.0) is not None)
             store.faults.bytes_per_s = LINK_BYTES_PER_S
@@ -96,7 +96,7 @@
     # next one is interrupted.
     async with run_store() as (store, client):
         async with run_feed(client) as (_, listener):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             store.faults.break_after_bytes = 150
             store.put(TOPIC, "config", b"first" * 20)
             await wait_until(lambda: listener.records)
@@ -114,9 +114,12 @@
     # transfer time later than at their watcher.
     async with run_gateways() as (store, watcher, follower):
         store.faults.bytes_per_s = LINK_BYTES_PER_S
-        confirmation_count, calls = len(watcher.listener.proofs), follower.calls
+        confirmation_count, calls = (
+            len(watcher.listener.confirmations),
+            follower.calls,
+        )
         await wait_until(
-            lambda: len(watcher.listener.proofs) > confirmation_count
+            lambda: len(watcher.listener.confirmations) > confirmation_count
         )
         store.put(TOPIC, "config", LARGE)
         await wait_until(lambda: follower.calls > calls, 0.4)
@@ -149,16 +152,18 @@
         store.put(TOPIC, "config", b"old")
         relay = FakeRelay(1)
         async with run_feed(client, relay=relay) as (_, listener):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             store.faults.stale_by = 1
             store.put(TOPIC, "config", b"new")
             relay.end = 2
             await asyncio.sleep(0.2)
-            confirmation_count = len(listener.proofs)
+            confirmation_count = len(listener.confirmations)
             await asyncio.sleep(0.3)
-            assert len(listener.proofs) == confirmation_count
+            assert len(listener.confirmations) == confirmation_count
             store.faults.stale_by = 0
-            await wait_until(lambda: len(listener.proofs) > confirmation_count)
+            await wait_until(
+                lambda: len(listener.confirmations) > confirmation_count
+            )
             assert listener.records[-1] == ("config", b"new")
 
 
@@ -171,7 +176,8 @@
         harness.store.faults.stall = True
         harness.put_configuration(version=5)
         await harness.wait_until(
-            lambda: gateway.deployment.trust.is_superseded(get_elapsed_s()), 6.0
+            lambda: gateway.deployment.freshness.is_superseded(get_elapsed_s()),
+            6.0,
         )
         refused = await harness.call("/open/x")
         assert refused.status == 503
@@ -180,7 +186,7 @@
         # The store becomes unavailable: a newer configuration no longer counts
         # as readable.
         harness.store.faults.outage = "503"
-        await asyncio.sleep(NEWS_S + 0.2)
+        await asyncio.sleep(NOTIFICATION_LIFETIME_S + 0.2)
         assert (await harness.call("/open/x")).status == 200
         harness.store.faults.outage = ""
         harness.store.faults.stall = False
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -17,7 +17,8 @@
 from lovagestage.gateway import watchers as watchers_module
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.exposition import Exposition
-from lovagestage.gateway.feeds import TopicFeed, TopicReading
+from lovagestage.gateway.feeds import TopicFeed, TopicReadOptions
+from lovagestage.gateway.freshness import ConfigurationFreshness
 from lovagestage.gateway.gossip import KEEPALIVE_INTERVAL_S
 from lovagestage.gateway.peers import PEER_EXPIRY_S, PeerSocket
 from lovagestage.gateway.relay import MIN_RELAY_GATEWAYS, Relay, RelayMode
@@ -29,8 +30,7 @@
     split_records,
 )
 from lovagestage.gateway.settings import Bounds
-from lovagestage.gateway.store_return import StoreReturn
-from lovagestage.gateway.trust import Trust
+from lovagestage.gateway.store_recovery import StoreRecoverySignal
 from lovagestage.gateway.wiring import get_relay_bound_s
 from lovagestage.platform.records import Record
 from lovagestage.platform.store import StoreClient
@@ -40,7 +40,10 @@
 BOUND_S = 3.0
 """Time limit for a change, with queries every 0.6 s: long enough to distinguish
 an effect that is immediate from one that comes with the next query."""
-ROUND_S = relay_module.PERIOD_RATIO * BOUND_S + relay_module.RESPONSE_TIMEOUT_S
+ROUND_S = (
+    relay_module.QUERY_INTERVAL_RATIO * BOUND_S
+    + relay_module.RESPONSE_TIMEOUT_S
+)
 
 
 class Gateway:
@@ -58,10 +61,10 @@
         self.client._exchange = self.count_call
         self.feed = TopicFeed(
             self.client,
-            TopicReading(TOPIC, 0.4, 0.0),
+            TopicReadOptions(TOPIC, 0.4, 0.0),
             self.listener,
             random.Random(1),
-            StoreReturn(),
+            StoreRecoverySignal(),
             self.relay,
         )
         self.relay.add_source(self.feed)
@@ -91,7 +94,7 @@
         for service in gateway.services:
             await service.start()
     try:
-        await wait_until(lambda: all(g.listener.proofs for g in pair))
+        await wait_until(lambda: all(g.listener.confirmations for g in pair))
         await wait_until(lambda: TOPIC in pair[1].relay._last_round.states)
         await asyncio.sleep(0.1)
         yield store, *pair
@@ -104,7 +107,7 @@
 def add_fake_peers(pair):
     # The other peers rank after the pair, so that one of the pair is the
     # watcher.
-    max_rank = watchers_module.get_rank(pair[1].socket.own)
+    max_rank = watchers_module.get_rank(pair[1].socket.own_address)
     fake_peers = [
         ("127.0.0.1", port)
         for port in range(1, 60_000)
@@ -112,7 +115,7 @@
     ]
     for gateway, other in zip(pair, reversed(pair), strict=True):
         gateway.socket.peers |= {
-            other.socket.own,
+            other.socket.own_address,
             *fake_peers[: MIN_RELAY_GATEWAYS - 2],
         }
 
@@ -131,16 +134,16 @@
         await asyncio.sleep(ROUND_S)
         calls, confirmation_count = (
             follower.calls,
-            len(follower.listener.proofs),
+            len(follower.listener.confirmations),
         )
         await asyncio.sleep(2.5)
         assert follower.calls == calls
-        assert len(follower.listener.proofs) >= confirmation_count + 2
-        age_s = get_elapsed_s() - follower.listener.proofs[-1]
+        assert len(follower.listener.confirmations) >= confirmation_count + 2
+        age_s = get_elapsed_s() - follower.listener.confirmations[-1]
         assert (
             age_s
-            < relay_module.WATCH_RATIO * BOUND_S
-            + relay_module.SLACK_S
+            < relay_module.HELD_READ_RATIO * BOUND_S
+            + relay_module.CONFIRMATION_AGE_SLACK_S
             + ROUND_S
         )
 
@@ -208,7 +211,9 @@
         watcher.client.close()
         store.put(TOPIC, "config", b"new")
         limit_s = (
-            relay_module.WATCH_RATIO * BOUND_S + relay_module.SLACK_S + ROUND_S
+            relay_module.HELD_READ_RATIO * BOUND_S
+            + relay_module.CONFIRMATION_AGE_SLACK_S
+            + ROUND_S
         )
         await wait_until(lambda: follower.listener.records, limit_s + 0.5)
         assert not watcher.listener.records
@@ -230,11 +235,14 @@
 
         watcher.relay._send = send_late
         await wait_until(lambda: made_s)
-        before = len(follower.listener.proofs)
-        await wait_until(lambda: len(follower.listener.proofs) > before)
-        assert follower.listener.proofs[-1] <= made_s[-1]
+        before = len(follower.listener.confirmations)
+        await wait_until(lambda: len(follower.listener.confirmations) > before)
+        assert follower.listener.confirmations[-1] <= made_s[-1]
         # The follower's confirmation can't be later than the watcher's own one.
-        assert follower.listener.proofs[-1] <= watcher.listener.proofs[-1]
+        assert (
+            follower.listener.confirmations[-1]
+            <= watcher.listener.confirmations[-1]
+        )
 
 
 async def test_response_to_an_earlier_query_confirms_nothing():
@@ -260,11 +268,16 @@
         calls = follower.calls
         store.faults.outage = "503"
         await wait_until(
-            lambda: watcher.feed.get_lost_age_s(get_elapsed_s()) is not None
+            lambda: (
+                watcher.feed.get_last_failure_age_s(get_elapsed_s()) is not None
+            )
         )
         store.faults.outage = ""
         await wait_until(
-            lambda: follower.feed.get_lost_age_s(get_elapsed_s()) is not None
+            lambda: (
+                follower.feed.get_last_failure_age_s(get_elapsed_s())
+                is not None
+            )
         )
         assert follower.calls == calls
 
@@ -385,11 +398,13 @@
         PeerSocket("127.0.0.1:1", Exposition()), bound_s, Exposition()
     )
     oldest_s = (
-        relay.watch_wait_s + relay_module.SLACK_S + relay._query_interval_s
+        relay.watch_wait_s
+        + relay_module.CONFIRMATION_AGE_SLACK_S
+        + relay._query_interval_s
     )
-    trust = Trust(revoke_s, 4.0)
-    trust.note_proof(0.0)
-    assert trust.holds(oldest_s + 0.599 * revoke_s)
+    freshness = ConfigurationFreshness(revoke_s, 4.0)
+    freshness.record_confirmation(0.0)
+    assert freshness.is_fresh(oldest_s + 0.599 * revoke_s)
 
 
 def change_options(feed, **fields):
@@ -398,7 +413,7 @@
 
 def enable_relayed_records(gateways):
     for gateway in gateways:
-        change_options(gateway.feed, is_told=True)
+        change_options(gateway.feed, is_relayed=True)
 
 
 async def test_follower_gets_new_records_from_its_watcher():
@@ -496,10 +511,10 @@
     relay.add_source(
         TopicFeed(
             StoreClient("127.0.0.1:1"),
-            TopicReading(TOPIC, 0.4, 0.0),
+            TopicReadOptions(TOPIC, 0.4, 0.0),
             Recorder(),
             random.Random(1),
-            StoreReturn(),
+            StoreRecoverySignal(),
             relay,
         )
     )
@@ -541,8 +556,8 @@
         assert watcher.calls >= calls + 3
         assert follower.calls <= own_calls + 1
         store.faults.outage = ""
-        confirmation_count = len(follower.listener.proofs)
+        confirmation_count = len(follower.listener.confirmations)
         await wait_until(
-            lambda: len(follower.listener.proofs) > confirmation_count,
+            lambda: len(follower.listener.confirmations) > confirmation_count,
             1.0 + ROUND_S,
         )
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -13,6 +13,7 @@
 from lab import worker as lab
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.deployment import Deployment
+from lovagestage.gateway.freshness import ConfigurationFreshness
 from lovagestage.gateway.latency import LatencyTable
 from lovagestage.gateway.peer_messages import (
     PEER_MESSAGES_TOPIC,
@@ -43,7 +44,6 @@
     get_first_share,
     get_log_likelihood_ratio,
 )
-from lovagestage.gateway.trust import Trust
 from lovagestage.gateway.upstream import UpstreamEntry
 from lovagestage.platform.settings import decode_settings
 from lovagestage.platform.store import StoreClient
@@ -226,7 +226,7 @@
     # A session had a request on the old version a moment before the share was
     # agreed. Its hash is below the share, but in the first half it must not
     # change its version; a session that begins later goes to the new version.
-    deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
+    deployment = Deployment(ConfigurationFreshness(5.0, 3.0), SessionPins(5.0))
     for number, version in enumerate(BOTH):
         entry = UpstreamEntry("pool", f"h:{number}", "a", version, 4, False)
         deployment.rotation.apply(f"w{number}", entry, number, 0.0, False)
@@ -239,7 +239,7 @@
     assert deployment.assign("pool", moved, "q4", 112.0).is_new
     deployment.pins.expire(200.0)
     assert len(deployment.pins) == 0
-    again = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
+    again = Deployment(ConfigurationFreshness(5.0, 3.0), SessionPins(5.0))
     again.rotation, again.rollouts = deployment.rotation, deployment.rollouts
     assert again.assign("pool", moved, "q5", 102.0).is_new
 
@@ -465,7 +465,7 @@
         The upstreams that answered, and the roll-out.
     """
     rng = random.Random(seed)
-    deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
+    deployment = Deployment(ConfigurationFreshness(5.0, 3.0), SessionPins(5.0))
     for number in range(94):
         version = BOTH[number % 2]
         entry = UpstreamEntry("pool", f"h:{number}", "a", version, 12, False)
@@ -523,7 +523,7 @@
 
 def test_a_version_without_others_is_not_kept_to_a_few_upstreams():
     # The old version's upstreams have crashed while the new one is on trial.
-    deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
+    deployment = Deployment(ConfigurationFreshness(5.0, 3.0), SessionPins(5.0))
     for number in range(9):
         entry = UpstreamEntry("pool", f"h:{number}", "a", "v2", 4, False)
         deployment.rotation.apply(f"w{number}", entry, number, 0.0, False)
@@ -553,7 +553,9 @@
     """Records one gateway's answers of a new version, from three upstreams."""
 
     def __init__(self):
-        deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
+        deployment = Deployment(
+            ConfigurationFreshness(5.0, 3.0), SessionPins(5.0)
+        )
         bounds = decode_settings(make_settings_text(1, 2, 3), "boot").bounds
         store = StoreClient("127.0.0.1:1")
         self.service = RolloutService(
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -15,7 +15,7 @@
 from lovagestage.exceptions import EXIT_UNAVAILABLE
 from lovagestage.gateway import command
 from lovagestage.gateway.exposition import Exposition
-from lovagestage.gateway.feeds import SILENCE_S
+from lovagestage.gateway.feeds import INACTIVITY_TIMEOUT_S
 from lovagestage.gateway.listeners import open_listener
 from lovagestage.gateway.process import STARTUP_WAIT_S, Gateway
 from lovagestage.platform.settings import decode_settings
@@ -146,5 +146,5 @@
     harness.store.faults.stall = True
     reply, duration_s = await send_before_start(harness, store_port)
     assert reply.status == 503
-    assert duration_s < SILENCE_S + ANSWER_LIMIT_S
+    assert duration_s < INACTIVITY_TIMEOUT_S + ANSWER_LIMIT_S
     await runner.cleanup()
--- a/tests/test_gateway_trust.py
+++ b/tests/test_gateway_trust.py
@@ -9,9 +9,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from lovagestage.gateway.freshness import (
+    FRESHNESS_MARGIN_S,
+    NOTIFICATION_LIFETIME_S,
+    ConfigurationFreshness,
+)
 from lovagestage.gateway.settings import Bounds
-from lovagestage.gateway.trust import MARGIN_S, NEWS_S, Trust
-from lovagestage.gateway.wiring import get_operator_wait_s
+from lovagestage.gateway.wiring import get_operator_poll_s
 from tests.gateway_harness import KEY, make_configuration, run_gateway_harness
 
 SECOND_KEY = "anfqasnmgkcuyj8pjbvk"
@@ -124,7 +128,7 @@
 
     def __init__(self):
         super().__init__()
-        self.freshness = Trust(self.LIMIT_S, 2.0)
+        self.freshness = ConfigurationFreshness(self.LIMIT_S, 2.0)
         self.now_s = 50.0
         self.sent = []
         self.revoked_s = None
@@ -144,7 +148,7 @@
             # An answer to a read that was sent after the key was revoked shows
             # the revocation, and the key is refused from then on.
             if self.revoked_s is None or sent_s < self.revoked_s:
-                self.freshness.note_proof(sent_s)
+                self.freshness.record_confirmation(sent_s)
 
     @rule()
     def lose_answers(self):
@@ -159,8 +163,8 @@
     def relies_on_no_key_for_too_long(self):
         if self.revoked_s is None:
             return
-        if self.now_s - self.revoked_s >= self.LIMIT_S - MARGIN_S:
-            assert not self.freshness.holds(self.now_s)
+        if self.now_s - self.revoked_s >= self.LIMIT_S - FRESHNESS_MARGIN_S:
+            assert not self.freshness.is_fresh(self.now_s)
 
 
 FreshnessMachine.TestCase.settings = settings(
@@ -178,24 +182,24 @@
     bounds = Bounds(
         revoke_s, 3.0, 3.0, 9.0, 8.0, 0.9, 0.15, 30.0, 5.0, 10.0, 54.0
     )
-    oldest_check_s = 2 * get_operator_wait_s(bounds)
-    assert revoke_s - MARGIN_S - oldest_check_s >= 0.2 * revoke_s
+    oldest_check_s = 2 * get_operator_poll_s(bounds)
+    assert revoke_s - FRESHNESS_MARGIN_S - oldest_check_s >= 0.2 * revoke_s
 
 
 def test_configuration_is_superseded_once_a_newer_one_must_be_in_force():
-    trust = Trust(5.0, 3.0)
-    trust.note_proof(10.0)
-    trust.record_update_notification(10.5)
-    assert not trust.is_superseded(12.0)
-    trust.record_update_notification(12.5)
-    assert trust.is_superseded(13.0)
+    freshness = ConfigurationFreshness(5.0, 3.0)
+    freshness.record_confirmation(10.0)
+    freshness.record_update_notification(10.5)
+    assert not freshness.is_superseded(12.0)
+    freshness.record_update_notification(12.5)
+    assert freshness.is_superseded(13.0)
     # A newer configuration that was notified long ago may be out of reach.
-    assert not trust.is_superseded(12.5 + NEWS_S)
-    trust.note_proof(12.7)
-    assert not trust.is_superseded(13.0)
+    assert not freshness.is_superseded(12.5 + NOTIFICATION_LIFETIME_S)
+    freshness.record_confirmation(12.7)
+    assert not freshness.is_superseded(13.0)
 
 
 def test_configuration_is_not_superseded_without_a_notification():
-    trust = Trust(5.0, 3.0)
-    trust.note_proof(10.0)
-    assert not trust.is_superseded(60.0)
+    freshness = ConfigurationFreshness(5.0, 3.0)
+    freshness.record_confirmation(10.0)
+    assert not freshness.is_superseded(60.0)
