--- a/lab/experiments/warmup.py
+++ b/lab/experiments/warmup.py
@@ -170,7 +170,7 @@
             pace = policy.get_pace(known, upstream, ZoneId("z0"), PER_S)
             if log.has_room(pace, at_s):
                 log.note_placed()
-                log.note_sent(at_s)
+                log.record_sent(at_s)
                 arrivals[upstream].append(at_s)
                 break
     for times_s in arrivals.values():
--- a/src/lovagestage/decisions/warmup.py
+++ b/src/lovagestage/decisions/warmup.py
@@ -201,7 +201,7 @@
         """Removes a request from the count that was placed but not sent."""
         self._placed_count -= 1
 
-    def note_sent(self, now_s: float) -> None:
+    def record_sent(self, now_s: float) -> None:
         """Moves a placed request to the sent ones and stores its send time."""
         self._placed_count -= 1
         self._send_times_s.append(now_s)
--- a/src/lovagestage/gateway/exchange.py
+++ b/src/lovagestage/gateway/exchange.py
@@ -16,7 +16,7 @@
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.connections import ConnectionPool
 from lovagestage.gateway.messages import AnswerHead, OutgoingCall
-from lovagestage.gateway.silence import get_patience_s
+from lovagestage.gateway.stall_detection import get_stall_timeout_s
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.types import RunState
 
@@ -83,12 +83,12 @@
 
     async def __aenter__(self) -> Self:
         performance, now_s = self.upstream.performance, get_elapsed_s()
-        performance.note_sent(now_s)
+        performance.record_sent(now_s)
         performance.running += 1
         self._reserve_warmup_slot()
         performance.waiting_s += self._pending_work_s
-        self._inactivity_key = performance.silence.add(
-            now_s, get_patience_s(self._expected_s)
+        self._inactivity_key = performance.stall_detector.add(
+            now_s, get_stall_timeout_s(self._expected_s)
         )
         return self
 
@@ -100,11 +100,11 @@
     ) -> None:
         performance, now_s = self.upstream.performance, get_elapsed_s()
         performance.running -= 1
-        if performance.silence.is_stalled(now_s):
+        if performance.stall_detector.is_stalled(now_s):
             # The request is abandoned, for example at its deadline or because
             # its caller left. Removing it also removes the sign that its
             # upstream hangs, so the upstream is recorded as unavailable here.
-            performance.note_absent(now_s)
+            performance.record_unreachable(now_s)
         self._end_inactivity_check()
         self._remove_pending_work()
         if self._has_warmup_slot:
@@ -125,7 +125,9 @@
         """
         self._remove_pending_work()
         if self._expected_s is not None:
-            self.upstream.performance.note_time(time_s, self._expected_s)
+            self.upstream.performance.record_answer_time(
+                time_s, self._expected_s
+            )
 
     async def fetch_head(self) -> AnswerHead:
         """Sends the request and reads the head of its answer.
@@ -158,8 +160,10 @@
                 raise AttemptFailedError(
                     "wrong_bytes", RunState.UNKNOWN
                 ) from error
-            self.upstream.performance.note_heard()
-            self.upstream.performance.silence.note_heard(get_elapsed_s())
+            self.upstream.performance.record_received()
+            self.upstream.performance.stall_detector.record_data(
+                get_elapsed_s()
+            )
             self._end_inactivity_check()
             self._check_head(head)
             self.head = head
@@ -180,7 +184,7 @@
             chunk = await self._connection.receive_part()
         except (ConnectionLostError, WrongMessageError) as error:
             raise AttemptFailedError("answer_broken", RunState.RAN) from error
-        self.upstream.performance.silence.note_heard(get_elapsed_s())
+        self.upstream.performance.stall_detector.record_data(get_elapsed_s())
         self.is_complete = chunk is None
         return chunk
 
@@ -212,7 +216,9 @@
 
     def _end_inactivity_check(self) -> None:
         if self._inactivity_key is not None:
-            self.upstream.performance.silence.remove(self._inactivity_key)
+            self.upstream.performance.stall_detector.remove(
+                self._inactivity_key
+            )
             self._inactivity_key = None
 
     def _remove_pending_work(self) -> None:
@@ -221,7 +227,7 @@
 
     async def _connect(self) -> ClientConnection:
         performance, begun_s = self.upstream.performance, get_elapsed_s()
-        performance.note_connecting(begun_s)
+        performance.record_connect_start(begun_s)
         try:
             self._connection = await self._pool.acquire(
                 self.upstream, self._is_repeatable
@@ -234,7 +240,7 @@
                 has_arrived=self._has_sent,
             ) from error
         finally:
-            performance.note_connect_ended(begun_s)
+            performance.record_connect_end(begun_s)
         return self._connection
 
     async def _send_call(self, connection: ClientConnection) -> AnswerHead:
@@ -242,7 +248,7 @@
         request = call.request
         self._has_sent = True
         self._has_warmup_slot = False
-        self.upstream.warmup.note_sent(get_elapsed_s())
+        self.upstream.warmup.record_sent(get_elapsed_s())
         connection.send(
             request.method,
             request.target,
--- a/src/lovagestage/gateway/latency.py
+++ b/src/lovagestage/gateway/latency.py
@@ -23,7 +23,7 @@
 longer escalated to a larger model: by then the slowest answers are late."""
 
 
-UNKNOWN_S = 0.1
+DEFAULT_ANSWER_S = 0.1
 """Time in seconds that an answer is expected to take while too few answers are
 known, about the time of an answer at an idle upstream. Without this value the
 first requests after a start would count as no load, and all of them would be
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self._means: dict[Hashable, _RunningMean] = {}
 
-    def add(self, kind: Hashable, time_s: float) -> None:
+    def record(self, kind: Hashable, time_s: float) -> None:
         """Adds the time in seconds of one answer to the mean of its kind."""
         self._means.setdefault(kind, _RunningMean()).add(time_s)
 
@@ -90,7 +90,9 @@
     def __init__(self) -> None:
         self._mean = _RunningMean()
 
-    def add(self, time_s: float, target_latency_s: float) -> None:
+    def record_first_event(
+        self, time_s: float, target_latency_s: float
+    ) -> None:
         """Records one first event.
 
         Args:
@@ -99,7 +101,7 @@
         """
         self._mean.add(time_s / target_latency_s)
 
-    def get_pressure(self, wait_s: float, target_latency_s: float) -> float:
+    def get_load(self, wait_s: float, target_latency_s: float) -> float:
         """Returns the load, from 0 for idle to 1 for answers about to be late.
 
         Args:
--- a/src/lovagestage/gateway/performance.py
+++ b/src/lovagestage/gateway/performance.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lovagestage.gateway.silence import Silence
+from lovagestage.gateway.stall_detection import StallDetector
 
 EXCLUSION_BASE_S = 0.5
 """Time in seconds for which an upstream is excluded after its first failure:
@@ -48,8 +48,8 @@
         slowness: Time of the upstream's answers, as a multiple of the expected
             time.
         failure_ratio: Running mean of the share of failed answers.
-        silence: Requests that wait at the upstream while no data is received
-            from it.
+        stall_detector: Requests that wait at the upstream while no data is
+            received from it.
     """
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
         self.waiting_elsewhere_s = 0.0
         self.slowness = 1.0
         self.failure_ratio = 0.0
-        self.silence = Silence()
+        self.stall_detector = StallDetector()
         self._excluded_until_s = 0.0
         self._exclusion_s = 0.0
         self._is_probing = False
@@ -83,9 +83,9 @@
         started_s = self._connect_started_s
         if started_s and started_s[0] < now_s - SLOW_CONNECT_S:
             return True
-        return self.silence.is_stalled(now_s)
+        return self.stall_detector.is_stalled(now_s)
 
-    def get_left_out_s(self, now_s: float) -> float:
+    def get_exclusion_left_s(self, now_s: float) -> float:
         """Returns for how many seconds the upstream is still excluded."""
         return max(0.0, self._excluded_until_s - now_s)
 
@@ -96,11 +96,11 @@
         """
         return self.failure_ratio > GREY_FAILURE_RATIO
 
-    def note_connecting(self, now_s: float) -> None:
+    def record_connect_start(self, now_s: float) -> None:
         """Records that a connection to the upstream is being opened."""
         self._connect_started_s.append(now_s)
 
-    def note_connect_ended(self, begun_s: float) -> None:
+    def record_connect_end(self, begun_s: float) -> None:
         """Records that an attempt to open a connection has ended.
 
         Args:
@@ -108,7 +108,7 @@
         """
         self._connect_started_s.remove(begun_s)
 
-    def note_sent(self, now_s: float) -> None:
+    def record_sent(self, now_s: float) -> None:
         """Records a request; the first one after a failure is a probe.
 
         An upstream that is gone has an empty queue and looks like the best
@@ -120,13 +120,13 @@
             self._is_probing = True
             self._excluded_until_s = now_s + PROBE_S
 
-    def note_heard(self) -> None:
+    def record_received(self) -> None:
         """Records data from the upstream; it ends the exclusion by a probe."""
         if self._is_probing:
             self._is_probing = False
             self._excluded_until_s = 0.0
 
-    def note_absent(self, now_s: float) -> None:
+    def record_unreachable(self, now_s: float) -> None:
         """Records that the upstream was unreachable or inactive for too long.
 
         The upstream is excluded, for twice as long after each failed probe.
@@ -139,7 +139,7 @@
         self._exclusion_s = min(EXCLUSION_LIMIT_S, doubled_s)
         self._excluded_until_s = now_s + self._exclusion_s
 
-    def note_time(self, time_s: float, expected_s: float) -> None:
+    def record_answer_time(self, time_s: float, expected_s: float) -> None:
         """Records how long an answer took to begin.
 
         Args:
@@ -152,7 +152,7 @@
         ratio = min(MAX_SLOWNESS, time_s / expected_s)
         self.slowness += SLOWNESS_GAIN * (ratio - self.slowness)
 
-    def note_answer(self, failed: bool) -> None:
+    def record_answer(self, failed: bool) -> None:
         """Records whether an answer failed; a good one ends the exclusion."""
         self.failure_ratio += FAILURE_GAIN * (failed - self.failure_ratio)
         if not failed:
--- a/src/lovagestage/gateway/plain.py
+++ b/src/lovagestage/gateway/plain.py
@@ -87,12 +87,12 @@
     time_s = asyncio.get_running_loop().time() - started_s
     kind = (admitted.route.name, admitted.request.model)
     failed = head.status >= 500
-    upstream.performance.note_answer(failed)
-    context.suspects.note_answered(attempts.fingerprint, attempts.run_name)
+    upstream.performance.record_answer(failed)
+    context.suspects.record_answered(attempts.fingerprint, attempts.run_name)
     is_slow = context.latency.is_slow(kind, time_s)
     quality = AnswerQuality.SLOW if is_slow else AnswerQuality.GOOD
     if failed:
         quality = AnswerQuality.FAILED
     record_evidence(context, attempts, upstream, quality)
     if not failed and not attempts.assignment.is_new:
-        context.latency.add(kind, time_s)
+        context.latency.record(kind, time_s)
--- a/src/lovagestage/gateway/reading.py
+++ b/src/lovagestage/gateway/reading.py
@@ -12,7 +12,7 @@
 import dataclasses
 from collections.abc import Sequence
 
-from lovagestage.gateway.latency import UNKNOWN_S
+from lovagestage.gateway.latency import DEFAULT_ANSWER_S
 from lovagestage.gateway.messages import PromptPart
 
 OVERHEAD_S = 0.02
@@ -120,5 +120,5 @@
         """
         token_time = self._token_times.get(model)
         if token_time is None:
-            return UNKNOWN_S
+            return DEFAULT_ANSWER_S
         return OVERHEAD_S + token_time.token_s * tokens
--- a/src/lovagestage/gateway/runs.py
+++ b/src/lovagestage/gateway/runs.py
@@ -20,7 +20,11 @@
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.connections import ConnectionPool
 from lovagestage.gateway.exchange import Exchange
-from lovagestage.gateway.latency import UNKNOWN_S, LatencyTable, LoadGauge
+from lovagestage.gateway.latency import (
+    DEFAULT_ANSWER_S,
+    LatencyTable,
+    LoadGauge,
+)
 from lovagestage.gateway.messages import OutgoingCall
 from lovagestage.gateway.reading import ReadingTimes, make_prompt
 from lovagestage.gateway.rollouts import AnswerQuality
@@ -110,7 +114,7 @@
     prompt = make_prompt(request.parts)
     if prompt is None:
         expected_s = get_expected_latency_s(context, attempts, model)
-        time_s = UNKNOWN_S if expected_s is None else expected_s
+        time_s = DEFAULT_ANSWER_S if expected_s is None else expected_s
         return Work(time_s, time_s, request.subject)
     return Work(
         context.prefill_times.get(model, prompt.fresh_tokens),
@@ -244,9 +248,9 @@
     attempts.note_failure(upstream, error)
     performance, now_s = upstream.performance, get_elapsed_s()
     if error.at_fault and error.run is RunState.RAN:
-        performance.note_answer(True)
+        performance.record_answer(True)
     elif error.at_fault:
-        performance.note_absent(now_s)
+        performance.record_unreachable(now_s)
     _log.warning(
         "attempt_failed",
         extra={
@@ -256,7 +260,7 @@
             "run": error.run.value,
             "attempts": attempts.sent,
             "left_s": round(attempts.left_s, 3),
-            "left_out_s": round(performance.get_left_out_s(now_s), 2),
+            "left_out_s": round(performance.get_exclusion_left_s(now_s), 2),
         },
     )
     if error.at_fault and error.reason in CRASH_LIKE_REASONS:
--- a/src/lovagestage/gateway/silence.py
+++ b/src/lovagestage/gateway/stall_detection.py
@@ -21,7 +21,7 @@
 not known."""
 
 
-def get_patience_s(expected_s: float | None) -> float:
+def get_stall_timeout_s(expected_s: float | None) -> float:
     """Returns the stall timeout for a request, in seconds.
 
     An upstream that sends nothing for this time while the request waits there
@@ -36,7 +36,7 @@
     return max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_FACTOR * expected_s)
 
 
-class Silence:
+class StallDetector:
     """Tracks the waiting requests of one upstream and its last received data.
 
     Any data from the upstream shows that it works, also data for other
@@ -67,7 +67,7 @@
         """Removes a request that no longer waits."""
         self._waiting.pop(number, None)
 
-    def note_heard(self, now_s: float) -> None:
+    def record_data(self, now_s: float) -> None:
         """Records that data from the upstream was received."""
         self._last_data_s = now_s
 
--- a/src/lovagestage/gateway/stream_runs.py
+++ b/src/lovagestage/gateway/stream_runs.py
@@ -163,7 +163,7 @@
             attempts, exchange.fetch_body(MAX_BODY_BYTES), attempts.left_s
         )
         failed = head.status >= 500
-        self._upstream.performance.note_answer(failed)
+        self._upstream.performance.record_answer(failed)
         if failed:
             record_evidence(
                 self._context, attempts, self._upstream, AnswerQuality.FAILED
@@ -180,7 +180,7 @@
         if self.progress.is_started:
             return None
         route = attempts.admitted.route
-        load = self._context.gauge.get_pressure(
+        load = self._context.gauge.get_load(
             attempts.get_least_wait_s(), route.aim_s
         )
         larger_model = get_larger_model(
@@ -221,8 +221,8 @@
                 limit_s = event_timeout_s
         if self._splitter.has_incomplete_event:
             raise AttemptFailedError("event_broken", RunState.RAN)
-        self._upstream.performance.note_answer(False)
-        self._context.suspects.note_answered(
+        self._upstream.performance.record_answer(False)
+        self._context.suspects.record_answered(
             attempts.fingerprint, attempts.run_name
         )
         if not self.progress.is_started:
@@ -253,9 +253,9 @@
         quality = AnswerQuality.SLOW if is_slow else AnswerQuality.GOOD
         record_evidence(context, attempts, self._upstream, quality)
         if not attempts.assignment.is_new:
-            context.latency.add(kind, time_s)
+            context.latency.record(kind, time_s)
             record_prefill_time(context, attempts, time_s)
-        context.gauge.add(time_s, route.aim_s)
+        context.gauge.record_first_event(time_s, route.aim_s)
         if attempts.first_event_s is None:
             now_s = asyncio.get_running_loop().time()
             attempts.first_event_s = now_s - attempts.admitted.request.arrived_s
--- a/src/lovagestage/gateway/suspects.py
+++ b/src/lovagestage/gateway/suspects.py
@@ -68,7 +68,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def note_answered(self, fingerprint: Fingerprint, run: str) -> None:
+    def record_answered(self, fingerprint: Fingerprint, run: str) -> None:
         """Clears a request that an upstream has answered."""
         now_s = get_elapsed_s()
         report = self._table.add_end(fingerprint, run, True, now_s)
--- a/tests/test_gateway_absence.py
+++ b/tests/test_gateway_absence.py
@@ -81,7 +81,7 @@
 
 def make_failed_performance():
     performance = Performance()
-    performance.note_absent(0.0)
+    performance.record_unreachable(0.0)
     assert performance.is_suspect(0.4)
     assert not performance.is_suspect(0.6)
     return performance
@@ -89,14 +89,14 @@
 
 def test_one_request_tries_an_upstream_that_failed():
     performance = make_failed_performance()
-    performance.note_sent(0.6)
+    performance.record_sent(0.6)
     assert performance.is_suspect(0.61)
 
 
 def test_others_follow_once_the_trial_is_answered():
     performance = make_failed_performance()
-    performance.note_sent(0.6)
-    performance.note_heard()
+    performance.record_sent(0.6)
+    performance.record_received()
     assert not performance.is_suspect(0.61)
 
 
@@ -104,33 +104,33 @@
     # The probe waits in a long queue at the upstream, or its answer was lost
     # on the way.
     performance = make_failed_performance()
-    performance.note_sent(0.6)
+    performance.record_sent(0.6)
     assert not performance.is_suspect(1.2)
 
 
 def test_each_failed_trial_doubles_the_time():
     performance = make_failed_performance()
-    performance.note_sent(0.6)
-    performance.note_absent(1.0)
+    performance.record_sent(0.6)
+    performance.record_unreachable(1.0)
     assert performance.is_suspect(1.9)
-    performance.note_sent(2.1)
-    performance.note_absent(2.5)
+    performance.record_sent(2.1)
+    performance.record_unreachable(2.5)
     assert performance.is_suspect(4.4)
 
 
 def test_failures_of_one_moment_count_once():
     performance = make_failed_performance()
-    performance.note_absent(0.1)
+    performance.record_unreachable(0.1)
     assert not performance.is_suspect(0.6)
 
 
 def test_a_connection_that_does_not_open_keeps_others_away():
     performance = Performance()
-    performance.note_connecting(1.0)
-    performance.note_connecting(1.05)
+    performance.record_connect_start(1.0)
+    performance.record_connect_start(1.05)
     assert not performance.is_suspect(1.0 + SLOW_CONNECT_S / 2)
     assert performance.is_suspect(1.01 + SLOW_CONNECT_S)
-    performance.note_connect_ended(1.0)
+    performance.record_connect_end(1.0)
     assert not performance.is_suspect(1.01 + SLOW_CONNECT_S)
-    performance.note_connect_ended(1.05)
+    performance.record_connect_end(1.05)
     assert not performance.is_suspect(9.0)
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -52,10 +52,10 @@
     before = get_single(rotation)
     before.performance.running = 9
     before.performance.waiting_s = 3.0
-    before.performance.note_time(1.0, 0.1)
-    before.performance.note_absent(0.5)
+    before.performance.record_answer_time(1.0, 0.1)
+    before.performance.record_unreachable(0.5)
     for _ in range(9):
-        before.performance.note_answer(True)
+        before.performance.record_answer(True)
     rotation.apply("w1", RESTARTED, 2, 1.0, False)
     after = get_single(rotation)
     assert after is not before
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lab import worker as lab
-from lovagestage.gateway.latency import UNKNOWN_S, LoadGauge
+from lovagestage.gateway.latency import DEFAULT_ANSWER_S, LoadGauge
 from tests.gateway_harness import MODELS, make_route, run_gateway_harness
 
 TARGET_LATENCY_S = 1.5
@@ -18,8 +18,8 @@
 
 def test_idle_upstreams_put_no_pressure():
     gauge = LoadGauge()
-    gauge.add(0.05, TARGET_LATENCY_S)
-    assert gauge.get_pressure(0.0, TARGET_LATENCY_S) == 0.0
+    gauge.record_first_event(0.05, TARGET_LATENCY_S)
+    assert gauge.get_load(0.0, TARGET_LATENCY_S) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -32,8 +32,8 @@
 )
 def test_late_answers_and_long_waits_are_full_pressure(begun_s, wait_s):
     gauge = LoadGauge()
-    gauge.add(begun_s, TARGET_LATENCY_S)
-    assert gauge.get_pressure(wait_s, TARGET_LATENCY_S) == 1.0
+    gauge.record_first_event(begun_s, TARGET_LATENCY_S)
+    assert gauge.get_load(wait_s, TARGET_LATENCY_S) == 1.0
 
 
 async def test_burst_is_not_escalated_before_its_first_answers():
@@ -81,6 +81,6 @@
             harness.call("/stream/x", body=b"p", Model_Name="m")
         )
         await harness.wait_until(lambda: upstream.performance.running == 1)
-        assert upstream.performance.waiting_s == UNKNOWN_S
+        assert upstream.performance.waiting_s == DEFAULT_ANSWER_S
         assert (await call).status == 200
         assert upstream.performance.waiting_s == 0.0
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lovagestage.gateway.choice import Work, choose_upstream
-from lovagestage.gateway.latency import UNKNOWN_S
+from lovagestage.gateway.latency import DEFAULT_ANSWER_S
 from lovagestage.gateway.messages import PromptPart
 from lovagestage.gateway.reading import (
     MIN_TOKENS,
@@ -54,8 +54,8 @@
     times = ReadingTimes()
     times.add("large", MIN_TOKENS - 1, 1.0)
     times.add("large", 5_000, OVERHEAD_S / 2)
-    assert times.get("large", 9_000) == UNKNOWN_S
-    assert make_times([0.0]).get("small", 9_000) == UNKNOWN_S
+    assert times.get("large", 9_000) == DEFAULT_ANSWER_S
+    assert make_times([0.0]).get("small", 9_000) == DEFAULT_ANSWER_S
 
 
 @given(
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -540,7 +540,7 @@
     # is found even without a queue.
     times = LatencyTable()
     for _ in range(20):
-        times.add("stream", 0.15)
+        times.record("stream", 0.15)
     assert times.is_slow("stream", 0.55)
     assert not times.is_slow("stream", 0.55, extra_s=0.4)
     assert times.is_slow("stream", 8 * 0.15, extra_s=0.05)
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -8,12 +8,12 @@
 
 from lab import worker as lab
 from lovagestage.gateway.choice import Work, choose_upstream
-from lovagestage.gateway.silence import (
+from lovagestage.gateway.stall_detection import (
     DEFAULT_STALL_TIMEOUT_S,
     MIN_STALL_TIMEOUT_S,
     STALL_TIMEOUT_FACTOR,
-    Silence,
-    get_patience_s,
+    StallDetector,
+    get_stall_timeout_s,
 )
 from tests.gateway_harness import run_gateway_harness
 from tests.test_gateway_gossip import NAMES, exchange_queue_times, make_rotation
@@ -28,13 +28,13 @@
 
 
 def test_stall_timeout_grows_with_the_expected_time():
-    assert get_patience_s(0.01) == MIN_STALL_TIMEOUT_S
-    assert get_patience_s(0.5) == STALL_TIMEOUT_FACTOR * 0.5
-    assert get_patience_s(None) == DEFAULT_STALL_TIMEOUT_S
+    assert get_stall_timeout_s(0.01) == MIN_STALL_TIMEOUT_S
+    assert get_stall_timeout_s(0.5) == STALL_TIMEOUT_FACTOR * 0.5
+    assert get_stall_timeout_s(None) == DEFAULT_STALL_TIMEOUT_S
 
 
 def test_an_upstream_is_stalled_only_while_a_request_waits():
-    detector = Silence()
+    detector = StallDetector()
     assert not detector.is_stalled(99.0)
     number = detector.add(100.0, 0.25)
     assert not detector.is_stalled(100.2)
@@ -46,10 +46,10 @@
 def test_any_data_shows_that_an_upstream_works():
     # The prefill of a long prompt takes a second, and events of other streams
     # arrive in that time. The upstream is busy and has not stalled.
-    detector = Silence()
+    detector = StallDetector()
     detector.add(100.0, 0.25)
     for tenth in range(1, 11):
-        detector.note_heard(100.0 + 0.1 * tenth)
+        detector.record_data(100.0 + 0.1 * tenth)
         assert not detector.is_stalled(100.0 + 0.1 * tenth + 0.05)
     assert detector.is_stalled(101.3)
 
@@ -127,21 +127,23 @@
         performance = upstream.performance
         hangs = upstream.id == NAMES[-1]
         self.lost += hangs
-        performance.note_sent(now_s)
+        performance.record_sent(now_s)
         performance.running += 1
         performance.waiting_s += ANSWER_S
-        wait_number = performance.silence.add(now_s, get_patience_s(ANSWER_S))
+        wait_number = performance.stall_detector.add(
+            now_s, get_stall_timeout_s(ANSWER_S)
+        )
         end_s = now_s + (DEADLINE_S if hangs else ANSWER_S)
 
         def end():
-            if performance.silence.is_stalled(end_s):
-                performance.note_absent(end_s)
-            performance.silence.remove(wait_number)
+            if performance.stall_detector.is_stalled(end_s):
+                performance.record_unreachable(end_s)
+            performance.stall_detector.remove(wait_number)
             performance.running -= 1
             performance.waiting_s -= ANSWER_S
             if not hangs:
-                performance.silence.note_heard(end_s)
-                performance.note_answer(False)
+                performance.stall_detector.record_data(end_s)
+                performance.record_answer(False)
 
         heapq.heappush(self.pending_ends, (end_s, number, end))
 
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -101,7 +101,7 @@
         now_s += gap_s
         for due_s in sorted(due for due in pending if due <= now_s):
             pending.remove(due_s)
-            log.note_sent(due_s)
+            log.record_sent(due_s)
             sent_s.append(due_s)
         if log.has_room(pace, now_s):
             log.note_placed()
@@ -115,7 +115,7 @@
     log = WarmupLog()
     for _ in range(3):
         log.note_placed()
-        log.note_sent(10.0)
+        log.record_sent(10.0)
     log.note_left(3.0, 10.2)
     assert not log.has_room(Pace(3), 10.9)
     assert log.has_room(Pace(3), 11.1)
@@ -251,9 +251,9 @@
     log = WarmupLog()
     for number in range(5000):
         log.note_placed()
-        log.note_sent(number * 0.01)
+        log.record_sent(number * 0.01)
     assert len(log._send_times_s) < 2 * MAX_SEND_TIMES
     assert not log.has_room(Pace(90), 50.0)
     log.note_placed()
-    log.note_sent(50.0 + 2 * SEND_TIME_RETENTION_S)
+    log.record_sent(50.0 + 2 * SEND_TIME_RETENTION_S)
     assert len(log._send_times_s) == 1
