--- a/src/lovagestage/gateway/attempts.py
+++ b/src/lovagestage/gateway/attempts.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator, Sequence
 
 from lovagestage.exceptions import AttemptFailedError, GatewayRefusalError
-from lovagestage.gateway import choice
+from lovagestage.gateway import upstream_choice
 from lovagestage.gateway.admission import RETRY_AFTER_S, Admitted
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.deployment import Deployment
@@ -123,7 +123,7 @@
         total_s = self.admitted.deadline_s - request.arrived_s
         return self.left_s / max(0.001, total_s)
 
-    def choose(self, work: choice.Work) -> Upstream:
+    def choose(self, work: upstream_choice.AttemptCost) -> Upstream:
         """Chooses the next upstream and counts the attempt.
 
         Args:
@@ -145,8 +145,8 @@
             self.begun_s = now_s - self.admitted.request.arrived_s
         self.work_s = placement.work_s
         self.is_cached = placement.is_cached
-        if work.subject is not None:
-            upstream.record_sent_prefix(work.subject)
+        if work.prefix_key is not None:
+            upstream.record_sent_prefix(work.prefix_key)
         self.sent += 1
         self.runs += 1
         self.tried.append(upstream.id)
@@ -169,7 +169,9 @@
             return "upstreams_cold"
         return "no_upstream"
 
-    def _choose_placement(self, work: choice.Work) -> choice.Placement | None:
+    def _choose_placement(
+        self, work: upstream_choice.AttemptCost
+    ) -> upstream_choice.Placement | None:
         admitted, deployment = self.admitted, self._deployment
         now_s = get_elapsed_s()
         self.assignment = deployment.assign(
@@ -180,7 +182,7 @@
             admitted.allowed_regions,
         )
         for upstreams in self._get_upstream_groups():
-            placement = choice.choose_upstream(
+            placement = upstream_choice.choose_upstream(
                 upstreams,
                 self._excluded,
                 work,
--- a/src/lovagestage/gateway/exchange.py
+++ b/src/lovagestage/gateway/exchange.py
@@ -112,7 +112,7 @@
         connection, head = self._connection, self.head
         if connection is None:
             return
-        if self.is_complete and head is not None and not head.closes:
+        if self.is_complete and head is not None and not head.closes_connection:
             self._pool.release(self.upstream, connection, head.idle_timeout_s)
         else:
             connection.abort()
--- a/src/lovagestage/gateway/forwarder.py
+++ b/src/lovagestage/gateway/forwarder.py
@@ -13,7 +13,7 @@
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.latency import LatencyTable, LoadGauge
 from lovagestage.gateway.plain import forward_plain
-from lovagestage.gateway.reading import ReadingTimes
+from lovagestage.gateway.prefill import PrefillTimes
 from lovagestage.gateway.retry_budget import ServiceRetryBudget
 from lovagestage.gateway.runs import RunContext
 from lovagestage.gateway.settings import Bounds, GatewaySettings
@@ -58,7 +58,7 @@
             pool,
             evidence,
             LatencyTable(),
-            ReadingTimes(),
+            PrefillTimes(),
             LoadGauge(),
             suspects,
         )
--- a/src/lovagestage/gateway/gossip.py
+++ b/src/lovagestage/gateway/gossip.py
@@ -23,8 +23,8 @@
     choose_gossip_targets,
 )
 from lovagestage.gateway.peers import PeerAddress, PeerSocket
+from lovagestage.gateway.reported_waits import ReportedWaits
 from lovagestage.gateway.rotation import Rotation
-from lovagestage.gateway.told_waits import ToldWaits
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.types import VmId, ZoneId
 
@@ -94,7 +94,7 @@
         self._zone = zone
         self._zones: dict[PeerAddress, ZoneId] = {}
         self._reports: dict[int, _PeerReport] = {}
-        self._waits = ToldWaits()
+        self._waits = ReportedWaits()
         self._upstreams_by_hash: dict[int, Upstream] = {}
         self._revision = -1
         self._targets: GossipTargets | None = None
@@ -250,7 +250,7 @@
         self._upstreams_by_hash = {
             _get_name_hash(each): each for each in upstreams
         }
-        self._waits = ToldWaits()
+        self._waits = ReportedWaits()
         for sender, report in self._reports.items():
             if self._is_counted(report, targets):
                 self._waits.replace(sender, report.waiting)
--- a/src/lovagestage/gateway/messages.py
+++ b/src/lovagestage/gateway/messages.py
@@ -15,15 +15,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class PromptPart:
+class PromptSegment:
     """A segment of a prompt that other requests may share.
 
     Attributes:
-        name: Hash of the segment's text.
+        text_hash: Hash of the segment's text.
         tokens: Length of the segment in tokens.
     """
 
-    name: str
+    text_hash: str
     tokens: int
 
 
@@ -41,7 +41,7 @@
         budget_s: Time in seconds for which the caller waits.
         key: API key; None without one.
         model: Requested model; None if the request names none.
-        parts: Segments of the prompt, in order.
+        prompt_segments: Segments of the prompt, in order.
         prompt_tokens: Length of the prompt in tokens.
         resume_after: Id of the last stream event that the caller has received;
             None for a stream from its start.
@@ -59,7 +59,7 @@
     budget_s: float
     key: str | None
     model: str | None
-    parts: tuple[PromptPart, ...]
+    prompt_segments: tuple[PromptSegment, ...]
     prompt_tokens: int
     resume_after: str | None
     session: str | None
@@ -67,16 +67,16 @@
     arrived_s: float = 0.0
 
     @property
-    def subject(self) -> str | None:
+    def prefix_key(self) -> str | None:
         """Key of the prompt prefix that other requests may share.
 
         It is the hash of the last segment but one, as the last segment belongs
         to this request alone. It is None for a prompt with fewer than two
         segments.
         """
-        if len(self.parts) < 2:
+        if len(self.prompt_segments) < 2:
             return None
-        return self.parts[-2].name
+        return self.prompt_segments[-2].text_hash
 
 
 @dataclasses.dataclass(frozen=True)
@@ -117,7 +117,8 @@
             now.
         confidence: The model's rough confidence in its answer, 0 to 100; None
             without one.
-        closes: Whether the upstream closes the connection after the answer.
+        closes_connection: Whether the upstream closes the connection after the
+            answer.
         idle_timeout_s: Time in seconds after which the upstream closes an idle
             connection; None if it announces none.
         has_encoding: Whether the body has a content encoding, so that it is not
@@ -131,6 +132,6 @@
     is_not_run: bool
     is_other_instance: bool
     confidence: float | None
-    closes: bool
+    closes_connection: bool
     idle_timeout_s: float | None
     has_encoding: bool
--- a/src/lovagestage/gateway/reading.py
+++ b/src/lovagestage/gateway/prefill.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 
 from lovagestage.gateway.latency import DEFAULT_ANSWER_S
-from lovagestage.gateway.messages import PromptPart
+from lovagestage.gateway.messages import PromptSegment
 
 OVERHEAD_S = 0.02
 """Time in seconds that an answer takes besides the prefill: the network round
@@ -49,7 +49,9 @@
     cached_tokens: int
 
 
-def make_prompt(parts: Sequence[PromptPart]) -> PrefillTokens | None:
+def count_prefill_tokens(
+    parts: Sequence[PromptSegment],
+) -> PrefillTokens | None:
     """Counts the tokens to prefill of a prompt with these parts.
 
     The last part is the request's own text, and the part before it is the
@@ -88,13 +90,13 @@
             self.token_s *= 1.0 + gain * QUANTILE
 
 
-class ReadingTimes:
+class PrefillTimes:
     """Prefill time per token of a prompt, by model."""
 
     def __init__(self) -> None:
         self._token_times: dict[str | None, _TokenTime] = {}
 
-    def add(self, model: str | None, tokens: int, time_s: float) -> None:
+    def record(self, model: str | None, tokens: int, time_s: float) -> None:
         """Records the time until an answer began.
 
         Args:
@@ -107,7 +109,7 @@
         token_time = self._token_times.setdefault(model, _TokenTime())
         token_time.add((time_s - OVERHEAD_S) / tokens)
 
-    def get(self, model: str | None, tokens: int) -> float:
+    def get_prefill_s(self, model: str | None, tokens: int) -> float:
         """Returns the expected prefill time in seconds.
 
         Args:
--- a/src/lovagestage/gateway/told_waits.py
+++ b/src/lovagestage/gateway/reported_waits.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 
-class ToldWaits:
+class ReportedWaits:
     """Sums of reported queue times, by upstream, over the reporting gateways.
 
     Gateways and upstreams are identified by short numbers, and queue times are
--- a/src/lovagestage/gateway/runs.py
+++ b/src/lovagestage/gateway/runs.py
@@ -16,7 +16,6 @@
 from lovagestage.decisions.retries import PROBE_WAIT_S
 from lovagestage.exceptions import AttemptFailedError
 from lovagestage.gateway.attempts import Attempts
-from lovagestage.gateway.choice import Work
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.connections import ConnectionPool
 from lovagestage.gateway.exchange import Exchange
@@ -26,11 +25,12 @@
     LoadGauge,
 )
 from lovagestage.gateway.messages import OutgoingCall
-from lovagestage.gateway.reading import ReadingTimes, make_prompt
+from lovagestage.gateway.prefill import PrefillTimes, count_prefill_tokens
 from lovagestage.gateway.rollouts import AnswerQuality
 from lovagestage.gateway.sinks import EvidenceSink
 from lovagestage.gateway.suspects import SuspectWatch
 from lovagestage.gateway.upstream import Upstream
+from lovagestage.gateway.upstream_choice import AttemptCost
 from lovagestage.types import RunState
 
 _log = logging.getLogger(__name__)
@@ -68,7 +68,7 @@
     pool: ConnectionPool
     evidence: EvidenceSink
     latency: LatencyTable
-    prefill_times: ReadingTimes
+    prefill_times: PrefillTimes
     gauge: LoadGauge
     suspects: SuspectWatch
 
@@ -108,18 +108,18 @@
 
 def estimate_work(
     context: RunContext, attempts: Attempts, model: str | None
-) -> Work:
+) -> AttemptCost:
     """Estimates the work that an attempt causes at an upstream."""
     request = attempts.admitted.request
-    prompt = make_prompt(request.parts)
+    prompt = count_prefill_tokens(request.prompt_segments)
     if prompt is None:
         expected_s = get_expected_latency_s(context, attempts, model)
         time_s = DEFAULT_ANSWER_S if expected_s is None else expected_s
-        return Work(time_s, time_s, request.subject)
-    return Work(
-        context.prefill_times.get(model, prompt.fresh_tokens),
-        context.prefill_times.get(model, prompt.cached_tokens),
-        request.subject,
+        return AttemptCost(time_s, time_s, request.prefix_key)
+    return AttemptCost(
+        context.prefill_times.get_prefill_s(model, prompt.fresh_tokens),
+        context.prefill_times.get_prefill_s(model, prompt.cached_tokens),
+        request.prefix_key,
     )
 
 
@@ -127,11 +127,11 @@
     context: RunContext, attempts: Attempts, time_s: float
 ) -> None:
     """Updates the prefill times with the last attempt's time to first event."""
-    prompt = make_prompt(attempts.admitted.request.parts)
+    prompt = count_prefill_tokens(attempts.admitted.request.prompt_segments)
     if prompt is None:
         return
     tokens = prompt.cached_tokens if attempts.is_cached else prompt.fresh_tokens
-    context.prefill_times.add(attempts.model, tokens, time_s)
+    context.prefill_times.record(attempts.model, tokens, time_s)
 
 
 def make_exchange(
--- a/src/lovagestage/gateway/stream_runs.py
+++ b/src/lovagestage/gateway/stream_runs.py
@@ -27,7 +27,7 @@
 from lovagestage.gateway.sinks import AnswerSink
 from lovagestage.gateway.streams import EventSplitter
 from lovagestage.gateway.upstream import Upstream
-from lovagestage.platform.headers import decode_event
+from lovagestage.platform.headers import decode_event_id
 from lovagestage.types import RunState
 
 _log = logging.getLogger(__name__)
@@ -239,7 +239,7 @@
         if not self.progress.is_started:
             await self._sink.start_stream(head)
         await self._sink.send_event(event)
-        last_id = decode_event(event) or self.progress.last_id
+        last_id = decode_event_id(event) or self.progress.last_id
         self.progress = _Progress(last_id, True)
 
     def _get_run_time_s(self) -> float:
--- a/src/lovagestage/gateway/choice.py
+++ b/src/lovagestage/gateway/upstream_choice.py
@@ -11,7 +11,7 @@
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.types import InstanceId, ZoneId
 
-SAMPLE = 3
+SAMPLE_SIZE = 3
 """Number of random upstreams that are compared for an attempt. The queues of
 other gateways are known only with a delay; if all gateways chose the best
 upstream of all, they would all choose the same one (Mitzenmacher 2000, "How
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Work:
+class AttemptCost:
     """Time for which an attempt occupies an upstream.
 
     Attributes:
@@ -34,13 +34,13 @@
             upstream that has not cached the shared prompt prefix.
         cached_s: Time in seconds for which the attempt by itself occupies an
             upstream that has cached the prefix.
-        subject: Key of the prompt prefix that the request shares with others;
-            None for none.
+        prefix_key: Key of the prompt prefix that the request shares with
+            others; None for none.
     """
 
     fresh_s: float
     cached_s: float
-    subject: str | None = None
+    prefix_key: str | None = None
 
 
 @dataclasses.dataclass(frozen=True)
@@ -63,7 +63,7 @@
 def choose_upstream(
     upstreams: Sequence[Upstream],
     excluded: Collection[InstanceId],
-    work: Work,
+    work: AttemptCost,
     zone: ZoneId,
     now_s: float,
     rng: random.Random,
@@ -90,14 +90,14 @@
     Returns:
         The chosen upstream; None where all upstreams are excluded.
     """
-    if work.subject is None:
+    if work.prefix_key is None:
         usable = _get_usable(upstreams, excluded, now_s)
         if not usable:
             return None
         best = min(usable, key=lambda u: _get_slot_cost(u, zone, rng))
         return Placement(best, False, work.fresh_s)
-    sample = rng.sample(upstreams, min(SAMPLE, len(upstreams)))
-    prefix_upstream = get_prefix_upstream(upstreams, work.subject)
+    sample = rng.sample(upstreams, min(SAMPLE_SIZE, len(upstreams)))
+    prefix_upstream = get_prefix_upstream(upstreams, work.prefix_key)
     if prefix_upstream is None:
         return None
     if not all(
@@ -106,10 +106,10 @@
         # This path is rare, so that the gateway does not go through thousands
         # of upstreams for each request.
         usable = _get_usable(upstreams, excluded, now_s)
-        prefix_upstream = get_prefix_upstream(usable, work.subject)
+        prefix_upstream = get_prefix_upstream(usable, work.prefix_key)
         if prefix_upstream is None:
             return None
-        sample = rng.sample(usable, min(SAMPLE, len(usable)))
+        sample = rng.sample(usable, min(SAMPLE_SIZE, len(usable)))
     # Few gateways may send requests to an upstream that is warming up, and a
     # random sample would rarely contain it, so such upstreams are always
     # compared.
@@ -122,7 +122,7 @@
     # An upstream that has just started is preferred nevertheless: the prefix
     # that it prefills now is cached for the next request with the same prefix.
     is_cached = best is prefix_upstream and prefix_upstream.has_likely_cached(
-        work.subject
+        work.prefix_key
     )
     return Placement(
         best, is_cached, work.cached_s if is_cached else work.fresh_s
@@ -189,7 +189,10 @@
 
 
 def _get_queue_cost(
-    upstream: Upstream, work: Work, is_prefix_upstream: bool, rng: random.Random
+    upstream: Upstream,
+    work: AttemptCost,
+    is_prefix_upstream: bool,
+    rng: random.Random,
 ) -> tuple[float, float]:
     """Ranks upstreams for prompts that are prefilled one after another."""
     performance = upstream.performance
--- a/src/lovagestage/platform/headers.py
+++ b/src/lovagestage/platform/headers.py
@@ -14,7 +14,7 @@
     AnswerHead,
     CallerRequest,
     OutgoingCall,
-    PromptPart,
+    PromptSegment,
 )
 from lovagestage.types import RequestId
 
@@ -96,7 +96,7 @@
         / 1000,
         key=_get_api_key(fields),
         model=_get_text(fields, _MODEL) if _MODEL in fields else None,
-        parts=_get_prompt_parts(_get_text(fields, _PREFIX_HASH)),
+        prompt_segments=_get_prompt_parts(_get_text(fields, _PREFIX_HASH)),
         prompt_tokens=int(usage[0]) if usage[0].isdigit() else 0,
         resume_after=_get_text(fields, _LAST_EVENT_ID) or None,
         session=_get_text(fields, _SESSION) or None,
@@ -121,12 +121,12 @@
     return key.strip() if scheme.lower() == _API_KEY_SCHEME else None
 
 
-def _get_prompt_parts(text: str) -> tuple[PromptPart, ...]:
+def _get_prompt_parts(text: str) -> tuple[PromptSegment, ...]:
     parts = []
     for item in text.split(","):
         name, _, tokens = item.strip().partition(":")
         if name and tokens.isdigit():
-            parts.append(PromptPart(name, int(tokens)))
+            parts.append(PromptSegment(name, int(tokens)))
     return tuple(parts)
 
 
@@ -168,7 +168,7 @@
         or event.status_code == _MISDIRECTED_STATUS,
         is_other_instance=event.status_code == _MISDIRECTED_STATUS,
         confidence=float(confidence) if confidence.isdigit() else None,
-        closes=b"close" in fields.get(b"connection", b"").lower(),
+        closes_connection=b"close" in fields.get(b"connection", b"").lower(),
         idle_timeout_s=_get_idle_timeout(_get_text(fields, b"keep-alive")),
         has_encoding=b"content-encoding" in fields,
     )
@@ -207,7 +207,7 @@
     return headers
 
 
-def decode_event(event_bytes: bytes) -> str | None:
+def decode_event_id(event_bytes: bytes) -> str | None:
     """Returns the id of one event of a stream.
 
     Args:
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -12,7 +12,6 @@
 
 from lab.ports import get_free_port
 from lovagestage.gateway import gossip as gossip_module
-from lovagestage.gateway.choice import Work, choose_upstream
 from lovagestage.gateway.exposition import Exposition
 from lovagestage.gateway.gossip import (
     DATAGRAM_KIND,
@@ -23,9 +22,10 @@
 )
 from lovagestage.gateway.gossip_targets import choose_gossip_targets
 from lovagestage.gateway.peers import PeerSocket
+from lovagestage.gateway.reported_waits import ReportedWaits
 from lovagestage.gateway.rotation import Rotation
-from lovagestage.gateway.told_waits import ToldWaits
 from lovagestage.gateway.upstream import UpstreamEntry
+from lovagestage.gateway.upstream_choice import AttemptCost, choose_upstream
 
 NAMES = ("w1", "w2", "w3")
 
@@ -130,7 +130,7 @@
     rng = random.Random(1)
     chosen = {
         choose_upstream(
-            upstreams, (), Work(0.1, 0.1, str(seed)), "a", 0.0, rng
+            upstreams, (), AttemptCost(0.1, 0.1, str(seed)), "a", 0.0, rng
         ).upstream.id
         for seed in range(200)
     }
@@ -228,7 +228,7 @@
     )
 )
 def test_sums_are_those_of_the_last_reports(reports):
-    waits, newest = ToldWaits(), {}
+    waits, newest = ReportedWaits(), {}
     for gateway, report in reports:
         waits.replace(gateway, report)
         newest[gateway] = report
--- a/tests/test_gateway_placement.py
+++ b/tests/test_gateway_placement.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from lovagestage.gateway import choice
-from lovagestage.gateway.choice import Work, choose_upstream
+from lovagestage.gateway import upstream_choice
 from lovagestage.gateway.performance import Performance
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.upstream import UpstreamEntry
+from lovagestage.gateway.upstream_choice import AttemptCost, choose_upstream
 from tests.test_gateway_gossip import exchange_queue_times
 
 GATEWAYS = 24
@@ -88,7 +88,7 @@
     def send(self, now_s, arrived_s, prefix, model):
         rotation = self.rng.choice(self.rotations)
         token_s = TOKEN_S[model]
-        work = Work(
+        work = AttemptCost(
             token_s * (SHARED_TOKENS + OWN_TOKENS),
             token_s * OWN_TOKENS,
             prefix,
@@ -148,7 +148,7 @@
     # upstream that has cached its prefix; the prefix is then prefilled again,
     # and all other requests there wait for it.
     weighted_tokens, weighted_s = run_simulations()
-    monkeypatch.setattr(choice, "PREFILL_WEIGHT", 1.0)
+    monkeypatch.setattr(upstream_choice, "PREFILL_WEIGHT", 1.0)
     plain_tokens, plain_s = run_simulations()
     assert weighted_tokens < MAX_REPEATED_RATIO * plain_tokens
     assert weighted_s <= MAX_TIME_RATIO * plain_s
@@ -162,7 +162,7 @@
     for name in ("w1", "w2"):
         entry = UpstreamEntry("pool", "h:1", "a", "v1", 8, False)
         rotation.apply(name, entry, 1, 0.0, False)
-    work = Work(0.3, 0.05, "subject")
+    work = AttemptCost(0.3, 0.05, "subject")
     rng = random.Random(1)
     placed = choose_upstream(
         rotation.get_ready("pool"), (), work, "a", 0.0, rng
@@ -191,9 +191,9 @@
     upstreams = rotation.get_ready("pool")
     rng = random.Random(3)
     for number in range(50):
-        work = Work(0.2, 0.1, f"subject-{number}")
+        work = AttemptCost(0.2, 0.1, f"subject-{number}")
         assert choose_upstream(upstreams, (), work, "a", 1.0, rng)
-    assert len(checks) <= 50 * (choice.SAMPLE + 1)
+    assert len(checks) <= 50 * (upstream_choice.SAMPLE_SIZE + 1)
 
 
 def test_prefixes_are_spread_evenly_and_move_only_where_they_must():
@@ -204,7 +204,7 @@
     upstreams = rotation.get_ready("pool")
     prefixes = [f"{number:x}" for number in range(956)]
     upstream_ids = [
-        choice.get_prefix_upstream(upstreams, s).id for s in prefixes
+        upstream_choice.get_prefix_upstream(upstreams, s).id for s in prefixes
     ]
     counts = collections.Counter(upstream_ids)
     mean = len(prefixes) / len(upstreams)
@@ -213,4 +213,6 @@
     left = [u for u in upstreams if u.id != "w5"]
     for prefix, placed in zip(prefixes, upstream_ids, strict=True):
         if placed != "w5":
-            assert choice.get_prefix_upstream(left, prefix).id == placed
+            assert (
+                upstream_choice.get_prefix_upstream(left, prefix).id == placed
+            )
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -8,25 +8,25 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lovagestage.gateway.choice import Work, choose_upstream
 from lovagestage.gateway.latency import DEFAULT_ANSWER_S
-from lovagestage.gateway.messages import PromptPart
-from lovagestage.gateway.reading import (
+from lovagestage.gateway.messages import PromptSegment
+from lovagestage.gateway.prefill import (
     MIN_TOKENS,
     OVERHEAD_S,
+    PrefillTimes,
     PrefillTokens,
-    ReadingTimes,
-    make_prompt,
+    count_prefill_tokens,
 )
+from lovagestage.gateway.upstream_choice import AttemptCost, choose_upstream
 from tests.test_gateway_gossip import make_rotation
 
 TOKEN_S = 50e-6
 
 
 def make_times(waits_s, tokens=2_000):
-    times = ReadingTimes()
+    times = PrefillTimes()
     for wait_s in waits_s:
-        times.add("large", tokens, OVERHEAD_S + wait_s + tokens * TOKEN_S)
+        times.record("large", tokens, OVERHEAD_S + wait_s + tokens * TOKEN_S)
     return times
 
 
@@ -38,7 +38,7 @@
     rng = random.Random(1)
     waits_s = [rng.choice((0.0, 0.0, 0.2, 0.5, 1.5)) for _ in range(300)]
     expected_s = OVERHEAD_S + 4_000 * TOKEN_S
-    prefill_s = make_times(waits_s).get("large", 4_000)
+    prefill_s = make_times(waits_s).get_prefill_s("large", 4_000)
     assert prefill_s == pytest.approx(expected_s, rel=0.5)
     mean_s = sum(waits_s) / len(waits_s)
     assert prefill_s < mean_s + expected_s
@@ -47,34 +47,40 @@
 def test_first_answer_that_waited_is_soon_outweighed():
     times = make_times([3.0] + [0.0] * 20)
     expected_s = OVERHEAD_S + 2_000 * TOKEN_S
-    assert times.get("large", 2_000) < 3 * expected_s
+    assert times.get_prefill_s("large", 2_000) < 3 * expected_s
 
 
 def test_unknown_models_and_short_prompts():
-    times = ReadingTimes()
-    times.add("large", MIN_TOKENS - 1, 1.0)
-    times.add("large", 5_000, OVERHEAD_S / 2)
-    assert times.get("large", 9_000) == DEFAULT_ANSWER_S
-    assert make_times([0.0]).get("small", 9_000) == DEFAULT_ANSWER_S
+    times = PrefillTimes()
+    times.record("large", MIN_TOKENS - 1, 1.0)
+    times.record("large", 5_000, OVERHEAD_S / 2)
+    assert times.get_prefill_s("large", 9_000) == DEFAULT_ANSWER_S
+    assert make_times([0.0]).get_prefill_s("small", 9_000) == DEFAULT_ANSWER_S
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 100_000), st.floats(0, 100)), max_size=50)
 )
 def test_times_stay_positive_and_grow_with_the_prompt(samples):
-    times = ReadingTimes()
+    times = PrefillTimes()
     for tokens, time_s in samples:
-        times.add("large", tokens, time_s)
-    assert 0.0 < times.get("large", 10) <= times.get("large", 20_000)
+        times.record("large", tokens, time_s)
+    assert (
+        0.0
+        < times.get_prefill_s("large", 10)
+        <= times.get_prefill_s("large", 20_000)
+    )
 
 
 def test_tokens_to_prefill_of_a_prompt():
-    system = PromptPart("a", 2_000)
-    prefix = PromptPart("b", 300)
-    own_part = PromptPart("c", 40)
-    assert make_prompt((system, prefix, own_part)) == PrefillTokens(340, 40)
-    assert make_prompt((own_part,)) == PrefillTokens(40, 40)
-    assert make_prompt(()) is None
+    system = PromptSegment("a", 2_000)
+    prefix = PromptSegment("b", 300)
+    own_part = PromptSegment("c", 40)
+    assert count_prefill_tokens((system, prefix, own_part)) == PrefillTokens(
+        340, 40
+    )
+    assert count_prefill_tokens((own_part,)) == PrefillTokens(40, 40)
+    assert count_prefill_tokens(()) is None
 
 
 def get_prefix_upstream_id(work):
@@ -100,7 +106,7 @@
     # which takes 0.4 s of its time from all requests: three times that is
     # worth a wait of 1.1 s and not one of 1.3 s. The time that the attempt
     # adds to the queue follows from the choice.
-    work = Work(0.5, 0.1, "subject")
+    work = AttemptCost(0.5, 0.1, "subject")
     rotation = make_rotation()
     upstreams = rotation.get_ready("pool")
     prefix_upstream = get_prefix_upstream_id(work)
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -7,7 +7,6 @@
 import random
 
 from lab import worker as lab
-from lovagestage.gateway.choice import Work, choose_upstream
 from lovagestage.gateway.stall_detection import (
     DEFAULT_STALL_TIMEOUT_S,
     MIN_STALL_TIMEOUT_S,
@@ -15,6 +14,7 @@
     StallDetector,
     get_stall_timeout_s,
 )
+from lovagestage.gateway.upstream_choice import AttemptCost, choose_upstream
 from tests.gateway_harness import run_gateway_harness
 from tests.test_gateway_gossip import NAMES, exchange_queue_times, make_rotation
 
@@ -119,7 +119,7 @@
             self.send(self.rng.choice(self.rotations), now_s, number)
 
     def send(self, rotation, now_s, number):
-        work = Work(ANSWER_S, ANSWER_S)
+        work = AttemptCost(ANSWER_S, ANSWER_S)
         placement = choose_upstream(
             rotation.get_ready("pool"), (), work, "a", now_s, self.rng
         )
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -25,7 +25,7 @@
 )
 from lovagestage.platform.headers import (
     decode_answer,
-    decode_event,
+    decode_event_id,
     decode_request,
     encode_request,
 )
@@ -59,8 +59,8 @@
     assert (request.id, request.key, request.model) == ("a1", KEY, "*")
     assert (request.path, request.target) == ("/a/b", b"/a/b?c=1")
     assert request.budget_s == 8.0
-    assert [part.tokens for part in request.parts] == [800, 410, 250]
-    assert request.subject == "91bd3f06"
+    assert [part.tokens for part in request.prompt_segments] == [800, 410, 250]
+    assert request.prefix_key == "91bd3f06"
     assert request.prompt_tokens == 1460
     assert request.session == "s1"
 
@@ -114,7 +114,7 @@
     head = decode_answer(event)
     assert (head.idle_timeout_s, head.confidence) == (3.0, 42.0)
     assert head.is_signed
-    assert head.closes
+    assert head.closes_connection
     assert dict(head.headers) == {
         b"Confidence": b"42",
         b"Response-Signature": b"s",
@@ -122,9 +122,9 @@
 
 
 def test_decodes_event_ids():
-    assert decode_event(b"weight-versions: 3\nid: 12\ndata: x\n\n") == "12"
-    assert decode_event(b"id:7\r\ndata: x\r\n\r\n") == "7"
-    assert decode_event(b"data: x\n\n") is None
+    assert decode_event_id(b"weight-versions: 3\nid: 12\ndata: x\n\n") == "12"
+    assert decode_event_id(b"id:7\r\ndata: x\r\n\r\n") == "7"
+    assert decode_event_id(b"data: x\n\n") is None
 
 
 def test_decodes_a_configuration():
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -23,9 +23,9 @@
     ZoneDealers,
 )
 from lovagestage.gateway import warmups
-from lovagestage.gateway.choice import Work, choose_upstream
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.upstream import UpstreamEntry
+from lovagestage.gateway.upstream_choice import AttemptCost, choose_upstream
 from tests.gateway_harness import make_route, run_gateway_harness
 
 PER_S = 14.0
@@ -242,7 +242,7 @@
     busy[0].note_cold(3.0, 0.0)
     rng = random.Random(7)
     for number in range(50):
-        work = Work(0.2, 0.1, f"subject-{number}")
+        work = AttemptCost(0.2, 0.1, f"subject-{number}")
         placement = choose_upstream(busy, set(), work, "a", 1.0, rng, busy[:1])
         assert placement.upstream is busy[0]
 
