--- a/lab/experiments/warmup.py
+++ b/lab/experiments/warmup.py
@@ -19,13 +19,13 @@
 
 from lab.experiments import Result
 from lovagestage.decisions.warmup import (
-    NOTHING,
-    Gateways,
-    Pace,
-    WarmupLog,
+    NO_REQUESTS,
+    GatewayView,
+    RateLimit,
     WarmupPolicy,
-    ZoneDealers,
-    make_pace,
+    WarmupTracker,
+    ZoneWarmupPolicy,
+    make_rate_limit,
 )
 from lovagestage.types import InstanceId, ZoneId
 
@@ -55,17 +55,17 @@
     def __init__(self, count: int) -> None:
         self._count = count
 
-    def get_pace(
+    def get_rate_limit(
         self,
-        gateways: Gateways,
+        gateways: GatewayView,
         upstream: InstanceId,
         zone: ZoneId,
         per_s: float,
-    ) -> Pace:
+    ) -> RateLimit:
         """What the gateway may send to a cold upstream."""
-        if not gateways.is_settled:
-            return NOTHING
-        return make_pace(per_s / self._count)
+        if not gateways.is_discovery_complete:
+            return NO_REQUESTS
+        return make_rate_limit(per_s / self._count)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -88,7 +88,7 @@
 def run(seed: int) -> Result:
     """Runs all sizes with both ways."""
     baseline = _run_sizes(_EvenShares, seed)
-    product = _run_sizes(lambda _: ZoneDealers(), seed)
+    product = _run_sizes(lambda _: ZoneWarmupPolicy(), seed)
     used = product["31 calm"]["used"]
     return Result(
         "warmup",
@@ -158,7 +158,7 @@
     upstreams = [InstanceId(f"i-{rng.random()}") for _ in range(UPSTREAMS)]
     heard_s = _make_heard(gateways, rng)
     logs = {
-        (g.name, upstream): WarmupLog()
+        (g.name, upstream): WarmupTracker()
         for g in gateways
         for upstream in upstreams
     }
@@ -167,9 +167,11 @@
         known = _get_known(gateways, gateway, heard_s, at_s)
         for upstream in rng.sample(upstreams, len(upstreams)):
             log = logs[gateway.name, upstream]
-            pace = policy.get_pace(known, upstream, ZoneId("z0"), PER_S)
-            if log.has_room(pace, at_s):
-                log.note_placed()
+            rate_limit = policy.get_rate_limit(
+                known, upstream, ZoneId("z0"), PER_S
+            )
+            if log.has_capacity(rate_limit, at_s):
+                log.record_placed()
                 log.record_sent(at_s)
                 arrivals[upstream].append(at_s)
                 break
@@ -212,14 +214,16 @@
     own: _Gateway,
     heard_s: dict[tuple[str, str], float],
     now_s: float,
-) -> Gateways:
+) -> GatewayView:
     known = [
         other
         for other in gateways
         if other is not own and heard_s[own.name, other.name] <= now_s
     ]
     near = [other.name for other in known if other.zone == own.zone]
-    return Gateways(own.name, own.zone, near, now_s - own.born_s >= SETTLED_S)
+    return GatewayView(
+        own.name, own.zone, near, now_s - own.born_s >= SETTLED_S
+    )
 
 
 def _get_worst_second(times_s: list[float]) -> int:
--- a/src/lovagestage/decisions/warmup.py
+++ b/src/lovagestage/decisions/warmup.py
@@ -45,16 +45,16 @@
 
     Attributes:
         duration_s: Seconds after its start for which an upstream is warming up.
-        per_s: Requests per second that an upstream can handle while it warms
-            up, summed over all gateways.
+        requests_per_s: Requests per second that an upstream can handle while it
+            warms up, summed over all gateways.
     """
 
     duration_s: float
-    per_s: float
+    requests_per_s: float
 
 
 @dataclasses.dataclass(frozen=True)
-class Pace:
+class RateLimit:
     """Maximum number of requests in any time span of a given length.
 
     Attributes:
@@ -66,39 +66,39 @@
     span_s: float = RATE_WINDOW_S
 
 
-NOTHING = Pace(0)
+NO_REQUESTS = RateLimit(0)
 """Limit of a gateway that may not send to the upstream."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Gateways:
+class GatewayView:
     """The set of gateways as one gateway knows it.
 
     Attributes:
-        own: Name of the gateway that decides.
+        own_name: Name of the gateway that decides.
         zone: Availability zone of the gateway that decides.
         zone_peers: Names of the other gateways in the zone; None where gateways
             can't learn of each other.
-        is_settled: Whether the gateway has run for long enough that it has
-            learnt of the other gateways and they have learnt of it.
+        is_discovery_complete: Whether the gateway has run for long enough that
+            it has learnt of the other gateways and they have learnt of it.
     """
 
-    own: str
+    own_name: str
     zone: ZoneId
     zone_peers: Collection[str] | None
-    is_settled: bool
+    is_discovery_complete: bool
 
 
 class WarmupPolicy(Protocol):
     """Divides the rate of an upstream that is warming up among the gateways."""
 
-    def get_pace(
+    def get_rate_limit(
         self,
-        gateways: Gateways,
+        gateways: GatewayView,
         upstream: InstanceId,
         zone: ZoneId,
         per_s: float,
-    ) -> Pace:
+    ) -> RateLimit:
         """Returns the limit for one gateway's requests to one upstream.
 
         Args:
@@ -110,7 +110,7 @@
         """
 
 
-class ZoneDealers:
+class ZoneWarmupPolicy:
     """Lets a few gateways of the upstream's availability zone send to it.
 
     Gateways of one zone exchange their state several times per second, those of
@@ -118,40 +118,40 @@
     which of them are the warm-up gateways.
     """
 
-    def get_pace(
+    def get_rate_limit(
         self,
-        gateways: Gateways,
+        gateways: GatewayView,
         upstream: InstanceId,
         zone: ZoneId,
         per_s: float,
-    ) -> Pace:
+    ) -> RateLimit:
         """Returns the limit for one gateway's requests to one upstream."""
         if gateways.zone_peers is None:
-            return make_pace(per_s / ASSUMED_GATEWAYS)
-        if zone != gateways.zone or not gateways.is_settled:
-            return NOTHING
+            return make_rate_limit(per_s / ASSUMED_GATEWAYS)
+        if zone != gateways.zone or not gateways.is_discovery_complete:
+            return NO_REQUESTS
         ranked = sorted(
-            (gateways.own, *gateways.zone_peers),
+            (gateways.own_name, *gateways.zone_peers),
             key=lambda name: xxhash.xxh3_64_intdigest(
                 f"{upstream}/{name}".encode()
             ),
         )
         chosen = ranked[: min(WARMUP_GATEWAYS, max(1, int(per_s)))]
-        if gateways.own not in chosen:
-            return NOTHING
-        return make_pace(per_s / len(chosen))
+        if gateways.own_name not in chosen:
+            return NO_REQUESTS
+        return make_rate_limit(per_s / len(chosen))
 
 
-def make_pace(per_s: float) -> Pace:
+def make_rate_limit(per_s: float) -> RateLimit:
     """Converts a rate in requests per second to a limit in whole requests."""
     if per_s <= 0.0:
-        return NOTHING
+        return NO_REQUESTS
     if per_s < 1.0:
-        return Pace(1, RATE_WINDOW_S / per_s)
-    return Pace(int(per_s))
+        return RateLimit(1, RATE_WINDOW_S / per_s)
+    return RateLimit(int(per_s))
 
 
-class WarmupLog:
+class WarmupTracker:
     """Tracks one upstream's warm-up and this gateway's requests to it.
 
     All requests to the upstream count, including those sent before the gateway
@@ -164,7 +164,7 @@
         self._placed_count = 0
         self._send_times_s: list[float] = []
 
-    def note_left(self, left_s: float, now_s: float) -> bool:
+    def record_time_left(self, left_s: float, now_s: float) -> bool:
         """Records the remaining warm-up time that was reported.
 
         An earlier report of a later end stays in force, because a report that
@@ -185,19 +185,19 @@
         """Returns whether the upstream may still be warming up."""
         return now_s < self._until_s
 
-    def has_room(self, pace: Pace, now_s: float) -> bool:
+    def has_capacity(self, rate_limit: RateLimit, now_s: float) -> bool:
         """Returns whether one more request stays within a limit."""
-        span_start_s = now_s - pace.span_s
+        span_start_s = now_s - rate_limit.span_s
         recent_count = sum(
             sent_s > span_start_s for sent_s in self._send_times_s
         )
-        return self._placed_count + recent_count < pace.requests
+        return self._placed_count + recent_count < rate_limit.requests
 
-    def note_placed(self) -> None:
+    def record_placed(self) -> None:
         """Counts a request that will either be sent or be withdrawn."""
         self._placed_count += 1
 
-    def note_withdrawn(self) -> None:
+    def record_withdrawn(self) -> None:
         """Removes a request from the count that was placed but not sent."""
         self._placed_count -= 1
 
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -20,7 +20,7 @@
 )
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.upstream import Upstream
-from lovagestage.gateway.warmups import WarmupGuard
+from lovagestage.gateway.warmup_guard import WarmupGuard
 from lovagestage.types import RegionId, ServiceId, VersionId, ZoneId
 
 _log = logging.getLogger(__name__)
@@ -150,7 +150,7 @@
             upstream
             for upstream in upstreams
             if (warmup := self.get_warmup(upstream.entry.service)) is None
-            or guard.has_room(upstream, warmup, now_s)
+            or guard.may_send(upstream, warmup, now_s)
         ]
 
     def assign(
--- a/src/lovagestage/gateway/exchange.py
+++ b/src/lovagestage/gateway/exchange.py
@@ -108,7 +108,7 @@
         self._end_inactivity_check()
         self._remove_pending_work()
         if self._has_warmup_slot:
-            self.upstream.warmup.note_withdrawn()
+            self.upstream.warmup.record_withdrawn()
         connection, head = self._connection, self.head
         if connection is None:
             return
@@ -212,7 +212,7 @@
 
     def _reserve_warmup_slot(self) -> None:
         self._has_warmup_slot = True
-        self.upstream.warmup.note_placed()
+        self.upstream.warmup.record_placed()
 
     def _end_inactivity_check(self) -> None:
         if self._inactivity_key is not None:
--- a/src/lovagestage/gateway/upstream.py
+++ b/src/lovagestage/gateway/upstream.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-from lovagestage.decisions.warmup import WarmupLog
+from lovagestage.decisions.warmup import WarmupTracker
 from lovagestage.gateway.performance import Performance
 from lovagestage.types import InstanceId, ServiceId, VersionId, ZoneId
 
@@ -91,7 +91,7 @@
         self.has_left = False
         self.changed_s = now_s
         self.performance = Performance()
-        self.warmup = WarmupLog()
+        self.warmup = WarmupTracker()
         self.past_start_ms: tuple[int | None, ...] = ()
         self._name = name.encode()
         self._sent_prefixes: set[str] | None = None
@@ -151,7 +151,7 @@
             left_s: Remaining warm-up time in seconds.
             now_s: Elapsed time in seconds.
         """
-        if self.warmup.note_left(left_s, now_s):
+        if self.warmup.record_time_left(left_s, now_s):
             _log.info(
                 "upstream_cold",
                 extra={
--- a/src/lovagestage/gateway/warmups.py
+++ b/src/lovagestage/gateway/warmup_guard.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Callable, Collection
 
-from lovagestage.decisions.warmup import Gateways, Warmup, WarmupPolicy
+from lovagestage.decisions.warmup import GatewayView, Warmup, WarmupPolicy
 from lovagestage.gateway.peers import PeerAddress, format_peer
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.types import ZoneId
 
-SETTLE_S = 3.0
+STARTUP_DELAY_S = 3.0
 """Time in seconds after its start in which a gateway leaves upstreams that are
 warming up to other gateways: its hello message reaches them within about a
 second, and it receives the reported queue times, which name the other
@@ -44,7 +44,7 @@
         self._get_zone_peers = get_zone_peers
         self._started_s = started_s
 
-    def has_room(
+    def may_send(
         self, upstream: Upstream, warmup: Warmup, now_s: float
     ) -> bool:
         """Returns whether an upstream may get another request from here.
@@ -58,21 +58,21 @@
         """
         if not upstream.warmup.is_cold(now_s):
             return True
-        pace = self._policy.get_pace(
+        rate_limit = self._policy.get_rate_limit(
             self._get_gateways(now_s),
             upstream.id,
             upstream.entry.zone,
-            warmup.per_s,
+            warmup.requests_per_s,
         )
-        return upstream.warmup.has_room(pace, now_s)
+        return upstream.warmup.has_capacity(rate_limit, now_s)
 
-    def _get_gateways(self, now_s: float) -> Gateways:
+    def _get_gateways(self, now_s: float) -> GatewayView:
         peer_names = None
         if self._own is not None:
             peer_names = [format_peer(peer) for peer in self._get_zone_peers()]
-        return Gateways(
+        return GatewayView(
             "" if self._own is None else format_peer(self._own),
             self._zone,
             peer_names,
-            now_s - self._started_s >= SETTLE_S,
+            now_s - self._started_s >= STARTUP_DELAY_S,
         )
--- a/src/lovagestage/gateway/wiring.py
+++ b/src/lovagestage/gateway/wiring.py
@@ -10,7 +10,7 @@
 
 import mode
 
-from lovagestage.decisions.warmup import ZoneDealers
+from lovagestage.decisions.warmup import ZoneWarmupPolicy
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.cold_start import StartupGate
 from lovagestage.gateway.connections import ConnectionPool
@@ -46,7 +46,7 @@
 from lovagestage.gateway.state_view import OperatorStateView, UpstreamStateView
 from lovagestage.gateway.store_recovery import StoreRecoverySignal
 from lovagestage.gateway.suspects import SuspectWatch
-from lovagestage.gateway.warmups import WarmupGuard
+from lovagestage.gateway.warmup_guard import WarmupGuard
 from lovagestage.messages.crashes import CrashReport
 from lovagestage.platform.store import (
     OPERATOR_TOPIC,
@@ -131,7 +131,7 @@
     make_store = functools.partial(_make_store, settings, exposition)
     socket = _make_peer_socket(settings, exposition)
     warmup_guard = WarmupGuard(
-        ZoneDealers(),
+        ZoneWarmupPolicy(),
         settings.zone,
         None if socket is None else socket.own_address,
         lambda: () if gossip is None else gossip.get_zone_peers(),
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -17,12 +17,12 @@
     MAX_SEND_TIMES,
     SEND_TIME_RETENTION_S,
     WARMUP_GATEWAYS,
-    Gateways,
-    Pace,
-    WarmupLog,
-    ZoneDealers,
+    GatewayView,
+    RateLimit,
+    WarmupTracker,
+    ZoneWarmupPolicy,
 )
-from lovagestage.gateway import warmups
+from lovagestage.gateway import warmup_guard
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.upstream import UpstreamEntry
 from lovagestage.gateway.upstream_choice import AttemptCost, choose_upstream
@@ -34,21 +34,21 @@
 
 def make_gateways(own, names, **fields):
     others = [name for name in names if name != own]
-    return Gateways(
+    return GatewayView(
         **{
-            "own": own,
+            "own_name": own,
             "zone": "a",
             "zone_peers": others,
-            "is_settled": True,
+            "is_discovery_complete": True,
             **fields,
         }
     )
 
 
-def get_paces(names, upstream="i-1", zone="a", **fields):
-    policy = ZoneDealers()
+def get_rate_limits(names, upstream="i-1", zone="a", **fields):
+    policy = ZoneWarmupPolicy()
     return [
-        policy.get_pace(
+        policy.get_rate_limit(
             make_gateways(n, names, **fields), upstream, zone, PER_S
         )
         for n in names
@@ -57,9 +57,9 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 9])
 def test_gateways_that_agree_keep_within_the_rate(count):
-    paces = get_paces(NAMES[:count])
-    assert sum(pace.requests for pace in paces) <= PER_S
-    assert sum(pace.requests > 0 for pace in paces) == min(
+    rate_limits = get_rate_limits(NAMES[:count])
+    assert sum(rate_limit.requests for rate_limit in rate_limits) <= PER_S
+    assert sum(rate_limit.requests > 0 for rate_limit in rate_limits) == min(
         WARMUP_GATEWAYS, count
     )
 
@@ -67,25 +67,27 @@
 def test_the_rule_holds_though_a_new_gateway_knows_nobody():
     # Guards against a gateway that does not know the other gateways of its zone
     # yet and considers itself the only one.
-    newcomer = ZoneDealers().get_pace(
+    newcomer = ZoneWarmupPolicy().get_rate_limit(
         make_gateways("10.0.9.9:7000", []), "i-1", "a", PER_S
     )
-    others = sum(pace.requests for pace in get_paces(NAMES))
+    others = sum(rate_limit.requests for rate_limit in get_rate_limits(NAMES))
     assert newcomer.requests + others <= PER_S * 1.5 + 5
 
 
 def test_a_gateway_that_has_just_started_leaves_cold_upstreams_to_others():
-    assert {p.requests for p in get_paces(NAMES, is_settled=False)} == {0}
+    assert {
+        p.requests for p in get_rate_limits(NAMES, is_discovery_complete=False)
+    } == {0}
 
 
 def test_gateways_of_other_zones_leave_cold_upstreams_to_others():
-    assert {p.requests for p in get_paces(NAMES, zone="b")} == {0}
+    assert {p.requests for p in get_rate_limits(NAMES, zone="b")} == {0}
 
 
 def test_gateways_without_discovery_send_few_requests():
-    (pace,) = get_paces(NAMES[:1], zone_peers=None)
-    assert pace.requests == 1
-    assert pace.span_s > 1.0
+    (rate_limit,) = get_rate_limits(NAMES[:1], zone_peers=None)
+    assert rate_limit.requests == 1
+    assert rate_limit.span_s > 1.0
 
 
 @given(
@@ -95,7 +97,7 @@
 )
 def test_no_second_holds_more_than_the_pace(gaps_s, delays_s, requests):
     # Requests are sent some time after they were placed, in any order.
-    log, pace = WarmupLog(), Pace(requests)
+    log, rate_limit = WarmupTracker(), RateLimit(requests)
     now_s, sent_s, pending = 0.0, [], []
     for gap_s, delay_s in zip(gaps_s, delays_s, strict=False):
         now_s += gap_s
@@ -103,8 +105,8 @@
             pending.remove(due_s)
             log.record_sent(due_s)
             sent_s.append(due_s)
-        if log.has_room(pace, now_s):
-            log.note_placed()
+        if log.has_capacity(rate_limit, now_s):
+            log.record_placed()
             pending.append(now_s + delay_s)
     for first_s in sent_s:
         sent_count = sum(first_s <= at_s < first_s + 1.0 for at_s in sent_s)
@@ -112,19 +114,19 @@
 
 
 def test_what_was_sent_before_it_was_known_to_be_cold_counts():
-    log = WarmupLog()
+    log = WarmupTracker()
     for _ in range(3):
-        log.note_placed()
+        log.record_placed()
         log.record_sent(10.0)
-    log.note_left(3.0, 10.2)
-    assert not log.has_room(Pace(3), 10.9)
-    assert log.has_room(Pace(3), 11.1)
+    log.record_time_left(3.0, 10.2)
+    assert not log.has_capacity(RateLimit(3), 10.9)
+    assert log.has_capacity(RateLimit(3), 11.1)
 
 
 def test_a_late_report_does_not_end_the_warm_up():
-    log = WarmupLog()
-    assert log.note_left(3.0, 10.0)
-    assert not log.note_left(0.0, 10.1)
+    log = WarmupTracker()
+    assert log.record_time_left(3.0, 10.0)
+    assert not log.record_time_left(0.0, 10.1)
     assert log.is_cold(12.9)
     assert not log.is_cold(13.1)
 
@@ -172,7 +174,7 @@
     # Guards against an empty upstream that gets all requests while it is
     # warming up, so that it crashes, restarts, warms up again and crashes
     # again.
-    monkeypatch.setattr(warmups, "SETTLE_S", 0.0)
+    monkeypatch.setattr(warmup_guard, "STARTUP_DELAY_S", 0.0)
 
     async def run():
         crashes = []
@@ -199,7 +201,7 @@
     # Guards against a burst of requests to upstreams that started to warm up
     # while their zone was evacuated, and whose next heartbeat has not reported
     # that yet.
-    monkeypatch.setattr(warmups, "SETTLE_S", 0.0)
+    monkeypatch.setattr(warmup_guard, "STARTUP_DELAY_S", 0.0)
 
     async def run():
         async with run_gateway_harness(
@@ -248,12 +250,12 @@
 
 
 def test_retained_send_times_are_bounded():
-    log = WarmupLog()
+    log = WarmupTracker()
     for number in range(5000):
-        log.note_placed()
+        log.record_placed()
         log.record_sent(number * 0.01)
     assert len(log._send_times_s) < 2 * MAX_SEND_TIMES
-    assert not log.has_room(Pace(90), 50.0)
-    log.note_placed()
+    assert not log.has_capacity(RateLimit(90), 50.0)
+    log.record_placed()
     log.record_sent(50.0 + 2 * SEND_TIME_RETENTION_S)
     assert len(log._send_times_s) == 1
