--- a/lab/pages.py
+++ b/lab/pages.py
@@ -120,7 +120,7 @@
     ]
     served = [
         f"| `{PREFIX}{spec.name}` | {spec.kind.value} |"
-        f" {', '.join(spec.labels)} | {spec.text} |"
+        f" {', '.join(spec.labels)} | {spec.help_text} |"
         for spec in (series.value for series in Series)
     ]
     return "\n".join(
--- a/src/lovagestage/gateway/admission.py
+++ b/src/lovagestage/gateway/admission.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Admitted:
+class AdmittedRequest:
     """A request that the gateway has admitted.
 
     Attributes:
@@ -78,7 +78,7 @@
     configuration: Configuration | None,
     freshness: ConfigurationFreshness,
     now_s: float,
-) -> Admitted:
+) -> AdmittedRequest:
     """Finds the request's route and checks its API key.
 
     Args:
@@ -117,7 +117,7 @@
     if service is None:
         raise GatewayRefusalError(503, "no_backend", RETRY_AFTER_S)
     budget_s = min(request.budget_s - DEADLINE_MARGIN_S, route.timeout_s)
-    return Admitted(
+    return AdmittedRequest(
         request,
         route,
         service,
--- a/src/lovagestage/gateway/attempts.py
+++ b/src/lovagestage/gateway/attempts.py
@@ -10,12 +10,12 @@
 
 from lovagestage.exceptions import AttemptFailedError, GatewayRefusalError
 from lovagestage.gateway import upstream_choice
-from lovagestage.gateway.admission import RETRY_AFTER_S, Admitted
+from lovagestage.gateway.admission import RETRY_AFTER_S, AdmittedRequest
 from lovagestage.gateway.clocks import get_elapsed_s
+from lovagestage.gateway.crash_detection import make_fingerprint
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.retry_budget import ServiceRetryBudget
 from lovagestage.gateway.rollouts import Assignment
-from lovagestage.gateway.suspects import make_fingerprint
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.types import Fingerprint, InstanceId, RunState, ZoneId
 
@@ -54,7 +54,7 @@
             was chosen.
         work_s: Time in seconds for which the last attempt by itself occupies
             its upstream.
-        extra_s: Time in seconds that the last attempt's upstream needs beyond
+        excess_s: Time in seconds that the last attempt's upstream needs beyond
             that of a request whose shared prompt prefix is cached: the
             expected queue time, and the prefill of an uncached prefix.
         is_cached: Whether the last attempt's upstream has most likely cached
@@ -63,7 +63,8 @@
             model.
         first_event_s: Time in seconds from the request's head to its first
             event.
-        begun_s: Time in seconds from the request's head to its first attempt.
+        first_attempt_s: Time in seconds from the request's head to its first
+            attempt.
         connect_s: Time in seconds for which the connection of the last answer
             took to open.
         head_s: Time in seconds from sending the request to the head of the
@@ -72,7 +73,7 @@
 
     def __init__(
         self,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         deployment: Deployment,
         budget: ServiceRetryBudget,
         zone: ZoneId,
@@ -85,11 +86,11 @@
         self.tried: list[InstanceId] = []
         self.waits_s: list[float] = []
         self.work_s = 0.0
-        self.extra_s = 0.0
+        self.excess_s = 0.0
         self.is_cached = False
         self.model: str | None = None
         self.first_event_s: float | None = None
-        self.begun_s: float | None = None
+        self.first_attempt_s: float | None = None
         self.connect_s: float | None = None
         self.head_s: float | None = None
         self._deployment = deployment
@@ -111,19 +112,19 @@
         return f"{self.admitted.request.id}/{self.sent}"
 
     @property
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Time in seconds until the request's deadline."""
         now_s = asyncio.get_running_loop().time()
         return self.admitted.get_remaining_s(now_s)
 
     @property
-    def left_ratio(self) -> float:
+    def remaining_ratio(self) -> float:
         """Share of the request's time budget that is left."""
         request = self.admitted.request
         total_s = self.admitted.deadline_s - request.arrived_s
-        return self.left_s / max(0.001, total_s)
+        return self.remaining_s / max(0.001, total_s)
 
-    def choose(self, work: upstream_choice.AttemptCost) -> Upstream:
+    def choose_upstream(self, work: upstream_choice.AttemptCost) -> Upstream:
         """Chooses the next upstream and counts the attempt.
 
         Args:
@@ -140,9 +141,9 @@
         if placement is None:
             raise self.make_refusal(self._get_missing_reason())
         upstream = placement.upstream
-        if self.begun_s is None:
+        if self.first_attempt_s is None:
             now_s = asyncio.get_running_loop().time()
-            self.begun_s = now_s - self.admitted.request.arrived_s
+            self.first_attempt_s = now_s - self.admitted.request.arrived_s
         self.work_s = placement.work_s
         self.is_cached = placement.is_cached
         if work.prefix_key is not None:
@@ -152,7 +153,7 @@
         self.tried.append(upstream.id)
         wait_s = upstream.performance.get_wait_s()
         self.waits_s.append(wait_s)
-        self.extra_s = wait_s + placement.work_s - work.cached_s
+        self.excess_s = wait_s + placement.work_s - work.cached_s
         return upstream
 
     def _get_missing_reason(self) -> str:
@@ -223,7 +224,7 @@
         )
         return deployment.filter_available(fallback, get_elapsed_s())
 
-    def get_least_wait_s(self) -> float:
+    def get_shortest_wait_s(self) -> float:
         """Returns the shortest queue time among the version's upstreams.
 
         Where the version has many upstreams, a random sample of them is
@@ -245,7 +246,7 @@
         )
         return self._deployment.filter_available(upstreams, now_s)
 
-    def note_failure(
+    def record_failure(
         self, upstream: Upstream, error: AttemptFailedError
     ) -> None:
         """Records the failure of an attempt.
@@ -269,7 +270,7 @@
         if not error.has_arrived:
             self._budget.release()
 
-    def note_head(self, connect_s: float, head_s: float) -> None:
+    def record_head(self, connect_s: float, head_s: float) -> None:
         """Records how long the last attempt took until its answer began.
 
         Args:
@@ -279,14 +280,14 @@
         """
         self.connect_s, self.head_s = connect_s, head_s
 
-    def take_back(self) -> None:
+    def uncount_attempt(self) -> None:
         """Removes the last attempt from the counts, since it was not made."""
         self.sent -= 1
         self.runs -= 1
         self.tried.pop()
         self.waits_s.pop()
 
-    def note_failed_answer(self, upstream: Upstream) -> None:
+    def record_failed_answer(self, upstream: Upstream) -> None:
         """Records that the upstream's answer reported a failure.
 
         The upstream gets no further attempt of this request. An answer of the
@@ -295,7 +296,7 @@
         self._excluded.add(upstream.id)
         self._has_new_version_failed |= self.assignment.is_new
 
-    def has_other(self) -> bool:
+    def has_other_upstream(self) -> bool:
         """Returns whether any upstream has not failed the request yet."""
         return any(
             upstream.id not in self._excluded
@@ -310,7 +311,7 @@
         than once is sent again, and no more often than its route allows.
         """
         route = self.admitted.route
-        if self.left_s < MIN_REMAINING_S or self._refusals >= MAX_REFUSALS:
+        if self.remaining_s < MIN_REMAINING_S or self._refusals >= MAX_REFUSALS:
             return False
         if self.runs >= route.max_attempts:
             return False
@@ -358,6 +359,6 @@
         if self.runs == 0:
             retry_after_s = RETRY_AFTER_S if is_retryable else None
             return GatewayRefusalError(503, reason, retry_after_s)
-        if self.left_s <= MIN_REMAINING_S:
+        if self.remaining_s <= MIN_REMAINING_S:
             return GatewayRefusalError(504, reason)
         return GatewayRefusalError(502, reason)
--- a/src/lovagestage/gateway/configuration.py
+++ b/src/lovagestage/gateway/configuration.py
@@ -43,10 +43,10 @@
         prefix: Prefix of the route's paths; begins and ends with a slash.
         kind: Whether requests may be retried after they may have run.
         timeout_s: Time limit in seconds within which a request is answered.
-        aim_s: Target latency in seconds: an answer within this time has its
-            full value.
-        gap_s: Longest interval in seconds between two events of a stream that
-            is still on time.
+        target_latency_s: Target latency in seconds: an answer within this time
+            has its full value.
+        max_event_interval_s: Longest interval in seconds between two events of
+            a stream that is still on time.
         max_attempts: Maximum number of attempts of one request that may run at
             an upstream.
         priority: Rank of the requests; 0 is the most urgent.
@@ -64,8 +64,8 @@
     prefix: str
     kind: RouteKind
     timeout_s: float
-    aim_s: float
-    gap_s: float
+    target_latency_s: float
+    max_event_interval_s: float
     max_attempts: int
     priority: int
     is_public: bool
@@ -171,7 +171,7 @@
     total = sum(backend.weight for backend in route.backends)
     if total <= 0.0:
         return None
-    point = get_share(f"{route.name}/{seed}") * total
+    point = hash_to_share(f"{route.name}/{seed}") * total
     for backend in route.backends:
         point -= backend.weight
         if point < 0.0:
@@ -179,6 +179,6 @@
     return route.backends[-1].service
 
 
-def get_share(seed: str) -> float:
+def hash_to_share(seed: str) -> float:
     """Hashes a text to a number from 0 up to but not including 1."""
     return xxhash.xxh3_64_intdigest(seed.encode()) / 2.0**64
--- a/src/lovagestage/gateway/suspects.py
+++ b/src/lovagestage/gateway/crash_detection.py
@@ -14,7 +14,7 @@
     get_fingerprint,
 )
 from lovagestage.exceptions import ConnectionLostError
-from lovagestage.gateway.admission import Admitted
+from lovagestage.gateway.admission import AdmittedRequest
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.messages.crashes import CrashReport
@@ -52,7 +52,7 @@
         report = self._table.start_probe(fingerprint, run, get_elapsed_s())
         self._post(report)
 
-    def note_lost(
+    def check_for_crash(
         self, fingerprint: Fingerprint, run: str, upstream: Upstream
     ) -> None:
         """Checks whether the upstream crashed while it ran a request.
@@ -113,7 +113,7 @@
         self._post(report)
 
 
-def make_fingerprint(admitted: Admitted) -> Fingerprint:
+def make_fingerprint(admitted: AdmittedRequest) -> Fingerprint:
     """Makes a hash of a request's workspace, path and body, without its id."""
     workspace = admitted.workspace
     name = workspace.name if workspace else ""
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -10,7 +10,6 @@
 from lovagestage.decisions.warmup import Warmup
 from lovagestage.gateway.configuration import Configuration
 from lovagestage.gateway.freshness import ConfigurationFreshness
-from lovagestage.gateway.pins import SessionPins
 from lovagestage.gateway.rollouts import (
     Assignment,
     Rollout,
@@ -19,6 +18,7 @@
     choose_version,
 )
 from lovagestage.gateway.rotation import Rotation
+from lovagestage.gateway.session_pins import SessionPins
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.gateway.warmup_guard import WarmupGuard
 from lovagestage.types import RegionId, ServiceId, VersionId, ZoneId
@@ -125,7 +125,7 @@
         for upstream in self.rotation.get_all():
             warmup = self.get_warmup(upstream.entry.service)
             if warmup is not None and upstream.entry.zone == zone:
-                self.rotation.note_cold(upstream, warmup.duration_s, now_s)
+                self.rotation.record_warmup(upstream, warmup.duration_s, now_s)
 
     def filter_warming_up(
         self, upstreams: Sequence[Upstream], now_s: float
--- a/src/lovagestage/gateway/exposition.py
+++ b/src/lovagestage/gateway/exposition.py
@@ -31,13 +31,13 @@
     Attributes:
         name: Name without the prefix; ends with the unit.
         kind: Metric type.
-        text: Help text.
+        help_text: Help text.
         labels: Names of the labels, each with a bounded number of values.
     """
 
     name: str
     kind: SeriesKind
-    text: str
+    help_text: str
     labels: tuple[str, ...] = ()
 
 
@@ -179,7 +179,7 @@
         for series in sorted(Series, key=_is_histogram):
             spec = series.value
             name = PREFIX + spec.name
-            lines.append(f"# HELP {name} {spec.text}")
+            lines.append(f"# HELP {name} {spec.help_text}")
             lines.append(f"# TYPE {name} {spec.kind.value}")
             lines += self._format_counts(series)
             lines += self._format_histograms(series)
--- a/src/lovagestage/gateway/forwarder.py
+++ b/src/lovagestage/gateway/forwarder.py
@@ -5,21 +5,21 @@
 import random
 from collections.abc import Callable
 
-from lovagestage.gateway.admission import Admitted
+from lovagestage.gateway.admission import AdmittedRequest
 from lovagestage.gateway.attempts import Attempts
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.configuration import RouteKind
 from lovagestage.gateway.connections import ConnectionPool
+from lovagestage.gateway.crash_detection import SuspectWatch
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.latency import LatencyTable, LoadGauge
-from lovagestage.gateway.plain import forward_plain
+from lovagestage.gateway.plain_runs import forward_plain
 from lovagestage.gateway.prefill import PrefillTimes
 from lovagestage.gateway.retry_budget import ServiceRetryBudget
 from lovagestage.gateway.runs import RunContext
 from lovagestage.gateway.settings import Bounds, GatewaySettings
 from lovagestage.gateway.sinks import AnswerSink, EvidenceSink
 from lovagestage.gateway.stream_runs import forward_stream
-from lovagestage.gateway.suspects import SuspectWatch
 from lovagestage.types import ServiceId
 
 
@@ -63,7 +63,7 @@
             suspects,
         )
 
-    def make_attempts(self, admitted: Admitted) -> Attempts:
+    def make_attempts(self, admitted: AdmittedRequest) -> Attempts:
         """Counts a request in the retry budget and prepares its attempts."""
         budget = self._get_budget(admitted.service)
         budget.record_request(get_elapsed_s(), self._count_gateways())
--- a/src/lovagestage/gateway/plain.py
+++ b/src/lovagestage/gateway/plain_runs.py
@@ -66,12 +66,12 @@
     ) as exchange:
         started_s = asyncio.get_running_loop().time()
         head = await wait_with_timeout(attempts, exchange.fetch_head(), limit_s)
-        attempts.note_head(exchange.connect_s, exchange.head_s)
+        attempts.record_head(exchange.connect_s, exchange.head_s)
         exchange.record_answer_start(
             asyncio.get_running_loop().time() - started_s
         )
         body = await wait_with_timeout(
-            attempts, exchange.fetch_body(MAX_BODY_BYTES), attempts.left_s
+            attempts, exchange.fetch_body(MAX_BODY_BYTES), attempts.remaining_s
         )
         return head, body
 
--- a/src/lovagestage/gateway/process.py
+++ b/src/lovagestage/gateway/process.py
@@ -13,7 +13,7 @@
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.exposition import Exposition, Series
 from lovagestage.gateway.listeners import open_listener
-from lovagestage.gateway.loglines import start_logging
+from lovagestage.gateway.log_output import start_logging
 from lovagestage.gateway.messages import CallerRequest
 from lovagestage.gateway.server import CallerConnection, CallerServer
 from lovagestage.gateway.settings import GatewaySettings
--- a/src/lovagestage/gateway/rollout_service.py
+++ b/src/lovagestage/gateway/rollout_service.py
@@ -15,6 +15,7 @@
 )
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.deployment import Deployment
+from lovagestage.gateway.failure_rates import FailureRateTable
 from lovagestage.gateway.peer_messages import (
     ActiveSessionsMessage,
     AnswerCountMessage,
@@ -22,7 +23,6 @@
     OutcomeMessage,
 )
 from lovagestage.gateway.peer_messenger import PeerMessenger
-from lovagestage.gateway.risks import FailureRateTable
 from lovagestage.gateway.rollouts import (
     COUNT_REPORT_RATIOS,
     EVIDENCE_FLOOR,
--- a/src/lovagestage/gateway/rollouts.py
+++ b/src/lovagestage/gateway/rollouts.py
@@ -13,7 +13,7 @@
 import math
 from collections.abc import Sequence
 
-from lovagestage.gateway.configuration import get_share
+from lovagestage.gateway.configuration import hash_to_share
 from lovagestage.types import InstanceId, ServiceId, VersionId
 
 STOP_EVIDENCE = 5.0
@@ -187,7 +187,7 @@
         share: Share of the traffic that the chosen upstreams get together.
     """
     count = math.ceil(share * len(names) / TRIAL_LOAD_FACTOR)
-    ranked = sorted(names, key=lambda name: get_share(f"{seed}/{name}"))
+    ranked = sorted(names, key=lambda name: hash_to_share(f"{seed}/{name}"))
     return set(ranked[: max(MIN_TRIAL_UPSTREAMS, count)])
 
 
@@ -277,7 +277,7 @@
 
     def is_below_first_share(self, session: str) -> bool:
         """Returns whether the first share includes a session."""
-        return get_share(self._make_seed(session)) < self.first_share
+        return hash_to_share(self._make_seed(session)) < self.first_share
 
     def is_collecting(self, now_s: float) -> bool:
         """Returns whether gateways still report their active sessions."""
@@ -336,7 +336,7 @@
 
         Sessions on the new version stay there as the share grows.
         """
-        return get_share(self._make_seed(seed)) < self.get_share(now_s)
+        return hash_to_share(self._make_seed(seed)) < self.get_share(now_s)
 
     def add_evidence(self, route: str, evidence: float) -> None:
         """Adds evidence from answers of one route.
--- a/src/lovagestage/gateway/rotation.py
+++ b/src/lovagestage/gateway/rotation.py
@@ -81,16 +81,16 @@
                 known.offset = offset
                 self._remove(known, now_s, was_store_unavailable)
             return
-        if known is not None and entry.born_ms in known.past_start_ms:
+        if known is not None and entry.start_ms in known.past_start_ms:
             _log_late_entry(known, entry, offset)
             return
         upstream = self._get_process(name, entry, offset, now_s)
-        if upstream.entry.born_ms != entry.born_ms:
+        if upstream.entry.start_ms != entry.start_ms:
             self.revision += 1
         upstream.entry = entry
         upstream.offset = offset
         upstream.has_left = upstream.has_left or entry.is_draining
-        self.note_cold(upstream, entry.warmup_left_s, now_s)
+        self.record_warmup(upstream, entry.warmup_left_s, now_s)
         is_draining = upstream.has_left
         upstream.set_state(
             UpstreamState.DRAINING if is_draining else UpstreamState.READY,
@@ -154,11 +154,11 @@
             self._ready[service] = ready
         return ready
 
-    def note_cold(
+    def record_warmup(
         self, upstream: Upstream, left_s: float, now_s: float
     ) -> None:
         """Records for how many seconds an upstream still warms up."""
-        upstream.note_cold(left_s, now_s)
+        upstream.record_warmup(left_s, now_s)
         self.cold_until_s = max(self.cold_until_s, now_s + left_s)
 
     def get_all(self) -> list[Upstream]:
@@ -187,7 +187,7 @@
     def _is_restart(known: Upstream, entry: UpstreamEntry) -> bool:
         # An entry without a start time is no sign of a new process, neither
         # before nor after an entry with one.
-        starts = (known.entry.born_ms, entry.born_ms)
+        starts = (known.entry.start_ms, entry.start_ms)
         return None not in starts and starts[0] != starts[1]
 
     def _restart(
@@ -201,8 +201,8 @@
             extra={
                 "upstream": known.id,
                 "service": entry.service,
-                "born": entry.born_ms,
-                "before": known.entry.born_ms,
+                "born": entry.start_ms,
+                "before": known.entry.start_ms,
                 "offset": offset,
             },
         )
@@ -256,8 +256,8 @@
         "upstream_entry_late",
         extra={
             "upstream": known.id,
-            "born": entry.born_ms,
-            "known": known.entry.born_ms,
+            "born": entry.start_ms,
+            "known": known.entry.start_ms,
             "offset": offset,
         },
     )
--- a/src/lovagestage/gateway/runs.py
+++ b/src/lovagestage/gateway/runs.py
@@ -18,6 +18,7 @@
 from lovagestage.gateway.attempts import Attempts
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.connections import ConnectionPool
+from lovagestage.gateway.crash_detection import SuspectWatch
 from lovagestage.gateway.exchange import Exchange
 from lovagestage.gateway.latency import (
     DEFAULT_ANSWER_S,
@@ -28,7 +29,6 @@
 from lovagestage.gateway.prefill import PrefillTimes, count_prefill_tokens
 from lovagestage.gateway.rollouts import AnswerQuality
 from lovagestage.gateway.sinks import EvidenceSink
-from lovagestage.gateway.suspects import SuspectWatch
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.gateway.upstream_choice import AttemptCost
 from lovagestage.types import RunState
@@ -96,11 +96,11 @@
             raise attempts.make_refusal("crashes_upstreams", is_retryable=False)
         if admission is not Admission.WAIT:
             break
-        if attempts.left_s <= PROBE_WAIT_S:
+        if attempts.remaining_s <= PROBE_WAIT_S:
             raise attempts.make_refusal("suspect_waiting")
         await asyncio.sleep(PROBE_WAIT_S)
     attempts.model = model
-    upstream = attempts.choose(estimate_work(context, attempts, model))
+    upstream = attempts.choose_upstream(estimate_work(context, attempts, model))
     if admission is Admission.PROBE:
         context.suspects.start_probe(fingerprint, attempts.run_name)
     return upstream
@@ -158,14 +158,14 @@
         GatewayRefusalError: The request's deadline has passed.
     """
     admitted = attempts.admitted
-    if attempts.left_s <= 0.0:
-        attempts.take_back()
+    if attempts.remaining_s <= 0.0:
+        attempts.uncount_attempt()
         raise attempts.make_refusal("deadline")
     workspace = admitted.workspace
     call = OutgoingCall(
         admitted.request,
         upstream.id,
-        attempts.left_s,
+        attempts.remaining_s,
         workspace.name if workspace else None,
         model,
         resume_after,
@@ -199,11 +199,13 @@
     target latency and the mean latency of such answers applies as well.
     """
     route = attempts.admitted.route
-    left_s = max(0.0, attempts.left_s)
+    left_s = max(0.0, attempts.remaining_s)
     if not route.may_run_again or attempts.runs >= route.max_attempts:
         return left_s
     mean_s = context.latency.get((route.name, model)) or 0.0
-    limit_s = max(TIMEOUT_TARGET_RATIO * route.aim_s, TIMEOUT_MEANS * mean_s)
+    limit_s = max(
+        TIMEOUT_TARGET_RATIO * route.target_latency_s, TIMEOUT_MEANS * mean_s
+    )
     return min(left_s, limit_s)
 
 
@@ -229,7 +231,7 @@
             return await awaitable
     except TimeoutError as error:
         raise AttemptFailedError(
-            "silent", RunState.UNKNOWN, attempts.left_s > 0.0
+            "silent", RunState.UNKNOWN, attempts.remaining_s > 0.0
         ) from error
 
 
@@ -245,7 +247,7 @@
     at an upstream at the same time, and two such upstreams of the new version
     would end the roll-out of a good version.
     """
-    attempts.note_failure(upstream, error)
+    attempts.record_failure(upstream, error)
     performance, now_s = upstream.performance, get_elapsed_s()
     if error.at_fault and error.run is RunState.RAN:
         performance.record_answer(True)
@@ -259,12 +261,12 @@
             "reason": error.reason,
             "run": error.run.value,
             "attempts": attempts.sent,
-            "left_s": round(attempts.left_s, 3),
+            "left_s": round(attempts.remaining_s, 3),
             "left_out_s": round(performance.get_exclusion_left_s(now_s), 2),
         },
     )
     if error.at_fault and error.reason in CRASH_LIKE_REASONS:
-        context.suspects.note_lost(
+        context.suspects.check_for_crash(
             attempts.fingerprint, attempts.run_name, upstream
         )
 
@@ -278,8 +280,8 @@
     the answer of the last upstream instead of a refusal made by the gateway.
     The call also logs the answer and, for a retry, takes it from the budget.
     """
-    attempts.note_failed_answer(upstream)
-    is_retried = attempts.has_other() and attempts.may_retry()
+    attempts.record_failed_answer(upstream)
+    is_retried = attempts.has_other_upstream() and attempts.may_retry()
     _log.warning(
         "answer_failed",
         extra={
@@ -288,7 +290,7 @@
             "status": status,
             "attempts": attempts.sent,
             "next": "repeat" if is_retried else "pass_on",
-            "left_s": round(attempts.left_s, 3),
+            "left_s": round(attempts.remaining_s, 3),
         },
     )
     return is_retried
@@ -311,7 +313,7 @@
     if version is not None and upstream.entry.version != version:
         return
     admitted = attempts.admitted
-    context.evidence.add_answer(
+    context.evidence.record_answer(
         admitted.service,
         admitted.route.name,
         attempts.assignment,
--- a/src/lovagestage/gateway/service.py
+++ b/src/lovagestage/gateway/service.py
@@ -7,16 +7,16 @@
 from http import HTTPStatus
 
 from lovagestage.exceptions import AttemptFailedError, GatewayRefusalError
-from lovagestage.gateway.admission import RETRY_AFTER_S, Admitted, admit
+from lovagestage.gateway.admission import RETRY_AFTER_S, AdmittedRequest, admit
 from lovagestage.gateway.attempts import Attempts
 from lovagestage.gateway.clocks import get_elapsed_s
-from lovagestage.gateway.cold_start import StartupGate
 from lovagestage.gateway.configuration import ClientLimits, RouteKind
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.exposition import Exposition, Series
 from lovagestage.gateway.forwarder import Forwarder
 from lovagestage.gateway.messages import CallerRequest
 from lovagestage.gateway.server import CallerConnection
+from lovagestage.gateway.startup_gate import StartupGate
 
 _log = logging.getLogger(__name__)
 
@@ -98,7 +98,7 @@
         else:
             self._log_end(attempts, "answered", connection.status)
 
-    def _admit(self, request: CallerRequest) -> Admitted:
+    def _admit(self, request: CallerRequest) -> AdmittedRequest:
         admitted = admit(
             request,
             self._deployment.configuration,
@@ -162,7 +162,7 @@
                 "version": attempts.assignment.version,
                 "model": attempts.model,
                 "prompt_tokens": request.prompt_tokens or None,
-                "begun_s": _round(attempts.begun_s),
+                "begun_s": _round(attempts.first_attempt_s),
                 "connect_s": _round(attempts.connect_s),
                 "head_s": _round(attempts.head_s),
                 "first_s": _round(attempts.first_event_s),
--- a/src/lovagestage/gateway/sinks.py
+++ b/src/lovagestage/gateway/sinks.py
@@ -29,7 +29,7 @@
 class EvidenceSink(Protocol):
     """Receives evidence for or against a version of a service."""
 
-    def add_answer(
+    def record_answer(
         self,
         service: ServiceId,
         route: str,
--- a/src/lovagestage/gateway/state_view.py
+++ b/src/lovagestage/gateway/state_view.py
@@ -16,8 +16,8 @@
     decode_configuration,
     decode_order,
     decode_upstream,
-    get_evacuated_zone,
-    get_order_service,
+    parse_evacuation_key,
+    parse_order_key,
 )
 from lovagestage.platform.records import Page, Record
 from lovagestage.types import InstanceId, Offset, ZoneId
@@ -63,7 +63,7 @@
         evacuated = {
             zone: Offset(record.offset)
             for record in page.records
-            if (zone := get_evacuated_zone(record.key)) is not None
+            if (zone := parse_evacuation_key(record.key)) is not None
         }
         changes = self._deployment.evacuations.replace_all(
             evacuated, Offset(page.end)
@@ -103,7 +103,7 @@
         self._deployment.freshness.record_update_notification(at_s)
 
     def _apply(self, record: Record) -> None:
-        zone = get_evacuated_zone(record.key)
+        zone = parse_evacuation_key(record.key)
         if zone is not None:
             self._apply_evacuation(zone, record)
             return
@@ -113,7 +113,7 @@
             configuration = decode_configuration(record.value)
             self._deployment.apply_configuration(configuration)
             self._on_configuration(configuration.version, record.value)
-        elif get_order_service(record.key) is not None:
+        elif parse_order_key(record.key) is not None:
             self._apply_order(record)
 
     def _apply_evacuation(self, zone: ZoneId, record: Record) -> None:
--- a/src/lovagestage/gateway/stream_runs.py
+++ b/src/lovagestage/gateway/stream_runs.py
@@ -8,7 +8,7 @@
 
 from lovagestage.exceptions import AttemptFailedError
 from lovagestage.gateway.attempts import Attempts
-from lovagestage.gateway.cascades import get_first_model, get_larger_model
+from lovagestage.gateway.escalation import get_first_model, get_larger_model
 from lovagestage.gateway.exchange import Exchange
 from lovagestage.gateway.messages import AnswerHead
 from lovagestage.gateway.rollouts import AnswerQuality
@@ -145,7 +145,7 @@
             head = await wait_with_timeout(
                 attempts, exchange.fetch_head(), limit_s
             )
-            attempts.note_head(exchange.connect_s, exchange.head_s)
+            attempts.record_head(exchange.connect_s, exchange.head_s)
             if head.status >= 300:
                 return await self._forward_failure(exchange, head)
             larger_model = self._get_larger_model(head)
@@ -160,7 +160,7 @@
     ) -> _NextRun | None:
         attempts = self._attempts
         body = await wait_with_timeout(
-            attempts, exchange.fetch_body(MAX_BODY_BYTES), attempts.left_s
+            attempts, exchange.fetch_body(MAX_BODY_BYTES), attempts.remaining_s
         )
         failed = head.status >= 500
         self._upstream.performance.record_answer(failed)
@@ -181,7 +181,7 @@
             return None
         route = attempts.admitted.route
         load = self._context.gauge.get_load(
-            attempts.get_least_wait_s(), route.aim_s
+            attempts.get_shortest_wait_s(), route.target_latency_s
         )
         larger_model = get_larger_model(
             route,
@@ -189,7 +189,7 @@
             head.confidence,
             attempts.admitted.request.prompt_tokens,
             load,
-            attempts.left_ratio,
+            attempts.remaining_ratio,
         )
         if larger_model is None or not attempts.may_escalate():
             return None
@@ -208,9 +208,9 @@
         self, exchange: Exchange, head: AnswerHead, limit_s: float
     ) -> None:
         attempts = self._attempts
-        event_timeout_s = attempts.admitted.route.gap_s
+        event_timeout_s = attempts.admitted.route.max_event_interval_s
         while True:
-            limit_s = min(limit_s, attempts.left_s)
+            limit_s = min(limit_s, attempts.remaining_s)
             chunk = await wait_with_timeout(
                 attempts, exchange.fetch_chunk(), limit_s
             )
@@ -249,13 +249,13 @@
         context, attempts = self._context, self._attempts
         route, time_s = attempts.admitted.route, self._get_run_time_s()
         kind = (route.name, self._model)
-        is_slow = context.latency.is_slow(kind, time_s, attempts.extra_s)
+        is_slow = context.latency.is_slow(kind, time_s, attempts.excess_s)
         quality = AnswerQuality.SLOW if is_slow else AnswerQuality.GOOD
         record_evidence(context, attempts, self._upstream, quality)
         if not attempts.assignment.is_new:
             context.latency.record(kind, time_s)
             record_prefill_time(context, attempts, time_s)
-        context.gauge.record_first_event(time_s, route.aim_s)
+        context.gauge.record_first_event(time_s, route.target_latency_s)
         if attempts.first_event_s is None:
             now_s = asyncio.get_running_loop().time()
             attempts.first_event_s = now_s - attempts.admitted.request.arrived_s
--- a/src/lovagestage/gateway/upstream.py
+++ b/src/lovagestage/gateway/upstream.py
@@ -35,7 +35,7 @@
         version: Version of the upstream's software.
         slots: Requests that the upstream works on at once.
         is_draining: Whether the upstream will soon take no new requests.
-        born_ms: Unix time of the process's start in milliseconds; None where
+        start_ms: Unix time of the process's start in milliseconds; None where
             the entry has none. Another value under the same id belongs to
             another process.
         warmup_left_s: Time in seconds for which the upstream still warms up,
@@ -48,7 +48,7 @@
     version: VersionId
     slots: int
     is_draining: bool
-    born_ms: int | None = None
+    start_ms: int | None = None
     warmup_left_s: float = 0.0
 
 
@@ -99,7 +99,7 @@
     @property
     def incarnation(self) -> str:
         """Name of this process, distinct from others under the same id."""
-        return f"{self.id}/{self.entry.born_ms}"
+        return f"{self.id}/{self.entry.start_ms}"
 
     def get_rank(self, seed: int) -> int:
         """Returns the upstream's hash rank; the same at all gateways."""
@@ -120,7 +120,7 @@
             now_s: Elapsed time in seconds.
         """
         successor = Upstream(self.id, entry, offset, now_s)
-        past = (*self.past_start_ms, self.entry.born_ms)
+        past = (*self.past_start_ms, self.entry.start_ms)
         successor.past_start_ms = past[-MAX_PAST_STARTS:]
         successor._sent_prefixes = set()
         return successor
@@ -142,7 +142,7 @@
         """
         return self._sent_prefixes is None or prefix in self._sent_prefixes
 
-    def note_cold(self, left_s: float, now_s: float) -> None:
+    def record_warmup(self, left_s: float, now_s: float) -> None:
         """Records for how long the upstream still warms up.
 
         The start of a warm-up is logged.
--- a/src/lovagestage/gateway/wiring.py
+++ b/src/lovagestage/gateway/wiring.py
@@ -12,8 +12,8 @@
 
 from lovagestage.decisions.warmup import ZoneWarmupPolicy
 from lovagestage.gateway.clocks import get_elapsed_s
-from lovagestage.gateway.cold_start import StartupGate
 from lovagestage.gateway.connections import ConnectionPool
+from lovagestage.gateway.crash_detection import SuspectWatch
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.exposition import Exposition, Series
 from lovagestage.gateway.feeds import TopicFeed, TopicReadOptions
@@ -33,7 +33,6 @@
 )
 from lovagestage.gateway.peer_messenger import PeerMessenger
 from lovagestage.gateway.peers import PeerSocket
-from lovagestage.gateway.pins import SessionPins
 from lovagestage.gateway.relay import (
     CONFIRMATION_AGE_SLACK_S,
     HELD_READ_RATIO,
@@ -42,10 +41,11 @@
 )
 from lovagestage.gateway.rollout_service import RolloutService
 from lovagestage.gateway.service import GatewayService
+from lovagestage.gateway.session_pins import SessionPins
 from lovagestage.gateway.settings import Bounds, GatewaySettings
+from lovagestage.gateway.startup_gate import StartupGate
 from lovagestage.gateway.state_view import OperatorStateView, UpstreamStateView
 from lovagestage.gateway.store_recovery import StoreRecoverySignal
-from lovagestage.gateway.suspects import SuspectWatch
 from lovagestage.gateway.warmup_guard import WarmupGuard
 from lovagestage.messages.crashes import CrashReport
 from lovagestage.platform.store import (
--- a/src/lovagestage/platform/configuration.py
+++ b/src/lovagestage/platform/configuration.py
@@ -115,8 +115,14 @@
             fields.get("RouteType", "unsafe"), RouteKind.UNSAFE
         ),
         timeout_s=fields.get("TimeoutMs", _DEFAULT_TIMEOUT_MS) / 1000,
-        aim_s=fields.get("TargetLatencyMs", _DEFAULT_TARGET_LATENCY_MS) / 1000,
-        gap_s=fields.get("TargetGapMs", _DEFAULT_EVENT_INTERVAL_MS) / 1000,
+        target_latency_s=fields.get(
+            "TargetLatencyMs", _DEFAULT_TARGET_LATENCY_MS
+        )
+        / 1000,
+        max_event_interval_s=fields.get(
+            "TargetGapMs", _DEFAULT_EVENT_INTERVAL_MS
+        )
+        / 1000,
         max_attempts=int(fields.get("MaxAttempts", 1)),
         priority=int(fields.get("Priority", 0)),
         is_public=bool(fields.get("Public", False)),
@@ -194,12 +200,12 @@
         version=VersionId(fields.Version),
         slots=fields.MaxBatchSize,
         is_draining=fields.State == "draining",
-        born_ms=None if start_ms is msgspec.UNSET else start_ms,
+        start_ms=None if start_ms is msgspec.UNSET else start_ms,
         warmup_left_s=max(0.0, fields.WarmupLeftMs / 1000),
     )
 
 
-def get_order_service(key: str) -> ServiceId | None:
+def parse_order_key(key: str) -> ServiceId | None:
     """Returns the service whose roll-out a record's key orders.
 
     Args:
@@ -213,7 +219,7 @@
     return ServiceId(key.removeprefix(_ORDER_PREFIX))
 
 
-def get_evacuated_zone(key: str) -> ZoneId | None:
+def parse_evacuation_key(key: str) -> ZoneId | None:
     """Returns the availability zone that a record's key orders to evacuate.
 
     Args:
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -19,7 +19,7 @@
 
 START_MS = 1_700_000_000_000
 ENTRY = UpstreamEntry("pool", "10.0.0.1:80", "a", "v1", 4, False, START_MS)
-RESTARTED = dataclasses.replace(ENTRY, born_ms=START_MS + 5_000)
+RESTARTED = dataclasses.replace(ENTRY, start_ms=START_MS + 5_000)
 FIELDS = {
     "Service": "pool",
     "Address": "10.0.0.1:80",
@@ -109,7 +109,7 @@
 
 def test_a_clock_that_was_set_back_hides_no_restart():
     rotation = make_rotation()
-    back = dataclasses.replace(ENTRY, born_ms=START_MS - 60_000)
+    back = dataclasses.replace(ENTRY, start_ms=START_MS - 60_000)
     before = get_single(rotation)
     rotation.apply("w1", back, 2, 1.0, False)
     assert get_single(rotation) is not before
@@ -129,8 +129,8 @@
 
 def test_decodes_start_time_where_present():
     data = json.dumps({**FIELDS, "born": START_MS}).encode()
-    assert decode_upstream(data).born_ms == START_MS
-    assert decode_upstream(json.dumps(FIELDS).encode()).born_ms is None
+    assert decode_upstream(data).start_ms == START_MS
+    assert decode_upstream(json.dumps(FIELDS).encode()).start_ms is None
 
 
 INVALID_FIELDS = [
@@ -178,7 +178,7 @@
     host, _, port = entry.address.rpartition(":")
     assert host and 0 < int(port) < 65536
     assert type(entry.slots) is int and entry.slots > 0
-    assert entry.born_ms is None or type(entry.born_ms) is int
+    assert entry.start_ms is None or type(entry.start_ms) is int
     for text in (entry.service, entry.zone, entry.version):
         assert type(text) is str
 
@@ -223,7 +223,7 @@
         harness.put_entry("w1", born=START_MS)
         rotation = harness.gateway.deployment.rotation
         await harness.wait_until(
-            lambda: get_single(rotation).entry.born_ms == START_MS
+            lambda: get_single(rotation).entry.start_ms == START_MS
         )
         assert (await harness.call("/safe/x")).status == 200
         assert (await harness.call("/safe/x")).status == 200
@@ -231,7 +231,7 @@
         assert worker.connections == 1
         harness.put_entry("w1", born=START_MS + 1)
         await harness.wait_until(
-            lambda: get_single(rotation).entry.born_ms == START_MS + 1
+            lambda: get_single(rotation).entry.start_ms == START_MS + 1
         )
         assert (await harness.call("/safe/x")).status == 200
         assert worker.connections == 2
--- a/tests/test_gateway_loglines.py
+++ b/tests/test_gateway_loglines.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lovagestage.gateway.exposition import Exposition, Series
-from lovagestage.gateway.loglines import (
+from lovagestage.gateway.log_output import (
     BURST_LINES,
     MAX_BUFFERED_BYTES,
     LineHandler,
--- a/tests/test_gateway_narrow_links.py
+++ b/tests/test_gateway_narrow_links.py
@@ -63,7 +63,9 @@
         ):
             await wait_until(lambda: listener.confirmations)
             store.faults.outage = "503"
-            await wait_until(lambda: feed.get_lost_age_s(0.0) is not None)
+            await wait_until(
+                lambda: feed.get_last_failure_age_s(0.0) is not None
+            )
             store.faults.bytes_per_s = LINK_BYTES_PER_S
             store.put(TOPIC, "config", LARGE)
             store.faults.outage = ""
--- a/tests/test_gateway_risks.py
+++ b/tests/test_gateway_risks.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lovagestage.gateway.risks import RATE_SPAN_S, FailureRateTable
+from lovagestage.gateway.failure_rates import RATE_SPAN_S, FailureRateTable
 
 PER_S = 10.0
 
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -22,7 +22,6 @@
     decode_batch,
 )
 from lovagestage.gateway.peer_messenger import PeerMessenger
-from lovagestage.gateway.pins import SessionPins
 from lovagestage.gateway.rollout_service import RolloutService
 from lovagestage.gateway.rollouts import (
     COMPLETE_ANSWERS,
@@ -44,6 +43,7 @@
     get_first_share,
     get_log_likelihood_ratio,
 )
+from lovagestage.gateway.session_pins import SessionPins
 from lovagestage.gateway.upstream import UpstreamEntry
 from lovagestage.platform.settings import decode_settings
 from lovagestage.platform.store import StoreClient
--- a/tests/test_gateway_rotation.py
+++ b/tests/test_gateway_rotation.py
@@ -125,9 +125,9 @@
         self.offset += 1
         if kind == "restart":
             self.start_ms[name] = self.start_ms.get(name, 1) + 1
-        born_ms = self.start_ms.get(name, 1) - (kind == "late")
+        start_ms = self.start_ms.get(name, 1) - (kind == "late")
         entry = DRAINING if kind == "drain" else ENTRY
-        entry = dataclasses.replace(entry, born_ms=born_ms)
+        entry = dataclasses.replace(entry, start_ms=start_ms)
         if kind == "end":
             entry = None
         self.history.setdefault(name, []).append((self.offset, entry))
@@ -149,10 +149,10 @@
         past_starts = self.past_starts.setdefault(name, [])
         last = next((e for _, e, *_ in known[::-1] if e is not None), None)
         if entry is not None and last is not None:
-            if entry.born_ms in past_starts:
+            if entry.start_ms in past_starts:
                 return
-            if entry.born_ms != last.born_ms:
-                past_starts.append(last.born_ms)
+            if entry.start_ms != last.start_ms:
+                past_starts.append(last.start_ms)
                 del past_starts[:-MAX_PAST_STARTS]
                 known.clear()
         if entry is None and known[-1][1] is None:
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -20,8 +20,8 @@
     decode_outcome,
     decode_upstream,
     encode_outcome,
-    get_evacuated_zone,
-    get_order_service,
+    parse_evacuation_key,
+    parse_order_key,
 )
 from lovagestage.platform.headers import (
     decode_answer,
@@ -169,8 +169,8 @@
     for outcome in RolloutOutcome:
         record = OutcomeRecord("v2", outcome, 9, 0.1)
         assert decode_outcome(encode_outcome(record)) == record
-    assert get_order_service("rollout/pool") == "pool"
-    assert get_order_service("config") is None
+    assert parse_order_key("rollout/pool") == "pool"
+    assert parse_order_key("config") is None
 
 
 def test_decodes_settings_and_names_the_line_at_fault():
@@ -216,6 +216,6 @@
 
 
 def test_only_orders_for_zones_name_one():
-    assert get_evacuated_zone("evacuate/lhr-johar") == "lhr-johar"
-    assert get_evacuated_zone("rollout/pool") is None
-    assert get_evacuated_zone("config") is None
+    assert parse_evacuation_key("evacuate/lhr-johar") == "lhr-johar"
+    assert parse_evacuation_key("rollout/pool") is None
+    assert parse_evacuation_key("config") is None
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -241,7 +241,7 @@
     busy = rotation.get_ready("pool")
     for upstream in busy[1:]:
         upstream.performance.waiting_elsewhere_s = 2.0
-    busy[0].note_cold(3.0, 0.0)
+    busy[0].record_warmup(3.0, 0.0)
     rng = random.Random(7)
     for number in range(50):
         work = AttemptCost(0.2, 0.1, f"subject-{number}")
