--- a/lab/experiments/billing.py
+++ b/lab/experiments/billing.py
@@ -15,7 +15,7 @@
 
 from lab.experiments import Result
 from lovagestage.decisions.billing import (
-    HOLD_TIMEOUT_S,
+    COPY_RENEWAL_TIMEOUT_S,
     Bill,
     BillingLedger,
     Peer,
@@ -94,7 +94,11 @@
         self.trace.answered.add(name)
         holder = self._choose(ledger, peer)
         copy = ledger.make_copy(number, holder)
-        if self._copies and copy and self._ledgers[holder].hold(copy, now_s):
+        if (
+            self._copies
+            and copy
+            and self._ledgers[holder].store_copies(copy, now_s)
+        ):
             ledger.on_copied(copy, holder)
 
     def _choose(self, ledger: BillingLedger, peer: Peer) -> VmId:
@@ -103,11 +107,11 @@
         return holder
 
     def _renew(self, ledger: BillingLedger, peer: Peer, now_s: int) -> None:
-        ledger.take_over(now_s)
+        ledger.take_over_bills(now_s)
         holder = self._choose(ledger, peer)
         self._ledgers[holder].on_release(ledger.make_release(), now_s)
         copy = ledger.make_missing_copy(holder)
-        if copy and self._ledgers[holder].hold(copy, now_s):
+        if copy and self._ledgers[holder].store_copies(copy, now_s):
             ledger.on_copied(copy, holder)
 
     def _append(self, ledger: BillingLedger) -> None:
@@ -172,7 +176,7 @@
         if now_s % KILL_EVERY_S == KILL_EVERY_S - 1:
             fleet.kill(rng.randrange(ENTRIES), now_s)
         fleet.step(now_s, now_s not in OUTAGE_S, True)
-    end_s = DURATION_S + int(HOLD_TIMEOUT_S) + 3 * INTERVAL_S
+    end_s = DURATION_S + int(COPY_RENEWAL_TIMEOUT_S) + 3 * INTERVAL_S
     appends = fleet.trace.appends
     for now_s in range(DURATION_S, end_s):
         fleet.step(now_s, True, False)
@@ -196,7 +200,7 @@
         number = owner.add(make_bill(f"{index:032x}"))
         copy = owner.make_copy(number, VmId("b"))
         assert copy is not None
-        holder.hold(copy, 0.0)
+        holder.store_copies(copy, 0.0)
         owner.on_copied(copy, VmId("b"))
         if index % 84 == 0:
             batch = owner.make_batch()
--- a/lab/experiments/cost.py
+++ b/lab/experiments/cost.py
@@ -27,7 +27,7 @@
     get_difficulty,
     may_escalate,
 )
-from lovagestage.decisions.learned import Learned
+from lovagestage.decisions.learned_counters import LearnedCounters
 from lovagestage.messages.counters import Arm, Plan
 from lovagestage.types import VmId
 
@@ -193,7 +193,9 @@
 
     def __init__(self, target: float) -> None:
         self._target = target
-        self.learned = [Learned(VmId(f"e{i}"), 1) for i in range(ENTRIES)]
+        self.learned = [
+            LearnedCounters(VmId(f"e{i}"), 1) for i in range(ENTRIES)
+        ]
         self.tables = [self._solve(one) for one in self.learned]
         self.wire_bytes = 0
 
@@ -206,7 +208,7 @@
                 other.merge(delta)
         self.tables = [self._solve(one) for one in self.learned]
 
-    def _solve(self, learned: Learned) -> CascadeTable:
+    def _solve(self, learned: LearnedCounters) -> CascadeTable:
         sums = learned.get_sums()
         return CascadeTable(VERSIONS, CLASS, self._target, sums)
 
@@ -224,7 +226,7 @@
             fleet.refresh(now_s)
         entry = rng.randrange(ENTRIES)
         difficulty = get_difficulty(int(trace.prompt_bytes[index]))
-        plan = fleet.tables[entry].choose(difficulty, rng)
+        plan = fleet.tables[entry].choose_plan(difficulty, rng)
         spent, score = run_plan(trace, index, plan)
         cost += spent
         quality += score
--- a/lab/experiments/deadline.py
+++ b/lab/experiments/deadline.py
@@ -16,7 +16,11 @@
 import random
 
 from lab.experiments import Result
-from lovagestage.decisions.deadlines import DeferralQueue, Deferred, SlotSpec
+from lovagestage.decisions.deadlines import (
+    DeferralQueue,
+    DeferredRequest,
+    SlotSpec,
+)
 from lovagestage.types import RequestId
 
 ENGINES = 2
@@ -147,13 +151,13 @@
     def _offer(self, work: _Work, entry: int) -> None:
         name = RequestId(work.name)
         self._works[work.name] = work, entry
-        job = Deferred(work.deadline_s, name, work.tokens)
-        if not self._queues[entry].offer(job, work.at_s):
+        job = DeferredRequest(work.deadline_s, name, work.tokens)
+        if not self._queues[entry].try_enqueue(job, work.at_s):
             self._trace.refused += 1
         self._take(entry, work.at_s)
 
     def _take(self, entry: int, now_s: float) -> None:
-        while (job := self._queues[entry].take(now_s)) is not None:
+        while (job := self._queues[entry].start_next(now_s)) is not None:
             self._submit(self._works[job.request_id][0], 1, now_s)
 
     def _submit(self, work: _Work, priority: int, now_s: float) -> None:
@@ -175,7 +179,7 @@
             self._start(now_s)
             if work.is_job and self._is_deferred:
                 entry = self._works[work.name][1]
-                self._queues[entry].end(RequestId(work.name))
+                self._queues[entry].remove(RequestId(work.name))
                 self._take(entry, now_s)
 
     def _note(self, work: _Work, now_s: float) -> None:
--- a/lab/experiments/exposure.py
+++ b/lab/experiments/exposure.py
@@ -179,7 +179,7 @@
             evidence = gate.make_evidence()
             for other in self._gates:
                 if self._rng.random() >= MESSAGE_LOSS:
-                    other.absorb(evidence)
+                    other.apply_evidence(evidence)
 
     def is_stopped(self) -> bool:
         return all(g.stop_reason is not None for g in self._gates)
--- a/lab/experiments/keys.py
+++ b/lab/experiments/keys.py
@@ -17,7 +17,7 @@
 from lab.experiments import Result
 from lab.fleet import Fleet
 from lab.shapes import Shape
-from lovagestage.decisions.request_keys import Ledger
+from lovagestage.decisions.request_keys import KeyLedger
 from lovagestage.messages.keys import Claim, RunId
 from lovagestage.state.members import MemberId, MemberJoined, MemberView
 from lovagestage.types import Offset, RequestId, VmId, WorkspaceId, ZoneId
@@ -74,7 +74,7 @@
     view = MemberView()
     vm = VmId("entry-0")
     view.apply(Offset(0), MemberJoined(vm, ZoneId("a"), 1, ""))
-    ledger = Ledger(MemberId(vm, 1), KEYS, 1.0)
+    ledger = KeyLedger(MemberId(vm, 1), KEYS, 1.0)
     ledger.apply_view(view)
     tracemalloc.start()
     for number in range(KEYS):
--- a/lab/experiments/limits.py
+++ b/lab/experiments/limits.py
@@ -224,7 +224,7 @@
                 case _Delivery() if event.vm in self._tables:
                     self._tables[event.vm].apply_report(event.report, now_s)
                 case _End() if self._tables.get(event.vm) is event.table:
-                    event.table.settle(
+                    event.table.replace_estimate(
                         event.arrival.tag,
                         event.charge,
                         event.arrival.tokens,
--- a/src/lovagestage/bus/links.py
+++ b/src/lovagestage/bus/links.py
@@ -20,7 +20,7 @@
 from lovagestage.bus.link import Link
 from lovagestage.bus.questions import Questions
 from lovagestage.bus.transport import Connection, ConnectionEvent, is_refused
-from lovagestage.decisions.subsets import Place, choose_subset
+from lovagestage.decisions.subsets import ProcessLocation, choose_subset
 from lovagestage.messages.envelope import (
     Ask,
     Heartbeat,
@@ -63,7 +63,7 @@
         subset_size: int,
     ) -> None:
         super().__init__()
-        self._own_place = Place(own.vm, zone)
+        self._own_place = ProcessLocation(own.vm, zone)
         self._subset_size = subset_size
         self._listed: dict[VmId, Vm] = {}
         self._entries: frozenset[VmId] = frozenset()
@@ -241,7 +241,7 @@
             self._subset = choose_subset(
                 self._own_place,
                 sorted(entries),
-                [Place(vm.vm, vm.zone) for vm in listed.values()],
+                [ProcessLocation(vm.vm, vm.zone) for vm in listed.values()],
                 self._subset_size,
             )
         self._listed, self._entries = listed, entries
--- a/src/lovagestage/decisions/billing.py
+++ b/src/lovagestage/decisions/billing.py
@@ -30,7 +30,7 @@
 `BillingLedger.reserve`."""
 MAX_COPY_RECORDS = 500
 """Maximum number of bills in one message of `make_missing_copy`."""
-HOLD_TIMEOUT_S = 5.0
+COPY_RENEWAL_TIMEOUT_S = 5.0
 """Seconds after which the holder takes copies over if their owner has not
 renewed them. The owner renews its copies every second; an owner that was only
 slow causes duplicates."""
@@ -222,7 +222,7 @@
             self._pending_bytes -= len(bill.data)
         self._last_appended = max(self._last_appended, batch.last_number)
 
-    def hold(self, copy: BillCopy, now_s: float) -> bool:
+    def store_copies(self, copy: BillCopy, now_s: float) -> bool:
         """Stores copies for their owner; returns False if space is lacking."""
         size_bytes = sum(len(bill.data) for bill in copy.bills)
         if self._held_bytes + size_bytes > self._limit_bytes:
@@ -240,7 +240,7 @@
         for number in [n for n in held.bills if n <= release.last_number]:
             self._held_bytes -= len(held.bills.pop(number))
 
-    def take_over(self, now_s: float) -> int:
+    def take_over_bills(self, now_s: float) -> int:
         """Turns copies of an owner that is gone into bills of this entry.
 
         Returns:
@@ -249,7 +249,7 @@
         orphaned_keys = [
             key
             for key, held in self._held.items()
-            if now_s - held.renewed_s > HOLD_TIMEOUT_S
+            if now_s - held.renewed_s > COPY_RENEWAL_TIMEOUT_S
             or self._has_later_incarnation(*key)
         ]
         count = 0
--- a/src/lovagestage/decisions/cascade.py
+++ b/src/lovagestage/decisions/cascade.py
@@ -171,7 +171,7 @@
         }
         self._solve()
 
-    def choose(self, difficulty: int, rng: random.Random) -> Plan:
+    def choose_plan(self, difficulty: int, rng: random.Random) -> Plan:
         """Chooses the plan of one request."""
         plans_to_explore = self._plans_to_explore.get(difficulty)
         if plans_to_explore and rng.random() < self.explore_ratio:
@@ -183,7 +183,7 @@
                 return share.plan
         return self._best
 
-    def get_bound(self) -> float:
+    def get_lower_bound(self) -> float:
         """Returns the lower confidence bound of the class's mean rating."""
         return _get_bound(self._contributions)
 
--- a/src/lovagestage/decisions/crash_suspects.py
+++ b/src/lovagestage/decisions/crash_suspects.py
@@ -102,7 +102,7 @@
             CrashReportKind.PROBE, fingerprint, run, now_s
         )
 
-    def add_crash(
+    def record_crash(
         self, fingerprint: Fingerprint, run: str, probe: bool, now_s: float
     ) -> CrashReport:
         """Records that an upstream crashed while it ran the request.
@@ -120,7 +120,7 @@
         kind = CrashReportKind.CONVICTED if probe else CrashReportKind.STRIKE
         return self._apply_own_report(kind, fingerprint, run, now_s)
 
-    def add_end(
+    def record_end(
         self, fingerprint: Fingerprint, run: str, answered: bool, now_s: float
     ) -> CrashReport | None:
         """Records the end of a run without a crash.
@@ -144,7 +144,7 @@
             )
         return None
 
-    def apply(self, report: CrashReport, now_s: float) -> None:
+    def apply_report(self, report: CrashReport, now_s: float) -> None:
         """Applies a report of this or another entry; repeats have no effect."""
         fingerprint = report.fingerprint
         suspect = self._get(fingerprint, now_s)
@@ -177,7 +177,7 @@
         now_s: float,
     ) -> CrashReport:
         report = CrashReport(kind, fingerprint, run)
-        self.apply(report, now_s)
+        self.apply_report(report, now_s)
         return report
 
     def _get(self, fingerprint: Fingerprint, now_s: float) -> _Suspect | None:
--- a/src/lovagestage/decisions/deadlines.py
+++ b/src/lovagestage/decisions/deadlines.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, order=True)
-class Deferred:
+class DeferredRequest:
     """A request that may wait until its deadline.
 
     Attributes:
@@ -70,13 +70,13 @@
     def __init__(self, spec: SlotSpec, limit: int) -> None:
         self._spec = spec
         self._limit = limit
-        self._waiting: list[Deferred] = []
-        self._running: dict[RequestId, tuple[Deferred, float]] = {}
+        self._waiting: list[DeferredRequest] = []
+        self._running: dict[RequestId, tuple[DeferredRequest, float]] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def offer(self, request: Deferred, now_s: float) -> bool:
+    def try_enqueue(self, request: DeferredRequest, now_s: float) -> bool:
         """Enqueues a request; returns False if it can't finish in time.
 
         A request is also rejected if the queue is full.
@@ -91,7 +91,7 @@
         self._waiting = planned
         return True
 
-    def take(self, now_s: float) -> Deferred | None:
+    def start_next(self, now_s: float) -> DeferredRequest | None:
         """Marks the next request as running and returns it.
 
         Returns:
@@ -104,7 +104,7 @@
         self._running[request.request_id] = (request, now_s)
         return request
 
-    def end(self, request_id: RequestId) -> None:
+    def remove(self, request_id: RequestId) -> None:
         """Frees the slot or queue position of a request.
 
         The request has ended, or its caller has given it up.
@@ -116,7 +116,9 @@
             if waiting.request_id != request_id
         ]
 
-    def _is_feasible(self, planned: list[Deferred], now_s: float) -> bool:
+    def _is_feasible(
+        self, planned: list[DeferredRequest], now_s: float
+    ) -> bool:
         spec = self._spec
         work_s = sum(
             max(0.0, spec.get_run_s(request.tokens) - (now_s - started_s))
--- a/src/lovagestage/decisions/evacuation.py
+++ b/src/lovagestage/decisions/evacuation.py
@@ -29,7 +29,7 @@
     is_evacuated: bool
 
 
-class Evacuations:
+class EvacuatedZones:
     """Set of the evacuated zones, in the order of the store's records.
 
     Records may be read late, repeatedly and out of order, and a read may return
@@ -47,7 +47,9 @@
     def __len__(self) -> int:
         return sum(order.is_evacuated for order in self._orders.values())
 
-    def apply(self, zone: ZoneId, offset: Offset, is_evacuated: bool) -> bool:
+    def apply_record(
+        self, zone: ZoneId, offset: Offset, is_evacuated: bool
+    ) -> bool:
         """Applies a record; returns whether the zone's state changes."""
         existing = self._orders.get(zone)
         if existing is not None and offset <= existing.offset:
@@ -72,11 +74,11 @@
         changes = {
             zone: True
             for zone, offset in evacuated.items()
-            if self.apply(zone, offset, True)
+            if self.apply_record(zone, offset, True)
         }
         for zone in self._orders.keys() - evacuated.keys():
             # The store retains no record of the removal, which took place
             # before the end of the list.
-            if self.apply(zone, Offset(end - 1), False):
+            if self.apply_record(zone, Offset(end - 1), False):
                 changes[zone] = False
         return changes
--- a/src/lovagestage/decisions/exposure.py
+++ b/src/lovagestage/decisions/exposure.py
@@ -16,7 +16,11 @@
 
 import msgspec
 
-from lovagestage.decisions.betting import Direction, FailureTest, PairedTest
+from lovagestage.decisions.sequential_tests import (
+    Direction,
+    FailureTest,
+    PairedTest,
+)
 from lovagestage.messages.peers import Evidence
 from lovagestage.state.document import RolloutSpec, RolloutState
 from lovagestage.types import VmId
@@ -125,14 +129,14 @@
 
     def get_share(self) -> float:
         """Returns the share of requests that go to the new version now."""
-        if self.stop_reason is not None or self.is_held():
+        if self.stop_reason is not None or self.is_budget_spent():
             return 0.0
         if self.spec.state is RolloutState.ABORTED:
             return 0.0
         share = self.spec.steps[min(self.step, len(self.spec.steps) - 1)]
         return min(share, self.max_share, 1.0 - HOLDBACK_SHARE)
 
-    def is_held(self) -> bool:
+    def is_budget_spent(self) -> bool:
         """Returns whether the step's budget is spent and evidence is due."""
         if self.step >= len(self.spec.steps):
             return False
@@ -190,7 +194,7 @@
         self._step_started_s = now_s
         return True
 
-    def follow(self, step: int, max_share: float) -> None:
+    def apply_recorded_step(self, step: int, max_share: float) -> None:
         """Applies the recorded step in place of the decision of `advance`.
 
         All entries apply the same record, so that the share is the same at each
@@ -205,7 +209,7 @@
         if step != self.step:
             self._enter_step(step)
 
-    def raise_entries(self, entries: int) -> None:
+    def raise_entry_count(self, entries: int) -> None:
         """Applies a larger number of entries; ignores a smaller one.
 
         An entry that this entry merely can't see still spends its part of the
@@ -213,7 +217,7 @@
         """
         self._entries = max(self._entries, entries)
 
-    def has_proof(self) -> bool:
+    def has_sufficient_evidence(self) -> bool:
         """Returns whether the evidence suffices to pass the present step."""
         if self.stop_reason is not None:
             return False
@@ -248,7 +252,7 @@
             batch.successes[True],
         )
 
-    def absorb(self, evidence: Evidence) -> None:
+    def apply_evidence(self, evidence: Evidence) -> None:
         """Applies another entry's message; drops late and repeated messages.
 
         A stop of an older epoch does not apply to this epoch, because the
@@ -309,7 +313,7 @@
         started_s = self._step_started_s or 0.0
         if now_s - started_s < self.spec.step_min_s:
             return False
-        return self.has_proof()
+        return self.has_sufficient_evidence()
 
     def _enter_step(self, step: int) -> None:
         self.step = step
--- a/src/lovagestage/decisions/learned.py
+++ b/src/lovagestage/decisions/learned_counters.py
@@ -24,7 +24,7 @@
 _Owner = tuple[VmId, int]
 
 
-class Learned:
+class LearnedCounters:
     """All counters that an entry knows.
 
     Args:
--- a/src/lovagestage/decisions/limits.py
+++ b/src/lovagestage/decisions/limits.py
@@ -230,7 +230,7 @@
         wait_s = (floor - usage.level_tokens) / refill
         return Charge(0.0, min(max(1, math.ceil(wait_s)), MAX_RETRY_AFTER_S))
 
-    def settle(
+    def replace_estimate(
         self,
         tag: WorkspaceTag,
         charge: Charge,
--- a/src/lovagestage/decisions/request_keys.py
+++ b/src/lovagestage/decisions/request_keys.py
@@ -30,10 +30,10 @@
 from lovagestage.types import Offset, WorkspaceId
 
 NEVER_COMPLETE = Offset(-1)
-"""Value of `whole_start` for a slot whose history was never complete."""
+"""Value of `complete_start` for a slot whose history was never complete."""
 _PERIODS_MISSED = Offset(-2)
 """Value of `processed_start` after periods were missed. It differs from any
-`whole_start`, so that the slot does not count as complete."""
+`complete_start`, so that the slot does not count as complete."""
 CALLER_CLOCK_MARGIN_MS = 60_000
 """Greatest error in milliseconds that is assumed of a caller's clock when its
 key contains a time."""
@@ -46,7 +46,7 @@
     """State of one slot at one of its holders.
 
     Attributes:
-        whole_start: Start of the latest period up to which, and including
+        complete_start: Start of the latest period up to which, and including
             which, `entries` contains every grant of the slot.
         processed_start: Start of the latest period that the holder has
             processed.
@@ -56,7 +56,7 @@
         entries: Claims by workspace and key.
     """
 
-    whole_start: Offset = NEVER_COMPLETE
+    complete_start: Offset = NEVER_COMPLETE
     processed_start: Offset = NEVER_COMPLETE
     lost_at_ms: int = 0
     lost_holders: tuple[MemberId, ...] = ()
@@ -81,15 +81,16 @@
         state: The action to take.
         sources: Holders that can be asked; an answer of any one of them is a
             step forward.
-        lost: Holders that were lost together with the history of the slot.
+        lost_holders: Holders that were lost together with the history of the
+            slot.
     """
 
     state: PullState
     sources: tuple[MemberId, ...] = ()
-    lost: tuple[MemberId, ...] = ()
+    lost_holders: tuple[MemberId, ...] = ()
 
 
-class Ledger:
+class KeyLedger:
     """Stores the request keys of the slots that one process holds.
 
     Args:
@@ -128,13 +129,13 @@
                 if period.start > slot.processed_start:
                     self._enter_period(slot, period)
 
-    def is_whole(self, view: MemberView, slot: int) -> bool:
+    def is_complete(self, view: MemberView, slot: int) -> bool:
         """Returns whether this process knows all claims of a slot it holds."""
         periods = view.periods[slot]
         return (
             bool(periods)
             and self.own in periods[-1].holders
-            and self.slots[slot].whole_start == periods[-1].start
+            and self.slots[slot].complete_start == periods[-1].start
         )
 
     def claim(
@@ -156,7 +157,7 @@
         holders = view.get_holders(index)
         if claim.epoch != view.epoch or holders[:1] != (self.own,):
             return ClaimAnswer(ClaimOutcome.STALE_VIEW)
-        if not self.is_whole(view, index):
+        if not self.is_complete(view, index):
             return ClaimAnswer(ClaimOutcome.BUSY)
         slot = self.slots[index]
         existing = slot.entries.get((claim.workspace, claim.key))
@@ -206,11 +207,11 @@
             return ClaimAnswer(ClaimOutcome.BUSY)
         return ClaimAnswer(ClaimOutcome.GRANTED, existing)
 
-    def take_copy(
+    def store_copy(
         self, view: MemberView, copy: Copy, now_s: float
     ) -> CopyAnswer:
         """Stores a claim as copy holder; refuses it in another epoch."""
-        if copy.epoch != view.epoch or not self.is_whole(view, copy.slot):
+        if copy.epoch != view.epoch or not self.is_complete(view, copy.slot):
             return CopyAnswer(False)
         entry = copy.entry
         if entry is None:
@@ -233,7 +234,7 @@
         slot = self.slots[pull.slot]
         return PullAnswer(
             view.epoch,
-            slot.whole_start,
+            slot.complete_start,
             slot.lost_at_ms,
             slot.lost_holders,
             [e.at(now_s - e.put_at_s) for e in slot.entries.values()],
@@ -250,10 +251,10 @@
         Args:
             view: The member view in force.
             index: Number of the slot.
-            answers: `whole_start` of each holder that has answered in this
+            answers: `complete_start` of each holder that has answered in this
                 epoch.
         """
-        if self.is_whole(view, index):
+        if self.is_complete(view, index):
             return PullStep(PullState.COMPLETE)
         periods = view.periods[index]
         for period in reversed(periods):
@@ -265,11 +266,11 @@
         # No record names the holders of the earlier claims. This process stands
         # in for them: it is a live member, so the time in a key never proves
         # that the key is new.
-        return PullStep(PullState.LOST, lost=(self.own,))
+        return PullStep(PullState.LOST, lost_holders=(self.own,))
 
     def finish_pull(self, view: MemberView, index: int) -> None:
         """Marks a slot's history as complete after its sources were read."""
-        self.slots[index].whole_start = view.periods[index][-1].start
+        self.slots[index].complete_start = view.periods[index][-1].start
 
     def merge(self, index: int, answer: PullAnswer, now_s: float) -> None:
         """Adds entries of another holder; of two claims the later one wins."""
@@ -304,12 +305,12 @@
                 slot.lost_holders = ()
 
     def _enter_period(self, slot: Slot, period: Period) -> None:
-        was_complete = slot.whole_start == slot.processed_start
+        was_complete = slot.complete_start == slot.processed_start
         slot.processed_start = period.start
         if self.own not in period.holders:
             return
-        if period.is_first or (was_complete and slot.whole_start >= 0):
-            slot.whole_start = period.start
+        if period.is_first or (was_complete and slot.complete_start >= 0):
+            slot.complete_start = period.start
 
     def _plan_period_pull(
         self,
@@ -326,7 +327,7 @@
         """
         starts = [answers[m] for m in period.holders if m in answers]
         if self.own in period.holders:
-            starts.append(self.slots[index].whole_start)
+            starts.append(self.slots[index].complete_start)
         if any(start >= period.start for start in starts):
             return PullStep(PullState.COMPLETE)
         other_holders = tuple(
@@ -341,7 +342,7 @@
             return PullStep(PullState.ASK, other_holders)
         if starts or not period.holders:
             return None
-        return PullStep(PullState.LOST, lost=period.holders)
+        return PullStep(PullState.LOST, lost_holders=period.holders)
 
     def _find_refusal(
         self,
--- a/src/lovagestage/decisions/run_gate.py
+++ b/src/lovagestage/decisions/run_gate.py
@@ -61,7 +61,7 @@
             now_ms - PERMIT_LIFETIME_MS, self._latest_forgotten_permit_ms
         )
 
-    def inquire(
+    def query_run(
         self,
         run: RunKey,
         incarnation: int,
@@ -100,7 +100,7 @@
         """Refuses, from now on, a run that has not started."""
         self._forbidden[run] = now_ms
 
-    def forget(self, run: RunKey, permit_ms: int) -> None:
+    def record_forgotten(self, run: RunKey, permit_ms: int) -> None:
         """Records that the answer of a run is no longer retained."""
         self._ended[run] = permit_ms
         while len(self._ended) > MAX_ENDED_RUNS:
--- a/src/lovagestage/decisions/subsets.py
+++ b/src/lovagestage/decisions/subsets.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class ProcessLocation:
     """A process and its location.
 
     Attributes:
@@ -43,9 +43,9 @@
 
 
 def choose_subset(
-    own: Place,
+    own: ProcessLocation,
     entries: Sequence[VmId],
-    targets: Sequence[Place],
+    targets: Sequence[ProcessLocation],
     size: int,
 ) -> frozenset[VmId]:
     """Chooses the targets that an entry keeps connections to.
@@ -74,7 +74,7 @@
 
 
 def _choose_own_targets(
-    own: Place, others: list[Place], size: int
+    own: ProcessLocation, others: list[ProcessLocation], size: int
 ) -> list[VmId]:
     # A rank changes only if a VM is added or removed, so that a change of one
     # VM moves one connection.
--- a/src/lovagestage/decisions/tombstones.py
+++ b/src/lovagestage/decisions/tombstones.py
@@ -19,7 +19,7 @@
 class RunTrace(enum.Enum):
     """Knowledge about a run that is not in the table of runs."""
 
-    BARRED = "barred"
+    REFUSED = "barred"
     """The run never ran on this sidecar and is refused for good."""
     FORGOTTEN = "forgotten"
     """The run ran on this sidecar; its answer is no longer retained."""
@@ -42,34 +42,34 @@
 
     Args:
         limit: Maximum number of runs that are retained.
-        keep_s: Seconds for which each run is retained; longer than any
+        retention_s: Seconds for which each run is retained; longer than any
             deadline.
     """
 
-    def __init__(self, limit: int, keep_s: float) -> None:
+    def __init__(self, limit: int, retention_s: float) -> None:
         self._limit = limit
-        self._retention_s = keep_s
+        self._retention_s = retention_s
         self._traces: dict[RunKey, _Trace] = {}
         self._uncertain_until_s = 0.0
 
     def __len__(self) -> int:
         return len(self._traces)
 
-    def add_forgotten(self, key: RunKey, now_s: float) -> None:
+    def record_forgotten(self, key: RunKey, now_s: float) -> None:
         """Records a run whose answer is no longer retained."""
         if not self._add(key, RunTrace.FORGOTTEN, now_s):
             # From now on an unknown run may be this one. No run is reported as
             # never seen until this run's record would have expired.
             self._uncertain_until_s = now_s + self._retention_s
 
-    def bar(self, key: RunKey, now_s: float) -> RunTrace:
+    def refuse(self, key: RunKey, now_s: float) -> RunTrace:
         """Refuses a run for good that is not in the table of runs, if possible.
 
         Returns:
-            `BARRED` only if the run never ran on this sidecar and never will.
+            `REFUSED` only if the run never ran on this sidecar and never will.
         """
         existing = self.get(key)
-        if existing is RunTrace.BARRED:
+        if existing is RunTrace.REFUSED:
             # The repeated refusal has to last for the full time again: the
             # record of the first one may be about to expire, and the run could
             # then start.
@@ -79,9 +79,9 @@
             return existing
         if now_s < self._uncertain_until_s:
             return RunTrace.UNKNOWN
-        if not self._add(key, RunTrace.BARRED, now_s):
+        if not self._add(key, RunTrace.REFUSED, now_s):
             return RunTrace.UNKNOWN
-        return RunTrace.BARRED
+        return RunTrace.REFUSED
 
     def get(self, key: RunKey) -> RunTrace | None:
         """Returns what is recorded of a run; None if nothing is."""
--- a/src/lovagestage/entry/billing_service.py
+++ b/src/lovagestage/entry/billing_service.py
@@ -156,7 +156,7 @@
             return True
 
     def _on_renew_due(self) -> None:
-        taken = self._ledger.take_over(time.monotonic())
+        taken = self._ledger.take_over_bills(time.monotonic())
         if taken:
             _log.warning("billing_taken_over", extra={"bills": taken})
         # Only the present holder is renewed. A former one takes its copies
@@ -195,7 +195,7 @@
 
     async def _on_copy(self, message: Message) -> Message:
         assert isinstance(message, BillCopy)
-        return BillCopied(self._ledger.hold(message, time.monotonic()))
+        return BillCopied(self._ledger.store_copies(message, time.monotonic()))
 
     def _on_release(self, peer: PeerId, message: Message) -> None:
         del peer
--- a/src/lovagestage/entry/cascade_service.py
+++ b/src/lovagestage/entry/cascade_service.py
@@ -14,7 +14,7 @@
 from lovagestage.bus.transport import PeerId
 from lovagestage.control.reader import ControlReader
 from lovagestage.decisions.cascade import CascadeTable, get_difficulty
-from lovagestage.decisions.learned import Learned
+from lovagestage.decisions.learned_counters import LearnedCounters
 from lovagestage.execution.request import Request, Result
 from lovagestage.messages.counters import Arm, LearnedDelta, Plan
 from lovagestage.messages.envelope import Message
@@ -78,7 +78,7 @@
     def __init__(
         self,
         control: ControlReader,
-        learned: Learned,
+        learned: LearnedCounters,
         peers: LinkTable,
         timers: TimerService,
         hub: Hub,
@@ -120,7 +120,9 @@
         table = self._find(key)
         if table is None:
             return key.make_arm(difficulty, Plan(versions[-1]))
-        return key.make_arm(difficulty, table.choose(difficulty, self._rng))
+        return key.make_arm(
+            difficulty, table.choose_plan(difficulty, self._rng)
+        )
 
     def add_answer(self, arm: Arm, request: Request, result: Result) -> None:
         """Counts an answer that followed a plan, with all that it cost."""
@@ -145,7 +147,7 @@
             {
                 "class": key.get_scope(),
                 "versions": key.versions,
-                "bound": table.get_bound(),
+                "bound": table.get_lower_bound(),
                 "explore_ratio": table.explore_ratio,
                 "levels": {
                     str(level): [
--- a/src/lovagestage/entry/crash_watch.py
+++ b/src/lovagestage/entry/crash_watch.py
@@ -87,7 +87,7 @@
             yield
         except UpstreamCrashedError:
             now_s = time.monotonic()
-            self._tell(self._table.add_crash(name, run, probe, now_s))
+            self._tell(self._table.record_crash(name, run, probe, now_s))
             _log.warning("upstream_crashed", extra={"run": run, "probe": probe})
             raise
         except BaseException:
@@ -96,7 +96,7 @@
         self._end(name, run, True)
 
     def _end(self, name: Fingerprint, run: str, answered: bool) -> None:
-        report = self._table.add_end(name, run, answered, time.monotonic())
+        report = self._table.record_end(name, run, answered, time.monotonic())
         if report is not None:
             self._tell(report)
 
@@ -115,5 +115,5 @@
         assert isinstance(message, CrashReport)
         if message in self._told:
             return
-        self._table.apply(message, time.monotonic())
+        self._table.apply_report(message, time.monotonic())
         self._tell(message)
--- a/src/lovagestage/entry/deferral_service.py
+++ b/src/lovagestage/entry/deferral_service.py
@@ -12,7 +12,7 @@
 import time
 from collections.abc import AsyncIterator, Callable, Mapping
 
-from lovagestage.decisions.deadlines import DeferralQueue, Deferred
+from lovagestage.decisions.deadlines import DeferralQueue, DeferredRequest
 from lovagestage.exceptions import (
     DeadlineInfeasibleError,
     MalformedRequestError,
@@ -80,7 +80,7 @@
             async for part in _run_when_room(request, make_parts):
                 yield part
         finally:
-            self._queue.end(request.request_id)
+            self._queue.remove(request.request_id)
             self._starts.pop(request.request_id, None)
             self._start_next()
 
@@ -106,9 +106,11 @@
             self._starts[request.request_id] = start
             return start
         tokens = max_tokens or DEFAULT_MAX_TOKENS
-        deferred = Deferred(request.deadline_at_s, request.request_id, tokens)
+        deferred = DeferredRequest(
+            request.deadline_at_s, request.request_id, tokens
+        )
         now_s = time.monotonic()
-        if not self._queue.offer(deferred, now_s):
+        if not self._queue.try_enqueue(deferred, now_s):
             left_s = request.deadline_at_s - now_s
             raise DeadlineInfeasibleError(
                 f"An answer of up to {tokens} tokens can't be promised within"
@@ -119,7 +121,7 @@
         return start
 
     def _start_next(self) -> None:
-        while (job := self._queue.take(time.monotonic())) is not None:
+        while (job := self._queue.start_next(time.monotonic())) is not None:
             self._starts[job.request_id].set()
 
 
--- a/src/lovagestage/entry/exposure_service.py
+++ b/src/lovagestage/entry/exposure_service.py
@@ -147,7 +147,7 @@
         """See `rollout_driver.Evidence`; without a rater time alone counts."""
         gate = self._get_gate(rollout)
         if self._has_rater:
-            return gate.has_proof()
+            return gate.has_sufficient_evidence()
         return gate.stop_reason is None
 
     def get_dump(self) -> list[dict[str, object]]:
@@ -159,9 +159,9 @@
                 "revision": key.revision,
                 "step": gate.step,
                 "share": gate.get_share(),
-                "held": gate.is_held(),
+                "held": gate.is_budget_spent(),
                 "exposed": gate.exposed,
-                "has_proof": gate.has_proof(),
+                "has_proof": gate.has_sufficient_evidence(),
                 "stop_reason": gate.stop_reason and gate.stop_reason.value,
                 "is_recorded": self._is_recorded(key),
             }
@@ -193,10 +193,10 @@
 
     def _follow_one(self, gate: ExposureGate, rollout: Rollout) -> None:
         progress = rollout.progress
-        gate.raise_entries(len(self._peers.get_listed()) + 1)
+        gate.raise_entry_count(len(self._peers.get_listed()) + 1)
         done = progress.phase is RolloutPhase.DONE
         step = len(rollout.spec.steps) if done else progress.step
-        gate.follow(step, rollout.get_share())
+        gate.apply_recorded_step(step, rollout.get_share())
         if progress.stop_reason:
             gate.stop(_get_reason(progress.stop_reason))
             self._note_stop(progress.key, gate)
@@ -245,7 +245,7 @@
         key = RolloutKey(message.service, message.model, epoch)
         gate = self._gates.get(key)
         if gate is not None:
-            gate.absorb(message.evidence)
+            gate.apply_evidence(message.evidence)
             self._note_stop(key, gate)
 
     @mode.Service.task
--- a/src/lovagestage/entry/key_service.py
+++ b/src/lovagestage/entry/key_service.py
@@ -12,7 +12,7 @@
 from lovagestage.bus.links import LinkTable
 from lovagestage.control.membership import Membership
 from lovagestage.control.reader import ControlReader
-from lovagestage.decisions.request_keys import Ledger, PullState
+from lovagestage.decisions.request_keys import KeyLedger, PullState
 from lovagestage.messages.envelope import Message
 from lovagestage.messages.keys import (
     Claim,
@@ -96,7 +96,7 @@
             "key_limit": self._settings.key_limit,
             "slots_held": len(held),
             "slots_whole": sum(
-                self._ledger.is_whole(self.view, s) for s in held
+                self._ledger.is_complete(self.view, s) for s in held
             ),
             "slots_with_loss": sum(
                 self._ledger.slots[s].lost_at_ms > 0 for s in held
@@ -107,8 +107,8 @@
         slot = self.view.get_slot(claim.workspace, claim.key)
         return self.view.get_holders(slot)
 
-    def _make_ledger(self) -> Ledger:
-        return Ledger(
+    def _make_ledger(self) -> KeyLedger:
+        return KeyLedger(
             self._membership.get_own_id(),
             self._settings.key_limit,
             self._settings.key_window_s,
@@ -128,7 +128,7 @@
 
     async def _answer_copy(self, message: Message) -> Message:
         assert isinstance(message, Copy)
-        return self._ledger.take_copy(self.view, message, time.monotonic())
+        return self._ledger.store_copy(self.view, message, time.monotonic())
 
     async def _answer_pull(self, message: Message) -> Message:
         assert isinstance(message, Pull)
@@ -180,9 +180,9 @@
 
     def _is_done(self, slot: int) -> bool:
         ledger = self._ledger
-        return ledger.own not in self.view.get_holders(slot) or ledger.is_whole(
-            self.view, slot
-        )
+        return ledger.own not in self.view.get_holders(
+            slot
+        ) or ledger.is_complete(self.view, slot)
 
     async def _pull_now(self, slot: int) -> bool:
         ledger, epoch = self._ledger, self.view.epoch
@@ -192,7 +192,7 @@
             if step.state is not PullState.ASK:
                 if step.state is PullState.LOST:
                     _log.warning("slot_history_lost", extra={"slot": slot})
-                    ledger.mark_lost(slot, step.lost, _get_wall_ms())
+                    ledger.mark_lost(slot, step.lost_holders, _get_wall_ms())
                 ledger.finish_pull(self.view, slot)
                 return True
             asked = step.sources[0]
@@ -204,7 +204,7 @@
             if not isinstance(answer, PullAnswer) or answer.epoch != epoch:
                 return False
             ledger.merge(slot, answer, time.monotonic())
-            answers[asked] = answer.whole_start
+            answers[asked] = answer.complete_start
         return True
 
 
--- a/src/lovagestage/entry/limit_service.py
+++ b/src/lovagestage/entry/limit_service.py
@@ -111,7 +111,7 @@
             used = get_used_tokens(
                 request, result, charge.tokens, is_proved_not_run
             )
-            self._table.settle(tag, charge, used, time.monotonic())
+            self._table.replace_estimate(tag, charge, used, time.monotonic())
 
     def get_dump(self) -> list[dict[str, object]]:
         """State by workspace, for the dump."""
--- a/src/lovagestage/execution/runs.py
+++ b/src/lovagestage/execution/runs.py
@@ -44,7 +44,7 @@
 second, and an entry sends nothing once they have stayed away for 2 s."""
 
 _TRACE_STATES = {
-    RunTrace.BARRED: (RunState.NOT_RUN, "dispatch_lost"),
+    RunTrace.REFUSED: (RunState.NOT_RUN, "dispatch_lost"),
     RunTrace.FORGOTTEN: (RunState.RAN, "upstream_lost"),
     RunTrace.UNKNOWN: (RunState.UNKNOWN, "upstream_lost"),
 }
@@ -95,7 +95,7 @@
         key = (run.request_id, run.attempt)
         if key in self._runs and run.incarnation == self.gate.incarnation:
             return InquiryAnswer(RunKnown.HERE)
-        known = self.gate.inquire(
+        known = self.gate.query_run(
             key,
             run.incarnation,
             run.permit_ms,
@@ -124,7 +124,7 @@
             return
         if self._is_late(dispatch):
             self.forbid(dispatch)
-            trace = self._tombstones.bar(key, time.monotonic())
+            trace = self._tombstones.refuse(key, time.monotonic())
             self._refuse(peer, key, trace)
             return
         if not self._may_start(dispatch):
@@ -172,7 +172,9 @@
         key = (message.request_id, message.attempt)
         run = self._runs.get(key)
         if run is None:
-            self._refuse(peer, key, self._tombstones.bar(key, time.monotonic()))
+            self._refuse(
+                peer, key, self._tombstones.refuse(key, time.monotonic())
+            )
             return
         self._hub.send(peer, Accepted(*key))
         run.pump(run.attach(peer, message.from_seq), self._hub.send)
@@ -191,7 +193,7 @@
         key = (message.request_id, message.attempt)
         run = self._runs.get(key)
         if run is None:
-            self._tombstones.bar(key, time.monotonic())
+            self._tombstones.refuse(key, time.monotonic())
             return
         if run.end is not None or run.task is None:
             return
@@ -247,9 +249,9 @@
             key = self._ended.popleft()
             del self._runs[key]
             self._ended_bytes -= run.size_bytes
-            self._tombstones.add_forgotten(key, now_s)
+            self._tombstones.record_forgotten(key, now_s)
             if run.dispatch.keyed:
-                self.gate.forget(key, run.dispatch.permit_ms)
+                self.gate.record_forgotten(key, run.dispatch.permit_ms)
         self.gate.remove_expired(self.get_clock_ms())
 
     def get_sizes(self) -> dict[str, int]:
--- a/src/lovagestage/gateway/crash_detection.py
+++ b/src/lovagestage/gateway/crash_detection.py
@@ -71,13 +71,13 @@
     def record_answered(self, fingerprint: Fingerprint, run: str) -> None:
         """Clears a request that an upstream has answered."""
         now_s = get_elapsed_s()
-        report = self._table.add_end(fingerprint, run, True, now_s)
+        report = self._table.record_end(fingerprint, run, True, now_s)
         if report is not None:
             self._post(report)
 
     def on_report(self, report: CrashReport) -> None:
         """Applies another gateway's report."""
-        self._table.apply(report, get_elapsed_s())
+        self._table.apply_report(report, get_elapsed_s())
 
     async def _confirm_crash(
         self, fingerprint: Fingerprint, run: str, upstream: Upstream
@@ -100,7 +100,9 @@
         # confirmed.
         strikes = self._table.get_strikes(fingerprint, now_s)
         is_final_strike = strikes >= STRIKES_TO_PROBE
-        report = self._table.add_crash(fingerprint, run, is_final_strike, now_s)
+        report = self._table.record_crash(
+            fingerprint, run, is_final_strike, now_s
+        )
         _log.warning(
             "upstream_crashed",
             extra={
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping, Sequence
 
 from lovagestage.decisions.allowed_regions import RegionSet, is_region_allowed
-from lovagestage.decisions.evacuation import Evacuations
+from lovagestage.decisions.evacuation import EvacuatedZones
 from lovagestage.decisions.warmup import Warmup
 from lovagestage.gateway.configuration import Configuration
 from lovagestage.gateway.freshness import ConfigurationFreshness
@@ -57,7 +57,7 @@
         self.rotation = Rotation()
         self.rollouts: dict[ServiceId, Rollout] = {}
         self.pins = pins
-        self.evacuations = Evacuations()
+        self.evacuations = EvacuatedZones()
         self.regions: Mapping[ZoneId, RegionId] = {}
         self._warmup_guard = warmup_guard
 
--- a/src/lovagestage/gateway/state_view.py
+++ b/src/lovagestage/gateway/state_view.py
@@ -118,7 +118,7 @@
 
     def _apply_evacuation(self, zone: ZoneId, record: Record) -> None:
         is_evacuated = record.value is not None
-        if self._deployment.evacuations.apply(
+        if self._deployment.evacuations.apply_record(
             zone, Offset(record.offset), is_evacuated
         ):
             self._on_evacuation_changed(zone, is_evacuated, record.offset)
--- a/src/lovagestage/messages/keys.py
+++ b/src/lovagestage/messages/keys.py
@@ -139,7 +139,7 @@
     """Answer to `Pull`; see `request_keys.Slot`. Entries carry ages."""
 
     epoch: Offset
-    whole_start: Offset
+    complete_start: Offset
     lost_at_ms: int
     lost_holders: tuple[MemberId, ...]
     entries: list[LedgerEntry]
--- a/src/lovagestage/wiring.py
+++ b/src/lovagestage/wiring.py
@@ -40,7 +40,7 @@
 from lovagestage.control.writer import ControlWriter
 from lovagestage.decisions.billing import BillingLedger
 from lovagestage.decisions.deadlines import DeferralQueue, SlotSpec
-from lovagestage.decisions.learned import Learned
+from lovagestage.decisions.learned_counters import LearnedCounters
 from lovagestage.decisions.limits import LimitTable
 from lovagestage.entry.billing_service import BillingService
 from lovagestage.entry.cascade_service import CascadeService
@@ -275,7 +275,7 @@
 ) -> CascadeService:
     return CascadeService(
         base.control,
-        Learned(base.own.vm, base.own.incarnation),
+        LearnedCounters(base.own.vm, base.own.incarnation),
         peers,
         base.timers,
         base.hub,
--- a/tests/test_billing.py
+++ b/tests/test_billing.py
@@ -67,7 +67,9 @@
 
     def send_copy(self, vm, copy, ack_arrives):
         holder = self.get_holder(vm)
-        if copy is None or not self.ledgers[holder].hold(copy, self.now_s):
+        if copy is None or not self.ledgers[holder].store_copies(
+            copy, self.now_s
+        ):
             return False
         if ack_arrives:
             self.ledgers[vm].on_copied(copy, holder)
@@ -108,7 +110,7 @@
         ledger = self.ledgers[vm]
         if vm in self.gone:
             return
-        ledger.take_over(self.now_s)
+        ledger.take_over_bills(self.now_s)
         if lost:
             return
         holder = self.get_holder(vm)
@@ -130,7 +132,7 @@
     def switch_log(self, up):
         self.log_up = up
 
-    @rule(seconds=st.floats(0.1, 2 * billing.HOLD_TIMEOUT_S))
+    @rule(seconds=st.floats(0.1, 2 * billing.COPY_RENEWAL_TIMEOUT_S))
     def wait(self, seconds):
         self.now_s += seconds
 
@@ -156,7 +158,7 @@
     def settle(self):
         self.log_up = True
         for _ in range(3):
-            self.now_s += billing.HOLD_TIMEOUT_S + 1
+            self.now_s += billing.COPY_RENEWAL_TIMEOUT_S + 1
             for vm in VMS:
                 self.renew(vm, False)
             for vm in VMS:
@@ -254,10 +256,10 @@
 
 def test_bills_of_a_silent_owner_are_taken_over_once():
     owner, holder = make_ledger(), make_ledger("entry-1")
-    holder.hold(owner.make_copy(owner.add(make_bill()), "entry-1"), 0.0)
-    assert holder.take_over(billing.HOLD_TIMEOUT_S) == 0
-    assert holder.take_over(billing.HOLD_TIMEOUT_S + 0.1) == 1
-    assert holder.take_over(billing.HOLD_TIMEOUT_S + 0.2) == 0
+    holder.store_copies(owner.make_copy(owner.add(make_bill()), "entry-1"), 0.0)
+    assert holder.take_over_bills(billing.COPY_RENEWAL_TIMEOUT_S) == 0
+    assert holder.take_over_bills(billing.COPY_RENEWAL_TIMEOUT_S + 0.1) == 1
+    assert holder.take_over_bills(billing.COPY_RENEWAL_TIMEOUT_S + 0.2) == 0
     assert len(holder.make_batch().bills) == 1
 
 
@@ -268,17 +270,17 @@
     # the holder must not wait until it renews or drops them.
     owner, holder = make_ledger(), make_ledger("entry-1")
     number = owner.add(make_bill())
-    holder.hold(owner.make_copy(number, "entry-1"), 0.0)
-    assert holder.take_over(1.0) == 0
+    holder.store_copies(owner.make_copy(number, "entry-1"), 0.0)
+    assert holder.take_over_bills(1.0) == 0
     holder.on_release(BillRelease("entry-0", 2, 0), 1.0)
-    assert holder.take_over(1.0) == 1
+    assert holder.take_over_bills(1.0) == 1
 
 
 def test_release_drops_only_what_the_log_has():
     owner, holder = make_ledger(), make_ledger("entry-1")
     for index in range(3):
         number = owner.add(make_bill(f"r{index}"))
-        holder.hold(owner.make_copy(number, "entry-1"), 0.0)
+        holder.store_copies(owner.make_copy(number, "entry-1"), 0.0)
     owner.on_appended(owner.make_batch())
     holder.on_release(owner.make_release(), 0.0)
     assert holder.get_sizes()["held"] == 1
@@ -300,7 +302,7 @@
         owner.make_copy(owner.add(make_bill(f"r{index}")), "entry-1")
         for index in range(4)
     ]
-    held = [holder.hold(copy, 0.0) for copy in copies]
+    held = [holder.store_copies(copy, 0.0) for copy in copies]
     assert held == [True, True, False, False]
 
 
@@ -310,7 +312,7 @@
     owner.on_appended(owner.make_batch())
     holder.on_release(owner.make_release(), 0.0)
     assert isinstance(copy, BillCopy)
-    holder.hold(copy, 0.1)
+    holder.store_copies(copy, 0.1)
     holder.on_release(owner.make_release(), 0.2)
     assert holder.get_sizes()["held"] == 0
 
--- a/tests/test_cascade.py
+++ b/tests/test_cascade.py
@@ -17,7 +17,10 @@
     make_plans,
     may_escalate,
 )
-from lovagestage.decisions.learned import RETAINED_WINDOWS, Learned
+from lovagestage.decisions.learned_counters import (
+    RETAINED_WINDOWS,
+    LearnedCounters,
+)
 from lovagestage.messages.counters import Arm, Counter, Plan
 from lovagestage.types import VmId
 
@@ -51,7 +54,7 @@
 def test_cold_start_uses_the_best_version():
     table = make_table({}, 0.8)
     rng = random.Random(1)
-    plans = [table.choose(0, rng) for _ in range(4000)]
+    plans = [table.choose_plan(0, rng) for _ in range(4000)]
     others = sum(plan != LARGE for plan in plans) / len(plans)
     assert others < 2 * MIN_EXPLORE_RATIO
 
@@ -142,7 +145,7 @@
         for level in (0, 1)
         for share in table.shares[level]
     )
-    if naive_cost < float("inf") and table.get_bound() >= target:
+    if naive_cost < float("inf") and table.get_lower_bound() >= target:
         assert cost <= naive_cost + 10.0 * MAX_EXPLORE_RATIO
 
 
@@ -157,7 +160,9 @@
     counters = make_counters(means, [1.0, 2.0, 3.0, 4.0, 10.0])
     table = make_table(counters, target, allowed)
     rng = random.Random(seed)
-    plans = [table.choose(level, rng) for level in range(8) for _ in range(20)]
+    plans = [
+        table.choose_plan(level, rng) for level in range(8) for _ in range(20)
+    ]
     assert {p.start for p in plans} <= set(allowed)
     assert {p.then for p in plans} <= {"", *allowed}
 
@@ -199,7 +204,7 @@
 
 
 def make_deltas(rng):
-    owners = [Learned(VmId(f"e{i}"), 1) for i in range(3)]
+    owners = [LearnedCounters(VmId(f"e{i}"), 1) for i in range(3)]
     deltas = []
     for _ in range(12):
         learned = rng.choice(owners)
@@ -217,7 +222,10 @@
 def test_merging_needs_no_order_and_takes_repeats(seed, data):
     deltas = make_deltas(random.Random(seed))
     shuffled = [*data.draw(st.permutations(deltas)), *deltas[:5]]
-    ordered_merge, shuffled_merge = Learned(VmId("a"), 1), Learned(VmId("b"), 1)
+    ordered_merge, shuffled_merge = (
+        LearnedCounters(VmId("a"), 1),
+        LearnedCounters(VmId("b"), 1),
+    )
     for delta in deltas:
         ordered_merge.merge(delta)
     for delta in shuffled:
@@ -234,9 +242,9 @@
     # Guards against losing the ratings that an entry reported before its
     # restart. Its new counters start at zero; taken as an older copy of the
     # former counters, they would be dropped until they had grown larger.
-    reader = Learned(VmId("a"), 1)
+    reader = LearnedCounters(VmId("a"), 1)
     for incarnation, count in ((1, 5), (2, 2)):
-        entry = Learned(VmId("b"), incarnation)
+        entry = LearnedCounters(VmId("b"), incarnation)
         for _ in range(count):
             entry.add_rating(Arm("c", 0, SMALL), 1.0)
         reader.merge(entry.make_delta())
@@ -244,7 +252,7 @@
 
 
 def test_old_windows_are_forgotten():
-    learned = Learned(VmId("a"), 1)
+    learned = LearnedCounters(VmId("a"), 1)
     learned.add_rating(Arm("c", 0, SMALL), 1.0)
     learned.set_window(RETAINED_WINDOWS - 1)
     assert learned.get_sums()
@@ -262,6 +270,6 @@
     for _ in range(5):
         start_s = time.perf_counter()
         for _ in range(1000):
-            table.choose(rng.randrange(8), rng)
+            table.choose_plan(rng.randrange(8), rng)
         best_s = min(best_s, (time.perf_counter() - start_s) / 1000)
     assert best_s < 100e-6
--- a/tests/test_crash_suspects.py
+++ b/tests/test_crash_suspects.py
@@ -50,7 +50,7 @@
 
     def apply_report(self, report):
         for table in self.tables:
-            table.apply(report, self.now_s)
+            table.apply_report(report, self.now_s)
 
     @rule(
         name=st.sampled_from([CRASHING, CRASHING, *HARMLESS]),
@@ -87,7 +87,7 @@
         self.lost += 1
         for name, run, _, probe, _ in failed_runs:
             self.apply_report(
-                self.tables[0].add_crash(name, run, probe, self.now_s)
+                self.tables[0].record_crash(name, run, probe, self.now_s)
             )
 
     @precondition(lambda self: any(r[0] != CRASHING for r in self.running))
@@ -96,7 +96,7 @@
         harmless_runs = [run for run in self.running if run[0] != CRASHING]
         answered = harmless_runs[choice % len(harmless_runs)]
         self.running.remove(answered)
-        report = self.tables[0].add_end(
+        report = self.tables[0].record_end(
             answered[0], answered[1], True, self.now_s
         )
         if report is not None:
@@ -130,13 +130,13 @@
     # can therefore only convict the request that caused it.
     table = SuspectTable()
     for run in ("a", "b"):
-        table.add_crash(CRASHING, run, False, 0.0)
-        table.add_crash(HARMLESS[0], run, False, 0.0)
+        table.record_crash(CRASHING, run, False, 0.0)
+        table.record_crash(HARMLESS[0], run, False, 0.0)
     assert table.admit(HARMLESS[0], 0.0) is Admission.PROBE
     table.start_probe(HARMLESS[0], "c", 0.0)
-    table.add_end(HARMLESS[0], "c", True, 1.0)
+    table.record_end(HARMLESS[0], "c", True, 1.0)
     assert table.admit(HARMLESS[0], 1.0) is Admission.FREE
-    table.add_crash(CRASHING, "d", True, 1.0)
+    table.record_crash(CRASHING, "d", True, 1.0)
     assert table.admit(CRASHING, 1.0) is Admission.REFUSE
     assert table.admit(CRASHING, 1.0 + CONVICTION_RETENTION_S) is Admission.FREE
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -10,7 +10,11 @@
 from hypothesis import strategies as st
 
 from lab.experiments import deadline as experiment
-from lovagestage.decisions.deadlines import DeferralQueue, Deferred, SlotSpec
+from lovagestage.decisions.deadlines import (
+    DeferralQueue,
+    DeferredRequest,
+    SlotSpec,
+)
 from lovagestage.entry.deferral_service import (
     DeferralService,
     resolve_deadline_s,
@@ -48,7 +52,7 @@
     done = []
 
     def start_runs(now_s):
-        while (job := queue.take(now_s)) is not None:
+        while (job := queue.start_next(now_s)) is not None:
             run_s = spec.get_run_s(job.tokens) * actual[job.request_id]
             end = (now_s + run_s, job.request_id, job.deadline_s)
             heapq.heappush(ends, end)
@@ -57,7 +61,7 @@
         while ends and ends[0][0] <= limit_s:
             end_s, name, deadline_s = heapq.heappop(ends)
             done.append((end_s, deadline_s))
-            queue.end(RequestId(name))
+            queue.remove(RequestId(name))
             start_runs(end_s)
 
     for index, (at_s, tokens, wait_s, duration_ratio) in enumerate(
@@ -66,7 +70,7 @@
         run_until(at_s)
         name = RequestId(str(index))
         actual[name] = duration_ratio
-        queue.offer(Deferred(at_s + wait_s, name, tokens), at_s)
+        queue.try_enqueue(DeferredRequest(at_s + wait_s, name, tokens), at_s)
         start_runs(at_s)
     run_until(float("inf"))
     return done
@@ -86,16 +90,16 @@
     # earlier deadline would finish in time itself, but would delay an admitted
     # one beyond its deadline.
     queue = DeferralQueue(SlotSpec(1, 10.0, 0.0), 10)
-    assert queue.offer(Deferred(10.0, RequestId("a"), 40), 0.0)
-    assert queue.offer(Deferred(12.0, RequestId("b"), 40), 0.0)
-    assert not queue.offer(Deferred(9.0, RequestId("c"), 20), 0.0)
+    assert queue.try_enqueue(DeferredRequest(10.0, RequestId("a"), 40), 0.0)
+    assert queue.try_enqueue(DeferredRequest(12.0, RequestId("b"), 40), 0.0)
+    assert not queue.try_enqueue(DeferredRequest(9.0, RequestId("c"), 20), 0.0)
 
 
 def test_work_that_can_be_done_is_admitted():
     # Both slots are free and no deadline is close.
     queue = DeferralQueue(SPEC, 10)
     admitted = [
-        queue.offer(Deferred(100.0, RequestId(str(i)), 40), 0.0)
+        queue.try_enqueue(DeferredRequest(100.0, RequestId(str(i)), 40), 0.0)
         for i in range(10)
     ]
     assert all(admitted)
@@ -106,36 +110,40 @@
     # deadline.
     queue = DeferralQueue(SPEC, 20)
     for index in range(10):
-        queue.offer(Deferred(100.0, RequestId(str(index)), 40), 0.0)
-    assert queue.offer(Deferred(6.0, RequestId("urgent"), 40), 0.0)
-    assert queue.take(0.0).request_id == "urgent"
+        queue.try_enqueue(
+            DeferredRequest(100.0, RequestId(str(index)), 40), 0.0
+        )
+    assert queue.try_enqueue(DeferredRequest(6.0, RequestId("urgent"), 40), 0.0)
+    assert queue.start_next(0.0).request_id == "urgent"
 
 
 def test_running_requests_keep_to_the_slots():
     queue = DeferralQueue(SPEC, 10)
     for index in range(5):
-        queue.offer(Deferred(100.0, RequestId(str(index)), 10), 0.0)
-    started = [queue.take(0.0) for _ in range(3)]
+        queue.try_enqueue(
+            DeferredRequest(100.0, RequestId(str(index)), 10), 0.0
+        )
+    started = [queue.start_next(0.0) for _ in range(3)]
     assert [request is not None for request in started] == [True, True, False]
-    queue.end(RequestId("0"))
-    assert queue.take(1.0) is not None
+    queue.remove(RequestId("0"))
+    assert queue.start_next(1.0) is not None
 
 
 def test_abandoned_request_frees_its_slot():
     # A caller disconnects while its request waits. The capacity that was booked
     # for the request has to become available to the next one.
     queue = DeferralQueue(SlotSpec(1, 10.0, 0.0), 10)
-    assert queue.offer(Deferred(13.0, RequestId("a"), 100), 0.0)
-    later_request = Deferred(14.0, RequestId("b"), 100)
-    assert not queue.offer(later_request, 0.0)
-    queue.end(RequestId("a"))
-    assert queue.offer(later_request, 0.0)
+    assert queue.try_enqueue(DeferredRequest(13.0, RequestId("a"), 100), 0.0)
+    later_request = DeferredRequest(14.0, RequestId("b"), 100)
+    assert not queue.try_enqueue(later_request, 0.0)
+    queue.remove(RequestId("a"))
+    assert queue.try_enqueue(later_request, 0.0)
 
 
 def test_full_queue_refuses():
     queue = DeferralQueue(SPEC, 1)
-    assert queue.offer(Deferred(100.0, RequestId("a"), 1), 0.0)
-    assert not queue.offer(Deferred(100.0, RequestId("b"), 1), 0.0)
+    assert queue.try_enqueue(DeferredRequest(100.0, RequestId("a"), 1), 0.0)
+    assert not queue.try_enqueue(DeferredRequest(100.0, RequestId("b"), 1), 0.0)
 
 
 def test_jobs_are_done_in_time_beside_till_lookups():
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -8,43 +8,43 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lovagestage.decisions.evacuation import Evacuations
+from lovagestage.decisions.evacuation import EvacuatedZones
 from tests.gateway_harness import run_gateway_harness
 
 
 def test_the_newest_record_of_a_zone_decides():
     # A read of an older state of the store returns the order to evacuate the
     # zone after the removal of that order.
-    evacuations = Evacuations()
-    assert evacuations.apply("a", 4, True)
-    assert evacuations.apply("a", 6, False)
-    assert not evacuations.apply("a", 4, True)
+    evacuations = EvacuatedZones()
+    assert evacuations.apply_record("a", 4, True)
+    assert evacuations.apply_record("a", 6, False)
+    assert not evacuations.apply_record("a", 4, True)
     assert "a" not in evacuations
 
 
 def test_an_order_sent_twice_changes_nothing():
-    evacuations = Evacuations()
-    evacuations.apply("a", 4, True)
-    assert not evacuations.apply("a", 5, True)
+    evacuations = EvacuatedZones()
+    evacuations.apply_record("a", 4, True)
+    assert not evacuations.apply_record("a", 5, True)
     assert "a" in evacuations
 
 
 def test_a_zone_missing_in_a_full_list_is_restored():
     # The store dropped its history, including the record that removed the
     # order.
-    evacuations = Evacuations()
-    evacuations.apply("a", 4, True)
-    evacuations.apply("b", 5, True)
+    evacuations = EvacuatedZones()
+    evacuations.apply_record("a", 4, True)
+    evacuations.apply_record("b", 5, True)
     assert evacuations.replace_all({"b": 5}, 9) == {"a": False}
     assert "a" not in evacuations
     assert "b" in evacuations
 
 
 def test_an_outdated_full_list_changes_nothing():
-    evacuations = Evacuations()
-    evacuations.apply("a", 4, True)
-    evacuations.apply("b", 5, True)
-    evacuations.apply("b", 8, False)
+    evacuations = EvacuatedZones()
+    evacuations.apply_record("a", 4, True)
+    evacuations.apply_record("b", 5, True)
+    evacuations.apply_record("b", 8, False)
     assert evacuations.replace_all({"b": 5}, 3) == {}
     assert "a" in evacuations
     assert "b" not in evacuations
@@ -60,11 +60,11 @@
     for offset, zone in enumerate(written):
         earlier = sum(name == zone for name, _, _ in history)
         history.append((zone, offset, earlier % 2 == 0))
-    evacuations = Evacuations()
+    evacuations = EvacuatedZones()
     newest = {}
     for read in reads:
         zone, offset, is_evacuated = history[read % len(history)]
-        evacuations.apply(zone, offset, is_evacuated)
+        evacuations.apply_record(zone, offset, is_evacuated)
         newest[zone] = max(
             newest.get(zone, (-1, False)), (offset, is_evacuated)
         )
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -7,19 +7,19 @@
 import pytest
 from hypothesis import given, settings
 
-from lovagestage.decisions.betting import (
-    BETS,
-    Direction,
-    FailureTest,
-    PairedTest,
-    get_start_weight,
-)
 from lovagestage.decisions.exposure import (
     HOLDBACK_SHARE,
     Assignment,
     ExposureGate,
     StopReason,
 )
+from lovagestage.decisions.sequential_tests import (
+    BETS,
+    Direction,
+    FailureTest,
+    PairedTest,
+    get_start_weight,
+)
 from lovagestage.state.document import RolloutSpec, RolloutState
 from lovagestage.types import Offset, VmId
 
@@ -198,8 +198,8 @@
     for _ in range(40):
         first.add_outcome(CRASH_ASSIGNMENT, failed=True)
     message = first.make_evidence()
-    second.absorb(message)
-    second.absorb(message)
+    second.apply_evidence(message)
+    second.apply_evidence(message)
     send_requests(second, random.Random(1), 2000, 1.0)
     assert second.stop_reason is StopReason.PEER
     assert second.get_share() == 0.0
@@ -208,7 +208,7 @@
 def test_stop_of_an_older_epoch_is_dropped():
     old, new = make_gate("e1", 2, epoch=1), make_gate("e2", 2, epoch=2)
     old.stop(StopReason.OPERATOR)
-    new.absorb(old.make_evidence())
+    new.apply_evidence(old.make_evidence())
     assert new.stop_reason is None
 
 
@@ -218,9 +218,9 @@
     )
     other.add_outcome(CRASH_ASSIGNMENT, failed=True)
     message = other.make_evidence()
-    gate_once.absorb(message)
+    gate_once.apply_evidence(message)
     for _ in range(50):
-        gate_repeated.absorb(message)
+        gate_repeated.apply_evidence(message)
     assert gate_repeated.stop_reason is None
     assert (
         gate_repeated._stop_failures.get_wealth()
@@ -238,7 +238,7 @@
     for gate in gates:
         message = gate.make_evidence()
         for other in gates:
-            other.absorb(message)
+            other.apply_evidence(message)
     assert all(gate.stop_reason is not None for gate in gates)
 
 
@@ -256,18 +256,18 @@
     # The driver has recorded a step. The gate applies it, requires new evidence
     # for it, and never exceeds the share that the record allows.
     gate = make_gate()
-    gate.follow(1, 0.05)
+    gate.apply_recorded_step(1, 0.05)
     assert gate.step == 1
     assert gate.get_share() == 0.05
-    gate.follow(1, 0.0)
+    gate.apply_recorded_step(1, 0.0)
     assert gate.get_share() == 0.0
-    assert not gate.has_proof()
+    assert not gate.has_sufficient_evidence()
 
 
 def test_entries_that_go_out_of_sight_free_no_budget():
     gate = make_gate(entries=3)
-    gate.raise_entries(2)
-    gate.follow(0, 1.0)
+    gate.raise_entry_count(2)
+    gate.apply_recorded_step(0, 1.0)
     rng = random.Random(1)
     for _ in range(10_000):
         gate.assign(rng)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -45,7 +45,7 @@
         charge = table.admit(TAG, tokens, 0, now_s)
         if charge.retry_after_s is not None:
             return used
-        table.settle(TAG, charge, tokens, now_s)
+        table.replace_estimate(TAG, charge, tokens, now_s)
         used += tokens
 
 
@@ -127,7 +127,7 @@
     table = make_table()
     charge = table.admit(TAG, 5000, 0, 5.0)
     assert table.admit(TAG, 10, 0, 5.0).retry_after_s is not None
-    table.settle(TAG, charge, 0, 5.0)
+    table.replace_estimate(TAG, charge, 0, 5.0)
     assert table.admit(TAG, 10, 0, 5.0).retry_after_s is None
 
 
@@ -147,7 +147,7 @@
     # A caller that retries after the time in `retry_after_s` is served.
     table = make_table()
     charge = table.admit(TAG, 1500, 0, 5.0)
-    table.settle(TAG, charge, 1500, 5.0)
+    table.replace_estimate(TAG, charge, 1500, 5.0)
     refused = table.admit(TAG, 10, 2, 5.0)
     later_s = 5.0 + refused.retry_after_s
     assert table.admit(TAG, 10, 2, later_s).retry_after_s is None
--- a/tests/test_request_keys_model.py
+++ b/tests/test_request_keys_model.py
@@ -17,7 +17,7 @@
     rule,
 )
 
-from lovagestage.decisions.request_keys import Ledger, PullState
+from lovagestage.decisions.request_keys import KeyLedger, PullState
 from lovagestage.decisions.run_gate import RunGate
 from lovagestage.messages.keys import Claim, ClaimOutcome, Pull, RunId, RunKnown
 from lovagestage.state.members import (
@@ -38,7 +38,7 @@
         self.record = MemberJoined(name, zone, incarnation, "")
         self.id = MemberId(name, incarnation)
         self.view, self.folded = MemberView(SLOTS), 0
-        self.ledger = Ledger(self.id, 100, 1e9, SLOTS)
+        self.ledger = KeyLedger(self.id, 100, 1e9, SLOTS)
         log.append(self.record)
 
     def fold(self, log):
@@ -198,7 +198,7 @@
     def on_copy(self, member, owner, copy, claim, caller):
         entry = self.get_entry(member)
         if entry is not None:
-            taken = entry.ledger.take_copy(entry.view, copy, 0.0)
+            taken = entry.ledger.store_copy(entry.view, copy, 0.0)
             self.net.append((self.on_copied, owner, copy, taken, claim, caller))
 
     def on_copied(self, owner, copy, taken, claim, caller):
@@ -249,7 +249,7 @@
         name = (run.request_id, run.attempt)
         known = RunKnown.HERE
         if sidecar.here.get(name) != run:
-            known = sidecar.gate.inquire(
+            known = sidecar.gate.query_run(
                 name, run.incarnation, run.permit_ms, True, self.now_ms
             )
         self.net.append((self.on_known, run, known, caller))
@@ -300,7 +300,7 @@
             step = entry.ledger.plan_pull(entry.view, slot, answers)
             if step.state is not PullState.ASK:
                 if step.state is PullState.LOST:
-                    entry.ledger.mark_lost(slot, step.lost, self.now_ms)
+                    entry.ledger.mark_lost(slot, step.lost_holders, self.now_ms)
                 entry.ledger.finish_pull(entry.view, slot)
                 return
             source = self.get_entry(step.sources[0])
@@ -312,7 +312,7 @@
             if answer.epoch != entry.view.epoch:
                 return
             entry.ledger.merge(slot, answer, 0.0)
-            answers[step.sources[0]] = answer.whole_start
+            answers[step.sources[0]] = answer.complete_start
 
     @rule(pick=PICK, fault=st.sampled_from(["silent", "killed", "replaced"]))
     def change_view(self, pick, fault):
@@ -348,7 +348,7 @@
     def forget_runs(self, pick):
         sidecar = self.sidecars[pick % SIDECARS]
         for name, run in sidecar.here.items():
-            sidecar.gate.forget(name, run.permit_ms)
+            sidecar.gate.record_forgotten(name, run.permit_ms)
         sidecar.here.clear()
 
     @rule(seconds=st.sampled_from([1, 20, 40, 90]))
--- a/tests/test_request_keys_rules.py
+++ b/tests/test_request_keys_rules.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lovagestage.decisions.request_keys import (
-    Ledger,
+    KeyLedger,
     PullState,
     get_uuid7_time_ms,
 )
@@ -50,7 +50,7 @@
 
 def make_single_holder(max_entries=10, window_s=100.0):
     view = make_view(("a", "z1"), slots=1)
-    ledger = Ledger(MemberId("a", 1), max_entries, window_s, slots=1)
+    ledger = KeyLedger(MemberId("a", 1), max_entries, window_s, slots=1)
     ledger.apply_view(view)
     return view, ledger
 
@@ -68,12 +68,12 @@
     # replaced it.
     gate = RunGate(incarnation=2)
     assert not gate.may_start(RUN, 1, 0, 0)
-    assert gate.inquire(RUN, 1, 0, True, 0) is RunKnown.FORGOTTEN
+    assert gate.query_run(RUN, 1, 0, True, 0) is RunKnown.FORGOTTEN
 
 
 def test_gate_refuses_a_forbidden_run_however_late_it_comes():
     gate = RunGate(1)
-    assert gate.inquire(RUN, 1, 500, True, 1000) is RunKnown.FORBIDDEN
+    assert gate.query_run(RUN, 1, 500, True, 1000) is RunKnown.FORBIDDEN
     for now_ms in range(1000, 1000 + 4 * PERMIT_LIFETIME_MS, 1000):
         gate.remove_expired(now_ms)
         assert not gate.may_start(RUN, 1, 500, now_ms)
@@ -83,10 +83,10 @@
 def test_gate_says_never_only_while_it_remembers_all_later_runs():
     gate = RunGate(1)
     for number in range(MAX_ENDED_RUNS + 1):
-        gate.forget((f"r{number}", 1), permit_ms=number + 10)
-    assert gate.inquire(("r0", 1), 1, 10, True, 0) is RunKnown.FORGOTTEN
-    assert gate.inquire(("r1", 1), 1, 11, True, 0) is RunKnown.FORGOTTEN
-    assert gate.inquire(("new", 1), 1, 12, True, 0) is RunKnown.FORBIDDEN
+        gate.record_forgotten((f"r{number}", 1), permit_ms=number + 10)
+    assert gate.query_run(("r0", 1), 1, 10, True, 0) is RunKnown.FORGOTTEN
+    assert gate.query_run(("r1", 1), 1, 11, True, 0) is RunKnown.FORGOTTEN
+    assert gate.query_run(("new", 1), 1, 12, True, 0) is RunKnown.FORBIDDEN
 
 
 def test_copy_refuses_a_claim_of_another_epoch():
@@ -96,16 +96,16 @@
     view = make_view(("a", "z1"), ("b", "z2"), slots=1)
     ledgers = {}
     for member in view.get_holders(0):
-        ledgers[member] = Ledger(member, 10, 100.0, slots=1)
+        ledgers[member] = KeyLedger(member, 10, 100.0, slots=1)
         ledgers[member].apply_view(view)
     owner, copy = view.get_holders(0)
     for ledger in ledgers.values():
         ledger.finish_pull(view, 0)
     decided = ledgers[owner].claim(view, make_claim(view), 0.0, 0)
-    assert ledgers[copy].take_copy(view, decided, 0.0).taken
+    assert ledgers[copy].store_copy(view, decided, 0.0).taken
     view.apply(9, MemberRemoved(owner.vm, 1, ended=False))
     ledgers[copy].apply_view(view)
-    assert not ledgers[copy].take_copy(view, decided, 0.0).taken
+    assert not ledgers[copy].store_copy(view, decided, 0.0).taken
     stale = ledgers[owner].confirm(view, decided, CopyAnswer(True))
     assert stale.outcome is ClaimOutcome.STALE_VIEW
 
@@ -114,7 +114,7 @@
     view = make_view(("a", "z1"), ("b", "z2"), slots=1)
     ledgers = {}
     for member in view.get_holders(0):
-        ledgers[member] = Ledger(member, 10, 100.0, slots=1)
+        ledgers[member] = KeyLedger(member, 10, 100.0, slots=1)
         ledgers[member].apply_view(view)
         ledgers[member].finish_pull(view, 0)
     return view, *ledgers.values()
@@ -130,9 +130,9 @@
     decide(view, owner, make_claim(view))
     epoch = view.epoch + (1 if behind == "asked" else -1)
     answer = owner.answer_pull(view, Pull(epoch, 0), 0.0)
-    assert (answer.entries, answer.whole_start) == ([], -1)
+    assert (answer.entries, answer.complete_start) == ([], -1)
     same = owner.answer_pull(view, Pull(view.epoch, 0), 0.0)
-    assert (len(same.entries), same.whole_start) == (1, view.epoch)
+    assert (len(same.entries), same.complete_start) == (1, view.epoch)
 
 
 def test_earlier_claim_that_comes_late_replaces_no_later_one():
@@ -148,8 +148,8 @@
         0.0,
         0,
     )
-    assert copy.take_copy(view, second, 0.0).taken
-    assert not copy.take_copy(view, first, 0.0).taken
+    assert copy.store_copy(view, second, 0.0).taken
+    assert not copy.store_copy(view, first, 0.0).taken
     stale = owner.answer_pull(view, Pull(view.epoch, 0), 0.0)
     stale.entries[:] = [first.entry]
     copy.merge(0, stale, 0.0)
@@ -222,7 +222,7 @@
         view.apply(next(offsets), MemberJoined("b", "z2", number + 2, ""))
     view.apply(next(offsets), MemberRemoved("b", MAX_PERIODS + 1, ended=True))
     ledger.apply_view(view)
-    assert not ledger.is_whole(view, 0)
+    assert not ledger.is_complete(view, 0)
     assert ledger.plan_pull(view, 0, {}).state is PullState.LOST
 
 
@@ -253,12 +253,12 @@
     view = make_view(("a", "z1"), slots=1)
     view.apply(5, MemberRemoved("a", 1, ended=ended))
     view.apply(6, MemberJoined("b", "z2", 1, ""))
-    ledger = Ledger(MemberId("b", 1), 10, 1e9, slots=1)
+    ledger = KeyLedger(MemberId("b", 1), 10, 1e9, slots=1)
     ledger.apply_view(view)
     step = ledger.plan_pull(view, 0, {})
     assert step.state is PullState.LOST
     lost_ms = 1_700_000_000_000
-    ledger.mark_lost(0, step.lost, lost_ms)
+    ledger.mark_lost(0, step.lost_holders, lost_ms)
     ledger.finish_pull(view, 0)
     digits = f"{lost_ms + late_ms:012x}"
     key = f"{digits[:8]}-{digits[8:]}-7cc3-98c4-dc0c0c07398f"
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -175,8 +175,8 @@
 )
 def test_barred_is_only_said_of_runs_that_never_were_nor_will_be(steps):
     # Sidecar as the model: a run may start unless it is barred, and is later
-    # forgotten. Whatever was dropped at the bound, `BARRED` stays true.
-    table = TombstoneTable(limit=3, keep_s=10.0)
+    # forgotten. Whatever was dropped at the bound, `REFUSED` stays true.
+    table = TombstoneTable(limit=3, retention_s=10.0)
     ran, held, barred, now_s = {}, set(), {}, 0.0
     for step, number in steps:
         key = (str(number), 1)
@@ -189,9 +189,9 @@
         elif step == "forget" and key in held:
             held.discard(key)
             ran[key] = now_s
-            table.add_forgotten(key, now_s)
+            table.record_forgotten(key, now_s)
         elif step == "bar" and key not in held:
-            if table.bar(key, now_s) is RunTrace.BARRED:
+            if table.refuse(key, now_s) is RunTrace.REFUSED:
                 assert now_s - ran.get(key, -100.0) >= 10.0 or key in barred
                 barred[key] = now_s
         assert len(table) <= 3
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -8,15 +8,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lovagestage.decisions.subsets import MIN_FOLLOWERS, Place, choose_subset
+from lovagestage.decisions.subsets import (
+    MIN_FOLLOWERS,
+    ProcessLocation,
+    choose_subset,
+)
 
 ENTRIES, SIDECARS, ZONES, SIZE, PEERS = 98, 425, 4, 64, 8
 """A quarter of the target number of VMs; a sidecar has as many followers as at
 the full number."""
 
 
-def make_places(role: str, count: int, zones: int) -> list[Place]:
-    return [Place(f"{role}-{n}", f"zone-{n % zones}") for n in range(count)]
+def make_places(role: str, count: int, zones: int) -> list[ProcessLocation]:
+    return [
+        ProcessLocation(f"{role}-{n}", f"zone-{n % zones}")
+        for n in range(count)
+    ]
 
 
 def choose_all(entries, targets, size):
