--- a/lab/experiments/billing.py
+++ b/lab/experiments/billing.py
@@ -16,7 +16,7 @@
 
 from lab.experiments import Result
 from lovagestage.decisions.billing import (
-    HOLD_TIMEOUT_S,
+    COPY_RENEWAL_TIMEOUT_S,
     Bill,
     BillingLedger,
     Peer,
@@ -98,7 +98,7 @@
         if (
             self._has_copies
             and copy
-            and self._ledgers[holder].hold(copy, now_s)
+            and self._ledgers[holder].store_copies(copy, now_s)
         ):
             ledger.on_copied(copy, holder)
 
@@ -110,11 +110,11 @@
     def _renew_copies(
         self, ledger: BillingLedger, peer: Peer, now_s: int
     ) -> None:
-        ledger.take_over(now_s)
+        ledger.take_over_bills(now_s)
         holder = self._choose_holder(ledger, peer)
         self._ledgers[holder].on_release(ledger.make_release(), now_s)
         copy = ledger.make_missing_copy(holder)
-        if copy and self._ledgers[holder].hold(copy, now_s):
+        if copy and self._ledgers[holder].store_copies(copy, now_s):
             ledger.on_copied(copy, holder)
 
     def _append_batch(self, ledger: BillingLedger) -> None:
@@ -185,7 +185,7 @@
         if now_s % KILL_EVERY_S == KILL_EVERY_S - 1:
             fleet.replace_entry(rng.randrange(ENTRIES), now_s)
         fleet.run_second(now_s, now_s not in OUTAGE_S, True)
-    end_s = DURATION_S + int(HOLD_TIMEOUT_S) + 3 * INTERVAL_S
+    end_s = DURATION_S + int(COPY_RENEWAL_TIMEOUT_S) + 3 * INTERVAL_S
     appends = fleet.trace.appends
     for now_s in range(DURATION_S, end_s):
         fleet.run_second(now_s, True, False)
@@ -209,7 +209,7 @@
         number = owner.add(make_bill(f"{index:032x}"))
         copy = owner.make_copy(number, VmId("b"))
         assert copy is not None
-        holder.hold(copy, 0.0)
+        holder.store_copies(copy, 0.0)
         owner.on_copied(copy, VmId("b"))
         if index % 84 == 0:
             batch = owner.make_batch()
--- a/lab/experiments/exposure.py
+++ b/lab/experiments/exposure.py
@@ -191,7 +191,7 @@
             evidence = gate.make_evidence()
             for receiver in self._gates:
                 if self._rng.random() >= MESSAGE_LOSS:
-                    receiver.absorb(evidence)
+                    receiver.apply_evidence(evidence)
 
     def is_stopped(self) -> bool:
         return all(g.stop_reason is not None for g in self._gates)
--- a/lab/experiments/warmup.py
+++ b/lab/experiments/warmup.py
@@ -20,13 +20,13 @@
 
 from lab.experiments import Result
 from lovagestage.decisions.warmup import (
-    NOTHING,
-    Gateways,
-    Pace,
-    WarmupLog,
+    NO_REQUESTS,
+    GatewayView,
+    RateLimit,
     WarmupPolicy,
-    ZoneDealers,
-    make_pace,
+    WarmupTracker,
+    ZoneWarmupPolicy,
+    make_rate_limit,
 )
 from lovagestage.types import InstanceId, ZoneId
 
@@ -59,14 +59,14 @@
     def __init__(self, count: int) -> None:
         self._count = count
 
-    def get_pace(
+    def get_rate_limit(
         self,
-        gateways: Gateways,
+        gateways: GatewayView,
         upstream: InstanceId,
         zone: ZoneId,
         per_s: float,
-    ) -> Pace:
-        """Returns the pace at which a gateway may send to an upstream.
+    ) -> RateLimit:
+        """Returns the rate limit of a gateway for an upstream.
 
         Args:
             gateways: State view of the sending gateway.
@@ -74,9 +74,9 @@
             zone: Availability zone of the upstream.
             per_s: Requests a second that the upstream can handle.
         """
-        if not gateways.is_settled:
-            return NOTHING
-        return make_pace(per_s / self._count)
+        if not gateways.is_discovery_complete:
+            return NO_REQUESTS
+        return make_rate_limit(per_s / self._count)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -106,7 +106,7 @@
 def run(seed: int) -> Result:
     """Runs all deployment sizes with the baseline and the product's policy."""
     baseline = _run_sizes(_EvenShares, seed)
-    product = _run_sizes(lambda _: ZoneDealers(), seed)
+    product = _run_sizes(lambda _: ZoneWarmupPolicy(), seed)
     used = product["31 calm"]["used"]
     return Result(
         "warmup",
@@ -181,7 +181,7 @@
     upstreams = [InstanceId(f"i-{rng.random()}") for _ in range(UPSTREAMS)]
     discovered_s = _make_discovery_times(gateways, rng)
     logs = {
-        (g.name, upstream): WarmupLog()
+        (g.name, upstream): WarmupTracker()
         for g in gateways
         for upstream in upstreams
     }
@@ -190,10 +190,12 @@
         known = _get_state_view(gateways, gateway, discovered_s, at_s)
         for upstream in rng.sample(upstreams, len(upstreams)):
             log = logs[gateway.name, upstream]
-            pace = policy.get_pace(known, upstream, ZoneId("z0"), PER_S)
-            if log.has_room(pace, at_s):
-                log.note_placed()
-                log.note_sent(at_s)
+            rate_limit = policy.get_rate_limit(
+                known, upstream, ZoneId("z0"), PER_S
+            )
+            if log.has_capacity(rate_limit, at_s):
+                log.record_placed()
+                log.record_sent(at_s)
                 arrivals[upstream].append(at_s)
                 break
     for times_s in arrivals.values():
@@ -239,7 +241,7 @@
     gateway: _Gateway,
     discovered_s: dict[tuple[str, str], float],
     now_s: float,
-) -> Gateways:
+) -> GatewayView:
     known = [
         other
         for other in gateways
@@ -249,7 +251,7 @@
     peers_in_zone = [
         other.name for other in known if other.zone == gateway.zone
     ]
-    return Gateways(
+    return GatewayView(
         gateway.name,
         gateway.zone,
         peers_in_zone,
--- a/src/lovagestage/bus/links.py
+++ b/src/lovagestage/bus/links.py
@@ -25,7 +25,7 @@
     ConnectionEvent,
     is_connection_refused,
 )
-from lovagestage.decisions.subsets import Place, choose_subset
+from lovagestage.decisions.subsets import ProcessLocation, choose_subset
 from lovagestage.messages.envelope import (
     Ask,
     Heartbeat,
@@ -71,7 +71,7 @@
         subset_size: int,
     ) -> None:
         super().__init__()
-        self._own_place = Place(own_hello.vm, zone)
+        self._own_place = ProcessLocation(own_hello.vm, zone)
         self._subset_size = subset_size
         self._listed: dict[VmId, Vm] = {}
         self._entries: frozenset[VmId] = frozenset()
@@ -303,7 +303,7 @@
             self._subset = choose_subset(
                 self._own_place,
                 sorted(entries),
-                [Place(vm.vm, vm.zone) for vm in listed.values()],
+                [ProcessLocation(vm.vm, vm.zone) for vm in listed.values()],
                 self._subset_size,
             )
         self._listed, self._entries = listed, entries
--- a/src/lovagestage/entry/billing_service.py
+++ b/src/lovagestage/entry/billing_service.py
@@ -173,7 +173,7 @@
             return True
 
     def _on_renew_due(self) -> None:
-        taken_over = self._ledger.take_over(time.monotonic())
+        taken_over = self._ledger.take_over_bills(time.monotonic())
         if taken_over:
             _log.warning("billing_taken_over", extra={"bills": taken_over})
         # Only the current holder is renewed. A former holder takes over the
@@ -216,7 +216,7 @@
 
     async def _on_copy(self, message: Message) -> Message:
         assert isinstance(message, BillCopy)
-        return BillCopied(self._ledger.hold(message, time.monotonic()))
+        return BillCopied(self._ledger.store_copies(message, time.monotonic()))
 
     def _on_release(self, peer: PeerId, message: Message) -> None:
         del peer
--- a/src/lovagestage/entry/crash_watch.py
+++ b/src/lovagestage/entry/crash_watch.py
@@ -113,7 +113,7 @@
         except UpstreamCrashedError:
             now_s = time.monotonic()
             self._publish(
-                self._table.add_crash(fingerprint, label, is_probe, now_s)
+                self._table.record_crash(fingerprint, label, is_probe, now_s)
             )
             _log.warning(
                 "upstream_crashed", extra={"run": label, "probe": is_probe}
@@ -127,7 +127,7 @@
     def _record_end(
         self, fingerprint: Fingerprint, label: str, answered: bool
     ) -> None:
-        report = self._table.add_end(
+        report = self._table.record_end(
             fingerprint, label, answered, time.monotonic()
         )
         if report is not None:
@@ -149,5 +149,5 @@
         assert isinstance(message, CrashReport)
         if message in self._forwarded:
             return
-        self._table.apply(message, time.monotonic())
+        self._table.apply_report(message, time.monotonic())
         self._publish(message)
--- a/src/lovagestage/entry/deferral_service.py
+++ b/src/lovagestage/entry/deferral_service.py
@@ -12,7 +12,7 @@
 import time
 from collections.abc import AsyncIterator, Callable, Mapping
 
-from lovagestage.decisions.deadlines import DeferralQueue, Deferred
+from lovagestage.decisions.deadlines import DeferralQueue, DeferredRequest
 from lovagestage.exceptions import (
     DeadlineInfeasibleError,
     MalformedRequestError,
@@ -83,7 +83,7 @@
             async for chunk in _run_until_accepted(request, start_answer):
                 yield chunk
         finally:
-            self._queue.end(request.request_id)
+            self._queue.remove(request.request_id)
             self._start_events.pop(request.request_id, None)
             self._start_next()
 
@@ -109,9 +109,11 @@
             self._start_events[request.request_id] = start_event
             return start_event
         tokens = max_tokens or DEFAULT_MAX_TOKENS
-        deferred = Deferred(request.deadline_at_s, request.request_id, tokens)
+        deferred = DeferredRequest(
+            request.deadline_at_s, request.request_id, tokens
+        )
         now_s = time.monotonic()
-        if not self._queue.offer(deferred, now_s):
+        if not self._queue.try_enqueue(deferred, now_s):
             left_s = request.deadline_at_s - now_s
             raise DeadlineInfeasibleError(
                 f"An answer of up to {tokens} tokens can't be promised within"
@@ -122,7 +124,9 @@
         return start_event
 
     def _start_next(self) -> None:
-        while (deferred := self._queue.take(time.monotonic())) is not None:
+        while (
+            deferred := self._queue.start_next(time.monotonic())
+        ) is not None:
             self._start_events[deferred.request_id].set()
 
 
--- a/src/lovagestage/entry/dispatcher.py
+++ b/src/lovagestage/entry/dispatcher.py
@@ -14,7 +14,7 @@
 from lovagestage.bus.upstreams import UpstreamTable
 from lovagestage.decisions.crash_suspects import get_fingerprint
 from lovagestage.decisions.retries import (
-    COME_BACK_S,
+    RETRY_AFTER_S,
     Failure,
     RetryBudget,
     get_retry_delay_s,
@@ -111,7 +111,7 @@
             RequestRefusedError: There is no complete answer; the error says
                 whether the request was run.
         """
-        self._retry_budget.note_request(time.monotonic())
+        self._retry_budget.record_request(time.monotonic())
         try:
             async for data in self._run(request, result):
                 yield data
@@ -283,7 +283,7 @@
                 raise NoCapacityError(
                     f"No upstream can take {version!r} now.",
                     RunState.NOT_RUN,
-                    retry_after_s=COME_BACK_S,
+                    retry_after_s=RETRY_AFTER_S,
                 )
             # All connections may have stopped receiving data together although
             # the processes at their ends work. Reconnections take seconds at
--- a/src/lovagestage/exceptions.py
+++ b/src/lovagestage/exceptions.py
@@ -105,7 +105,7 @@
     code = "undecodable"
 
 
-class SealError(LovagestageError):
+class DatagramAuthenticationError(LovagestageError):
     """A datagram is not authenticated with the secret that gateways share."""
 
     code = "seal_wrong"
--- a/src/lovagestage/gateway/admission.py
+++ b/src/lovagestage/gateway/admission.py
@@ -4,7 +4,10 @@
 
 import dataclasses
 
-from lovagestage.decisions.homes import Homes, get_common_homes
+from lovagestage.decisions.allowed_regions import (
+    RegionSet,
+    intersect_allowed_regions,
+)
 from lovagestage.exceptions import GatewayRefusalError
 from lovagestage.gateway.configuration import (
     Configuration,
@@ -12,11 +15,11 @@
     WorkspaceEntry,
     choose_backend,
 )
+from lovagestage.gateway.freshness import ConfigurationFreshness
 from lovagestage.gateway.messages import CallerRequest
-from lovagestage.gateway.trust import Trust
 from lovagestage.types import ServiceId
 
-COME_BACK_S = 0.4
+RETRY_AFTER_S = 0.4
 """Time in seconds after which a refused caller should retry: long enough for a
 retry at the upstreams of another gateway, and within a third of the shortest
 deadline."""
@@ -28,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Admitted:
+class AdmittedRequest:
     """A request that the gateway has admitted.
 
     Attributes:
@@ -57,11 +60,12 @@
         return min(MAX_PRIORITY, max(0, self.route.priority))
 
     @property
-    def homes(self) -> Homes | None:
+    def allowed_regions(self) -> RegionSet | None:
         """Regions where the request may run; None for any region."""
         workspace = self.workspace
-        return get_common_homes(
-            self.route.homes, None if workspace is None else workspace.homes
+        return intersect_allowed_regions(
+            self.route.allowed_regions,
+            None if workspace is None else workspace.allowed_regions,
         )
 
     def get_remaining_s(self, now_s: float) -> float:
@@ -72,9 +76,9 @@
 def admit(
     request: CallerRequest,
     configuration: Configuration | None,
-    freshness: Trust,
+    freshness: ConfigurationFreshness,
     now_s: float,
-) -> Admitted:
+) -> AdmittedRequest:
     """Finds the request's route and checks its API key.
 
     Args:
@@ -92,9 +96,11 @@
         GatewayRefusalError: The request may not run, or not at the moment.
     """
     if configuration is None:
-        raise GatewayRefusalError(503, "no_configuration", COME_BACK_S)
+        raise GatewayRefusalError(503, "no_configuration", RETRY_AFTER_S)
     if freshness.is_superseded(now_s):
-        raise GatewayRefusalError(503, "configuration_superseded", COME_BACK_S)
+        raise GatewayRefusalError(
+            503, "configuration_superseded", RETRY_AFTER_S
+        )
     route = configuration.get_route(request.host, request.path)
     if route is None:
         # An outdated configuration may lack a route that a newer one has, so
@@ -109,9 +115,9 @@
             raise GatewayRefusalError(401, "unknown_key")
     service = choose_backend(route, request.session or str(request.id))
     if service is None:
-        raise GatewayRefusalError(503, "no_backend", COME_BACK_S)
+        raise GatewayRefusalError(503, "no_backend", RETRY_AFTER_S)
     budget_s = min(request.budget_s - DEADLINE_MARGIN_S, route.timeout_s)
-    return Admitted(
+    return AdmittedRequest(
         request,
         route,
         service,
@@ -121,6 +127,6 @@
     )
 
 
-def _check_freshness(freshness: Trust, now_s: float) -> None:
-    if not freshness.holds(now_s):
-        raise GatewayRefusalError(503, "configuration_too_old", COME_BACK_S)
+def _check_freshness(freshness: ConfigurationFreshness, now_s: float) -> None:
+    if not freshness.is_fresh(now_s):
+        raise GatewayRefusalError(503, "configuration_too_old", RETRY_AFTER_S)
--- a/src/lovagestage/gateway/configuration.py
+++ b/src/lovagestage/gateway/configuration.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-from lovagestage.decisions.homes import Homes
+from lovagestage.decisions.allowed_regions import RegionSet
 from lovagestage.decisions.warmup import Warmup
 from lovagestage.types import ServiceId, WorkspaceId
 
@@ -43,10 +43,10 @@
         prefix: Prefix of the route's paths; begins and ends with a slash.
         kind: Whether requests may be retried after they may have run.
         timeout_s: Time limit in seconds within which a request is answered.
-        aim_s: Target latency in seconds: an answer within this time has its
-            full value.
-        gap_s: Longest interval in seconds between two events of a stream that
-            is still on time.
+        target_latency_s: Target latency in seconds: an answer within this time
+            has its full value.
+        max_event_interval_s: Longest interval in seconds between two events of
+            a stream that is still on time.
         max_attempts: Maximum number of attempts of one request that may run at
             an upstream.
         priority: Rank of the requests; 0 is the most urgent.
@@ -55,7 +55,8 @@
         models: Models that may answer, smallest first; empty where the caller
             names the model.
         backends: Services that the route's requests are sent to, by weight.
-        homes: Regions where the route's requests may run; None for any region.
+        allowed_regions: Regions where the route's requests may run; None for
+            any region.
     """
 
     name: str
@@ -63,18 +64,18 @@
     prefix: str
     kind: RouteKind
     timeout_s: float
-    aim_s: float
-    gap_s: float
+    target_latency_s: float
+    max_event_interval_s: float
     max_attempts: int
     priority: int
     is_public: bool
     is_resumable: bool
     models: tuple[str, ...]
     backends: tuple[Backend, ...]
-    homes: Homes | None = None
+    allowed_regions: RegionSet | None = None
 
     @property
-    def is_repeatable(self) -> bool:
+    def may_run_again(self) -> bool:
         """Whether a request may run again after it may have run."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
@@ -99,13 +100,13 @@
         name: Name of the workspace.
         priority: Rank of the workspace's requests; None for the rank of their
             routes.
-        homes: Regions where the workspace's requests may run; None for any
-            region.
+        allowed_regions: Regions where the workspace's requests may run; None
+            for any region.
     """
 
     name: WorkspaceId
     priority: int | None = None
-    homes: Homes | None = None
+    allowed_regions: RegionSet | None = None
 
 
 class Configuration:
@@ -170,7 +171,7 @@
     total = sum(backend.weight for backend in route.backends)
     if total <= 0.0:
         return None
-    point = get_share(f"{route.name}/{seed}") * total
+    point = hash_to_share(f"{route.name}/{seed}") * total
     for backend in route.backends:
         point -= backend.weight
         if point < 0.0:
@@ -178,6 +179,6 @@
     return route.backends[-1].service
 
 
-def get_share(seed: str) -> float:
+def hash_to_share(seed: str) -> float:
     """Hashes a text to a number from 0 up to but not including 1."""
     return xxhash.xxh3_64_intdigest(seed.encode()) / 2.0**64
--- a/src/lovagestage/gateway/suspects.py
+++ b/src/lovagestage/gateway/crash_detection.py
@@ -14,7 +14,7 @@
     get_fingerprint,
 )
 from lovagestage.exceptions import ConnectionLostError
-from lovagestage.gateway.admission import Admitted
+from lovagestage.gateway.admission import AdmittedRequest
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.messages.crashes import CrashReport
@@ -52,7 +52,7 @@
         report = self._table.start_probe(fingerprint, run, get_elapsed_s())
         self._post(report)
 
-    def note_lost(
+    def check_for_crash(
         self, fingerprint: Fingerprint, run: str, upstream: Upstream
     ) -> None:
         """Checks whether the upstream crashed while it ran a request.
@@ -68,16 +68,16 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def note_answered(self, fingerprint: Fingerprint, run: str) -> None:
+    def record_answered(self, fingerprint: Fingerprint, run: str) -> None:
         """Clears a request that an upstream has answered."""
         now_s = get_elapsed_s()
-        report = self._table.add_end(fingerprint, run, True, now_s)
+        report = self._table.record_end(fingerprint, run, True, now_s)
         if report is not None:
             self._post(report)
 
     def on_report(self, report: CrashReport) -> None:
         """Applies another gateway's report."""
-        self._table.apply(report, get_elapsed_s())
+        self._table.apply_report(report, get_elapsed_s())
 
     async def _confirm_crash(
         self, fingerprint: Fingerprint, run: str, upstream: Upstream
@@ -100,7 +100,9 @@
         # confirmed.
         strikes = self._table.get_strikes(fingerprint, now_s)
         is_final_strike = strikes >= STRIKES_TO_PROBE
-        report = self._table.add_crash(fingerprint, run, is_final_strike, now_s)
+        report = self._table.record_crash(
+            fingerprint, run, is_final_strike, now_s
+        )
         _log.warning(
             "upstream_crashed",
             extra={
@@ -113,7 +115,7 @@
         self._post(report)
 
 
-def make_fingerprint(admitted: Admitted) -> Fingerprint:
+def make_fingerprint(admitted: AdmittedRequest) -> Fingerprint:
     """Makes a hash of a request's workspace, path and body, without its id."""
     workspace = admitted.workspace
     name = workspace.name if workspace else ""
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -5,11 +5,11 @@
 import logging
 from collections.abc import Mapping, Sequence
 
-from lovagestage.decisions.evacuation import Evacuations
-from lovagestage.decisions.homes import Homes, is_home
+from lovagestage.decisions.allowed_regions import RegionSet, is_region_allowed
+from lovagestage.decisions.evacuation import EvacuatedZones
 from lovagestage.decisions.warmup import Warmup
 from lovagestage.gateway.configuration import Configuration
-from lovagestage.gateway.pins import SessionPins
+from lovagestage.gateway.freshness import ConfigurationFreshness
 from lovagestage.gateway.rollouts import (
     Assignment,
     Rollout,
@@ -18,9 +18,9 @@
     choose_version,
 )
 from lovagestage.gateway.rotation import Rotation
-from lovagestage.gateway.trust import Trust
+from lovagestage.gateway.session_pins import SessionPins
 from lovagestage.gateway.upstream import Upstream
-from lovagestage.gateway.warmups import WarmupGuard
+from lovagestage.gateway.warmup_guard import WarmupGuard
 from lovagestage.types import RegionId, ServiceId, VersionId, ZoneId
 
 _log = logging.getLogger(__name__)
@@ -30,7 +30,7 @@
     """Configuration, upstreams and roll-outs in force.
 
     Args:
-        trust: Freshness of the configuration.
+        freshness: Freshness of the configuration.
         pins: Versions that sessions were last answered by.
         warmup_guard: Decides which upstreams that are warming up may get a
             request; None where upstreams handle their full load from the
@@ -38,7 +38,7 @@
 
     Attributes:
         configuration: The newest configuration; None before the first one.
-        trust: Freshness of the configuration.
+        freshness: Freshness of the configuration.
         rotation: All known upstreams and their states.
         rollouts: The last roll-out order of each service.
         pins: Versions that sessions were last answered by.
@@ -48,16 +48,16 @@
 
     def __init__(
         self,
-        trust: Trust,
+        freshness: ConfigurationFreshness,
         pins: SessionPins,
         warmup_guard: WarmupGuard | None = None,
     ) -> None:
         self.configuration: Configuration | None = None
-        self.trust = trust
+        self.freshness = freshness
         self.rotation = Rotation()
         self.rollouts: dict[ServiceId, Rollout] = {}
         self.pins = pins
-        self.evacuations = Evacuations()
+        self.evacuations = EvacuatedZones()
         self.regions: Mapping[ZoneId, RegionId] = {}
         self._warmup_guard = warmup_guard
 
@@ -81,7 +81,7 @@
         self.configuration = configuration
 
     def get_ready(
-        self, service: ServiceId, allowed_regions: Homes | None
+        self, service: ServiceId, allowed_regions: RegionSet | None
     ) -> list[Upstream]:
         """Returns the upstreams of a service to which requests may be sent.
 
@@ -101,7 +101,9 @@
             upstream
             for upstream in ready
             if upstream.entry.zone not in self.evacuations
-            and is_home(self.regions.get(upstream.entry.zone), allowed_regions)
+            and is_region_allowed(
+                self.regions.get(upstream.entry.zone), allowed_regions
+            )
         ]
 
     def get_warmup(self, service: ServiceId) -> Warmup | None:
@@ -123,7 +125,7 @@
         for upstream in self.rotation.get_all():
             warmup = self.get_warmup(upstream.entry.service)
             if warmup is not None and upstream.entry.zone == zone:
-                self.rotation.note_cold(upstream, warmup.duration_s, now_s)
+                self.rotation.record_warmup(upstream, warmup.duration_s, now_s)
 
     def filter_warming_up(
         self, upstreams: Sequence[Upstream], now_s: float
@@ -148,7 +150,7 @@
             upstream
             for upstream in upstreams
             if (warmup := self.get_warmup(upstream.entry.service)) is None
-            or guard.has_room(upstream, warmup, now_s)
+            or guard.may_send(upstream, warmup, now_s)
         ]
 
     def assign(
@@ -157,7 +159,7 @@
         session: str | None,
         request: str,
         now_s: float,
-        allowed_regions: Homes | None = None,
+        allowed_regions: RegionSet | None = None,
     ) -> Assignment:
         """Chooses the version that a request's session is assigned to.
 
@@ -196,7 +198,7 @@
         service: ServiceId,
         assignment: Assignment,
         now_s: float,
-        allowed_regions: Homes | None = None,
+        allowed_regions: RegionSet | None = None,
     ) -> list[Upstream]:
         """Returns the upstreams that take requests of an assignment.
 
@@ -224,7 +226,7 @@
         self,
         service: ServiceId,
         assignment: Assignment,
-        allowed_regions: Homes | None = None,
+        allowed_regions: RegionSet | None = None,
     ) -> list[Upstream]:
         """Returns all upstreams of an assignment's version, on trial or not."""
         ready = self.get_ready(service, allowed_regions)
@@ -236,7 +238,7 @@
         self,
         service: ServiceId,
         assignment: Assignment,
-        allowed_regions: Homes | None = None,
+        allowed_regions: RegionSet | None = None,
     ) -> list[Upstream]:
         """Returns upstreams for a request that its own version cannot answer.
 
--- a/src/lovagestage/gateway/gossip.py
+++ b/src/lovagestage/gateway/gossip.py
@@ -18,10 +18,13 @@
 import xxhash
 
 from lovagestage.gateway.clocks import get_elapsed_s
-from lovagestage.gateway.neighbours import GossipTargets, choose_gossip_targets
+from lovagestage.gateway.gossip_targets import (
+    GossipTargets,
+    choose_gossip_targets,
+)
 from lovagestage.gateway.peers import PeerAddress, PeerSocket
+from lovagestage.gateway.reported_waits import ReportedWaits
 from lovagestage.gateway.rotation import Rotation
-from lovagestage.gateway.told_waits import ToldWaits
 from lovagestage.gateway.upstream import Upstream
 from lovagestage.types import VmId, ZoneId
 
@@ -91,7 +94,7 @@
         self._zone = zone
         self._zones: dict[PeerAddress, ZoneId] = {}
         self._reports: dict[int, _PeerReport] = {}
-        self._waits = ToldWaits()
+        self._waits = ReportedWaits()
         self._upstreams_by_hash: dict[int, Upstream] = {}
         self._revision = -1
         self._targets: GossipTargets | None = None
@@ -102,7 +105,7 @@
         self._last_broadcast_s = 0.0
         socket.register(DATAGRAM_KIND, self.apply_report)
 
-    def note_zone(self, peer: PeerAddress, zone: ZoneId) -> None:
+    def record_zone(self, peer: PeerAddress, zone: ZoneId) -> None:
         """Records the availability zone of a gateway."""
         if self._zones.get(peer) != zone:
             self._zones[peer] = zone
@@ -123,7 +126,7 @@
         except (struct.error, UnicodeDecodeError) as error:
             _log.warning("gossip_refused", extra={"error": str(error)})
             return
-        self.note_zone(address, zone)
+        self.record_zone(address, zone)
         last_report = self._reports.get(sender)
         now_s = asyncio.get_running_loop().time()
         if sender == self._own_hash:
@@ -247,7 +250,7 @@
         self._upstreams_by_hash = {
             _get_name_hash(each): each for each in upstreams
         }
-        self._waits = ToldWaits()
+        self._waits = ReportedWaits()
         for sender, report in self._reports.items():
             if self._is_counted(report, targets):
                 self._waits.replace(sender, report.waiting)
--- a/src/lovagestage/gateway/plain.py
+++ b/src/lovagestage/gateway/plain_runs.py
@@ -44,7 +44,7 @@
             head, body = await _fetch_answer(context, attempts, upstream)
         except AttemptFailedError as error:
             record_failed_attempt(context, attempts, upstream, error)
-            if not attempts.may_repeat():
+            if not attempts.may_retry():
                 raise attempts.make_refusal(error.reason) from error
             continue
         _record_answer(context, attempts, upstream, head, started_s)
@@ -66,12 +66,12 @@
     ) as exchange:
         started_s = asyncio.get_running_loop().time()
         head = await wait_with_timeout(attempts, exchange.fetch_head(), limit_s)
-        attempts.note_head(exchange.connect_s, exchange.head_s)
+        attempts.record_head(exchange.connect_s, exchange.head_s)
         exchange.record_answer_start(
             asyncio.get_running_loop().time() - started_s
         )
         body = await wait_with_timeout(
-            attempts, exchange.fetch_body(MAX_BODY_BYTES), attempts.left_s
+            attempts, exchange.fetch_body(MAX_BODY_BYTES), attempts.remaining_s
         )
         return head, body
 
@@ -87,12 +87,12 @@
     time_s = asyncio.get_running_loop().time() - started_s
     kind = (admitted.route.name, admitted.request.model)
     failed = head.status >= 500
-    upstream.performance.note_answer(failed)
-    context.suspects.note_answered(attempts.fingerprint, attempts.run_name)
+    upstream.performance.record_answer(failed)
+    context.suspects.record_answered(attempts.fingerprint, attempts.run_name)
     is_slow = context.latency.is_slow(kind, time_s)
     quality = AnswerQuality.SLOW if is_slow else AnswerQuality.GOOD
     if failed:
         quality = AnswerQuality.FAILED
     record_evidence(context, attempts, upstream, quality)
     if not failed and not attempts.assignment.is_new:
-        context.latency.add(kind, time_s)
+        context.latency.record(kind, time_s)
--- a/src/lovagestage/gateway/process.py
+++ b/src/lovagestage/gateway/process.py
@@ -13,7 +13,7 @@
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.exposition import Exposition, Series
 from lovagestage.gateway.listeners import open_listener
-from lovagestage.gateway.loglines import start_logging
+from lovagestage.gateway.log_output import start_logging
 from lovagestage.gateway.messages import CallerRequest
 from lovagestage.gateway.server import CallerConnection, CallerServer
 from lovagestage.gateway.settings import GatewaySettings
@@ -192,8 +192,8 @@
             and self.deployment.configuration is not None
             and self._components.upstream_feed.is_synced
             and self._components.rollouts.is_resolved
-            and self.deployment.trust.holds(now_s)
-            and not self.deployment.trust.is_superseded(now_s)
+            and self.deployment.freshness.is_fresh(now_s)
+            and not self.deployment.freshness.is_superseded(now_s)
         )
 
     async def _answer_probe(
@@ -233,8 +233,8 @@
             return
         # Addresses and wait times, such as those of long polls and of the stop,
         # stay unchanged until a restart.
-        self.deployment.trust.limit_s = settings.bounds.revoke_s
-        self.deployment.trust.apply_s = settings.bounds.apply_s
+        self.deployment.freshness.limit_s = settings.bounds.revoke_s
+        self.deployment.freshness.apply_s = settings.bounds.apply_s
         self.deployment.regions = settings.regions
         self.deployment.pins.session_s = settings.bounds.session_s
         self._components.rollouts.apply_bounds(settings.bounds)
--- a/src/lovagestage/gateway/beliefs.py
+++ b/src/lovagestage/gateway/state_view.py
@@ -16,8 +16,8 @@
     decode_configuration,
     decode_order,
     decode_upstream,
-    get_evacuated_zone,
-    get_order_service,
+    parse_evacuation_key,
+    parse_order_key,
 )
 from lovagestage.platform.records import Page, Record
 from lovagestage.types import InstanceId, Offset, ZoneId
@@ -34,7 +34,7 @@
 refusal is logged once."""
 
 
-class OperatorBeliefs:
+class OperatorStateView:
     """Applies configurations, roll-out orders and evacuations of zones.
 
     Args:
@@ -63,7 +63,7 @@
         evacuated = {
             zone: Offset(record.offset)
             for record in page.records
-            if (zone := get_evacuated_zone(record.key)) is not None
+            if (zone := parse_evacuation_key(record.key)) is not None
         }
         changes = self._deployment.evacuations.replace_all(
             evacuated, Offset(page.end)
@@ -82,16 +82,16 @@
                     extra={"key": record.key, "error": error.message},
                 )
 
-    def on_proof(self, at_s: float) -> None:
+    def on_freshness_confirmed(self, at_s: float) -> None:
         """Records a freshness check of the configuration.
 
         Args:
             at_s: Elapsed time in seconds at which no newer configuration
                 existed.
         """
-        self._deployment.trust.note_proof(at_s)
+        self._deployment.freshness.record_confirmation(at_s)
 
-    def on_news(self, at_s: float) -> None:
+    def on_update_available(self, at_s: float) -> None:
         """Records an update notification: a newer configuration exists.
 
         The configuration in force counts as superseded if the newer one takes
@@ -100,10 +100,10 @@
         Args:
             at_s: Elapsed time in seconds of the notification.
         """
-        self._deployment.trust.record_update_notification(at_s)
+        self._deployment.freshness.record_update_notification(at_s)
 
     def _apply(self, record: Record) -> None:
-        zone = get_evacuated_zone(record.key)
+        zone = parse_evacuation_key(record.key)
         if zone is not None:
             self._apply_evacuation(zone, record)
             return
@@ -113,12 +113,12 @@
             configuration = decode_configuration(record.value)
             self._deployment.apply_configuration(configuration)
             self._on_configuration(configuration.version, record.value)
-        elif get_order_service(record.key) is not None:
+        elif parse_order_key(record.key) is not None:
             self._apply_order(record)
 
     def _apply_evacuation(self, zone: ZoneId, record: Record) -> None:
         is_evacuated = record.value is not None
-        if self._deployment.evacuations.apply(
+        if self._deployment.evacuations.apply_record(
             zone, Offset(record.offset), is_evacuated
         ):
             self._on_evacuation_changed(zone, is_evacuated, record.offset)
@@ -153,14 +153,14 @@
 class EntrySource(Protocol):
     """The feed from which the upstreams' entries are read."""
 
-    def get_lost_age_s(self, now_s: float) -> float | None:
+    def get_last_failure_age_s(self, now_s: float) -> float | None:
         """Returns the seconds since the store was last out of reach, or None.
 
         None means that the store was never out of reach.
         """
 
 
-class UpstreamBeliefs:
+class UpstreamStateView:
     """Applies the upstreams' entries to the rotation.
 
     Args:
@@ -198,15 +198,15 @@
         for name, entry, offset in self._decode(page.records):
             rotation.apply(name, entry, offset, now_s, was_store_unavailable)
 
-    def on_proof(self, at_s: float) -> None:
+    def on_freshness_confirmed(self, at_s: float) -> None:
         """Ignores freshness checks, which matter only to configurations."""
 
-    def on_news(self, at_s: float) -> None:
+    def on_update_available(self, at_s: float) -> None:
         """Ignores update notifications, which matter only to configurations."""
 
     def _was_store_unavailable(self, now_s: float) -> bool:
         assert self._source is not None
-        age_s = self._source.get_lost_age_s(now_s)
+        age_s = self._source.get_last_failure_age_s(now_s)
         return age_s is not None and age_s < STORE_OUTAGE_MEMORY_S
 
     def _decode(
--- a/src/lovagestage/gateway/wiring.py
+++ b/src/lovagestage/gateway/wiring.py
@@ -10,47 +10,50 @@
 
 import mode
 
-from lovagestage.decisions.warmup import ZoneDealers
-from lovagestage.gateway.beliefs import OperatorBeliefs, UpstreamBeliefs
+from lovagestage.decisions.warmup import ZoneWarmupPolicy
 from lovagestage.gateway.clocks import get_elapsed_s
-from lovagestage.gateway.cold_start import StartupGate
 from lovagestage.gateway.connections import ConnectionPool
+from lovagestage.gateway.crash_detection import SuspectWatch
 from lovagestage.gateway.deployment import Deployment
 from lovagestage.gateway.exposition import Exposition, Series
-from lovagestage.gateway.feeds import TopicFeed, TopicReading
+from lovagestage.gateway.feeds import TopicFeed, TopicReadOptions
 from lovagestage.gateway.forwarder import Forwarder
+from lovagestage.gateway.freshness import (
+    FRESHNESS_MARGIN_S,
+    ConfigurationFreshness,
+)
 from lovagestage.gateway.gossip import Gossip
-from lovagestage.gateway.mailbox import Mailbox
-from lovagestage.gateway.notes import (
-    TOPIC,
-    CountNote,
-    FailureNote,
-    HelloNote,
-    OutcomeNote,
-    SessionsNote,
+from lovagestage.gateway.peer_messages import (
+    PEER_MESSAGES_TOPIC,
+    ActiveSessionsMessage,
+    AnswerCountMessage,
+    FailureMessage,
+    HelloMessage,
+    OutcomeMessage,
 )
+from lovagestage.gateway.peer_messenger import PeerMessenger
 from lovagestage.gateway.peers import PeerSocket
-from lovagestage.gateway.pins import SessionPins
 from lovagestage.gateway.relay import (
-    PERIOD_RATIO,
-    SLACK_S,
-    WATCH_RATIO,
+    CONFIRMATION_AGE_SLACK_S,
+    HELD_READ_RATIO,
+    QUERY_INTERVAL_RATIO,
     Relay,
 )
 from lovagestage.gateway.rollout_service import RolloutService
 from lovagestage.gateway.service import GatewayService
+from lovagestage.gateway.session_pins import SessionPins
 from lovagestage.gateway.settings import Bounds, GatewaySettings
-from lovagestage.gateway.store_return import StoreReturn
-from lovagestage.gateway.suspects import SuspectWatch
-from lovagestage.gateway.trust import MARGIN_S, Trust
-from lovagestage.gateway.warmups import WarmupGuard
+from lovagestage.gateway.startup_gate import StartupGate
+from lovagestage.gateway.state_view import OperatorStateView, UpstreamStateView
+from lovagestage.gateway.store_recovery import StoreRecoverySignal
+from lovagestage.gateway.warmup_guard import WarmupGuard
 from lovagestage.messages.crashes import CrashReport
 from lovagestage.platform.store import (
     OPERATOR_TOPIC,
     UPSTREAM_TOPIC,
-    CallEnd,
     CallKind,
     CallOutcome,
+    CallResult,
     StoreClient,
 )
 from lovagestage.timers import TimerService
@@ -128,14 +131,14 @@
     make_store = functools.partial(_make_store, settings, exposition)
     socket = _make_peer_socket(settings, exposition)
     warmup_guard = WarmupGuard(
-        ZoneDealers(),
+        ZoneWarmupPolicy(),
         settings.zone,
-        None if socket is None else socket.own,
+        None if socket is None else socket.own_address,
         lambda: () if gossip is None else gossip.get_zone_peers(),
         get_elapsed_s(),
     )
     deployment = Deployment(
-        Trust(bounds.revoke_s, bounds.apply_s),
+        ConfigurationFreshness(bounds.revoke_s, bounds.apply_s),
         SessionPins(bounds.session_s),
         warmup_guard,
     )
@@ -144,18 +147,20 @@
     rollouts = RolloutService(
         make_store(), deployment, settings.vm, bounds, rng
     )
-    mailbox = Mailbox(
+    peer_messenger = PeerMessenger(
         make_store(),
         settings.vm,
         time.time_ns(),
-        HelloNote(settings.peer_address or "", settings.zone),
+        HelloMessage(settings.peer_address or "", settings.zone),
     )
-    rollouts.set_mailbox(mailbox)
-    suspects = SuspectWatch(mailbox.post)
+    rollouts.set_peer_messenger(peer_messenger)
+    suspects = SuspectWatch(peer_messenger.enqueue)
     if socket is not None and gossip is not None:
-        mailbox.subscribe(HelloNote, _make_hello_handler(socket, gossip))
+        peer_messenger.subscribe(
+            HelloMessage, _make_hello_handler(socket, gossip)
+        )
     relay = _make_relay(settings, socket, exposition)
-    _subscribe_to_peer_messages(mailbox, rollouts, suspects)
+    _subscribe_to_peer_messages(peer_messenger, rollouts, suspects)
     pool = ConnectionPool()
     forwarder = Forwarder(
         settings,
@@ -166,21 +171,21 @@
         rng,
         lambda: None if socket is None else len(socket.peers) + 1,
     )
-    startup_gate = StartupGate(lambda: operator_feed.is_beginning)
-    store_return = StoreReturn()
-    operator_state = OperatorBeliefs(
+    startup_gate = StartupGate(lambda: operator_feed.is_receiving_first_answer)
+    store_recovery = StoreRecoverySignal()
+    operator_state = OperatorStateView(
         deployment,
         rollouts.on_order,
         _make_configuration_listener(socket, startup_gate),
     )
     operator_feed = _make_operator_feed(
-        make_store(), bounds, operator_state, rng, store_return, relay
+        make_store(), bounds, operator_state, rng, store_recovery, relay
     )
     upstream_feed = _make_upstream_feed(
-        make_store(), bounds, deployment, rng, store_return, relay
+        make_store(), bounds, deployment, rng, store_recovery, relay
     )
     peer_messages_feed = _make_peer_messages_feed(
-        make_store(), mailbox, rng, store_return, relay
+        make_store(), peer_messenger, rng, store_recovery, relay
     )
     if relay is not None:
         for feed in (operator_feed, upstream_feed, peer_messages_feed):
@@ -194,7 +199,7 @@
         operator_feed,
         upstream_feed,
         peer_messages_feed,
-        mailbox,
+        peer_messenger,
         rollouts,
     )
     return Components(
@@ -215,7 +220,7 @@
     def on_configuration(version: int, configuration: bytes) -> None:
         startup_gate.set_configured()
         if socket is not None:
-            socket.add_key(version, configuration)
+            socket.add_configuration(version, configuration)
 
     return on_configuration
 
@@ -229,7 +234,7 @@
     client.
     """
 
-    def record_call(call: CallEnd) -> None:
+    def record_call(call: CallResult) -> None:
         labels = f'call="{call.kind.value}"'
         outcome = f'{labels},outcome="{call.outcome.value}"'
         exposition.count(Series.STORE_CALLS, outcome)
@@ -237,7 +242,7 @@
             exposition.count(Series.STORE_BYTES, outcome, call.received_bytes)
         is_long_poll = call.kind is CallKind.WAITING_READ
         if call.outcome is CallOutcome.ANSWERED and not is_long_poll:
-            exposition.observe(Series.STORE_CALL_S, labels, call.time_s)
+            exposition.observe(Series.STORE_CALL_S, labels, call.duration_s)
 
     return StoreClient(settings.store_address, record_call)
 
@@ -256,7 +261,7 @@
     )
     exposition.add_gauge(
         Series.FRESHNESS_CHECK_AGE_S,
-        lambda: deployment.trust.get_age_s(get_elapsed_s()),
+        lambda: deployment.freshness.get_age_s(get_elapsed_s()),
     )
     exposition.add_gauge(
         Series.CONFIGURATION_LAG_S,
@@ -267,13 +272,17 @@
 
 
 def _subscribe_to_peer_messages(
-    mailbox: Mailbox, rollouts: RolloutService, suspects: SuspectWatch
+    peer_messenger: PeerMessenger,
+    rollouts: RolloutService,
+    suspects: SuspectWatch,
 ) -> None:
-    mailbox.subscribe(CrashReport, suspects.on_report)
-    mailbox.subscribe(FailureNote, rollouts.on_failure_note)
-    mailbox.subscribe(CountNote, rollouts.on_count_note)
-    mailbox.subscribe(SessionsNote, rollouts.on_sessions_note)
-    mailbox.subscribe(OutcomeNote, rollouts.on_outcome_note)
+    peer_messenger.subscribe(CrashReport, suspects.on_report)
+    peer_messenger.subscribe(FailureMessage, rollouts.on_failure_message)
+    peer_messenger.subscribe(AnswerCountMessage, rollouts.on_count_message)
+    peer_messenger.subscribe(
+        ActiveSessionsMessage, rollouts.on_sessions_message
+    )
+    peer_messenger.subscribe(OutcomeMessage, rollouts.on_outcome_message)
 
 
 def _make_peer_socket(
@@ -286,11 +295,11 @@
 
 def _make_hello_handler(
     socket: PeerSocket, gossip: Gossip
-) -> Callable[[HelloNote], None]:
-    def on_hello(note: HelloNote) -> None:
-        peer = socket.add_peer(note.peer_address)
-        if peer is not None and note.zone:
-            gossip.note_zone(peer, note.zone)
+) -> Callable[[HelloMessage], None]:
+    def on_hello(message: HelloMessage) -> None:
+        peer = socket.add_peer(message.peer_address)
+        if peer is not None and message.zone:
+            gossip.record_zone(peer, message.zone)
 
     return on_hello
 
@@ -325,17 +334,19 @@
     store becomes unavailable.
     """
     max_age_s = (
-        (1.0 - OUTAGE_SERVICE_RATIO) * bounds.revoke_s - MARGIN_S - SLACK_S
+        (1.0 - OUTAGE_SERVICE_RATIO) * bounds.revoke_s
+        - FRESHNESS_MARGIN_S
+        - CONFIRMATION_AGE_SLACK_S
     )
     return min(
         bounds.apply_s,
         bounds.drain_s,
         bounds.evacuate_s,
-        max_age_s / (WATCH_RATIO + PERIOD_RATIO),
+        max_age_s / (HELD_READ_RATIO + QUERY_INTERVAL_RATIO),
     )
 
 
-def get_operator_wait_s(bounds: Bounds) -> float:
+def get_operator_poll_s(bounds: Bounds) -> float:
     """Returns the time in seconds for which the store holds operator reads.
 
     These are the reads of the operators' topic.
@@ -349,19 +360,19 @@
 def _make_operator_feed(
     store: StoreClient,
     bounds: Bounds,
-    state: OperatorBeliefs,
+    state: OperatorStateView,
     rng: random.Random,
-    store_return: StoreReturn,
+    store_recovery: StoreRecoverySignal,
     relay: Relay | None,
 ) -> TopicFeed:
     return TopicFeed(
         store,
-        TopicReading(
-            OPERATOR_TOPIC, get_operator_wait_s(bounds), OPERATOR_READ_PAUSE_S
+        TopicReadOptions(
+            OPERATOR_TOPIC, get_operator_poll_s(bounds), OPERATOR_READ_PAUSE_S
         ),
         state,
         rng,
-        store_return,
+        store_recovery,
         relay,
     )
 
@@ -371,21 +382,21 @@
     bounds: Bounds,
     deployment: Deployment,
     rng: random.Random,
-    store_return: StoreReturn,
+    store_recovery: StoreRecoverySignal,
     relay: Relay | None,
 ) -> TopicFeed:
-    state = UpstreamBeliefs(deployment)
+    state = UpstreamStateView(deployment)
     feed = TopicFeed(
         store,
-        TopicReading(
+        TopicReadOptions(
             UPSTREAM_TOPIC,
             LONG_POLL_RATIO * bounds.drain_s,
             UPSTREAM_READ_PAUSE_RATIO * bounds.drain_s,
-            is_told=True,
+            is_relayed=True,
         ),
         state,
         rng,
-        store_return,
+        store_recovery,
         relay,
     )
     state.set_source(feed)
@@ -394,24 +405,24 @@
 
 def _make_peer_messages_feed(
     store: StoreClient,
-    mailbox: Mailbox,
+    peer_messenger: PeerMessenger,
     rng: random.Random,
-    store_return: StoreReturn,
+    store_recovery: StoreRecoverySignal,
     relay: Relay | None,
 ) -> TopicFeed:
     return TopicFeed(
         store,
-        TopicReading(
-            TOPIC,
+        TopicReadOptions(
+            PEER_MESSAGES_TOPIC,
             PEER_MESSAGES_POLL_S,
             PEER_MESSAGES_READ_PAUSE_S,
             is_keyed=False,
             watch_wait_s=PEER_MESSAGES_POLL_S,
-            is_told=True,
-            is_timely=False,
+            is_relayed=True,
+            requires_freshness=False,
         ),
-        mailbox,
+        peer_messenger,
         rng,
-        store_return,
+        store_recovery,
         relay,
     )
--- a/src/lovagestage/messages/keys.py
+++ b/src/lovagestage/messages/keys.py
@@ -152,7 +152,7 @@
     """
 
     epoch: Offset
-    whole_start: Offset
+    complete_start: Offset
     lost_at_ms: int
     lost_holders: tuple[MemberId, ...]
     entries: list[LedgerEntry]
--- a/src/lovagestage/wiring.py
+++ b/src/lovagestage/wiring.py
@@ -40,7 +40,7 @@
 from lovagestage.control.writer import ControlWriter
 from lovagestage.decisions.billing import BillingLedger
 from lovagestage.decisions.deadlines import DeferralQueue, SlotSpec
-from lovagestage.decisions.learned import Learned
+from lovagestage.decisions.learned_counters import LearnedCounters
 from lovagestage.decisions.limits import LimitTable
 from lovagestage.entry.billing_service import BillingService
 from lovagestage.entry.cascade_service import CascadeService
@@ -320,7 +320,7 @@
 ) -> CascadeService:
     return CascadeService(
         components.control,
-        Learned(components.own.vm, components.own.incarnation),
+        LearnedCounters(components.own.vm, components.own.incarnation),
         peers,
         components.timers,
         components.hub,
--- a/tests/test_gateway_absence.py
+++ b/tests/test_gateway_absence.py
@@ -9,7 +9,7 @@
 from lab import worker as lab
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.performance import SLOW_CONNECT_S, Performance
-from tests.gateway_stage import make_route, run_stage
+from tests.gateway_harness import make_route, run_gateway_harness
 
 ARRIVAL_INTERVAL_S = 0.01
 OUTAGE_S = 3.0
@@ -43,7 +43,7 @@
         yield f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-async def test_few_requests_find_out_that_a_vm_is_dark(caplog):
+async def test_few_requests_are_lost_when_a_vm_stops_responding(caplog):
     # A VM stops responding while the store still lists its upstream. Each
     # request that is sent there loses the time limit of a connection. One
     # failure shows that the upstream is unreachable, and a single probe now
@@ -51,7 +51,7 @@
     # second, must not follow a probe while its result is open.
     script = lab.make_stream(1, first_s=FIRST_EVENT_S)
     with open_unresponsive_address() as address:
-        async with run_stage(workers=2, script=script) as harness:
+        async with run_gateway_harness(workers=2, script=script) as harness:
             harness.put_configuration(version=2, routes=[LONG_TARGET_ROUTE])
             harness.put_entry("w2", Address=address)
             unresponsive = next(
@@ -81,7 +81,7 @@
 
 def make_failed_performance():
     performance = Performance()
-    performance.note_absent(0.0)
+    performance.record_unreachable(0.0)
     assert performance.is_suspect(0.4)
     assert not performance.is_suspect(0.6)
     return performance
@@ -89,14 +89,14 @@
 
 def test_one_request_tries_an_upstream_that_failed():
     performance = make_failed_performance()
-    performance.note_sent(0.6)
+    performance.record_sent(0.6)
     assert performance.is_suspect(0.61)
 
 
 def test_others_follow_once_the_trial_is_answered():
     performance = make_failed_performance()
-    performance.note_sent(0.6)
-    performance.note_heard()
+    performance.record_sent(0.6)
+    performance.record_received()
     assert not performance.is_suspect(0.61)
 
 
@@ -104,33 +104,33 @@
     # The probe waits in a long queue at the upstream, or its answer was lost
     # on the way.
     performance = make_failed_performance()
-    performance.note_sent(0.6)
+    performance.record_sent(0.6)
     assert not performance.is_suspect(1.2)
 
 
 def test_each_failed_trial_doubles_the_time():
     performance = make_failed_performance()
-    performance.note_sent(0.6)
-    performance.note_absent(1.0)
+    performance.record_sent(0.6)
+    performance.record_unreachable(1.0)
     assert performance.is_suspect(1.9)
-    performance.note_sent(2.1)
-    performance.note_absent(2.5)
+    performance.record_sent(2.1)
+    performance.record_unreachable(2.5)
     assert performance.is_suspect(4.4)
 
 
 def test_failures_of_one_moment_count_once():
     performance = make_failed_performance()
-    performance.note_absent(0.1)
+    performance.record_unreachable(0.1)
     assert not performance.is_suspect(0.6)
 
 
 def test_a_connection_that_does_not_open_keeps_others_away():
     performance = Performance()
-    performance.note_connecting(1.0)
-    performance.note_connecting(1.05)
+    performance.record_connect_start(1.0)
+    performance.record_connect_start(1.05)
     assert not performance.is_suspect(1.0 + SLOW_CONNECT_S / 2)
     assert performance.is_suspect(1.01 + SLOW_CONNECT_S)
-    performance.note_connect_ended(1.0)
+    performance.record_connect_end(1.0)
     assert not performance.is_suspect(1.01 + SLOW_CONNECT_S)
-    performance.note_connect_ended(1.05)
+    performance.record_connect_end(1.05)
     assert not performance.is_suspect(9.0)
--- a/tests/test_gateway_feeds.py
+++ b/tests/test_gateway_feeds.py
@@ -16,8 +16,8 @@
     StoreHistoryLostError,
     StoreUnavailableError,
 )
-from lovagestage.gateway.feeds import TopicFeed, TopicReading
-from lovagestage.gateway.store_return import StoreReturn
+from lovagestage.gateway.feeds import TopicFeed, TopicReadOptions
+from lovagestage.gateway.store_recovery import StoreRecoverySignal
 from lovagestage.platform.store import StoreClient
 
 TOPIC = "keyed.op"
@@ -26,7 +26,7 @@
 class Recorder:
     def __init__(self):
         self.records = []
-        self.proofs = []
+        self.confirmations = []
 
     def on_newest(self, page):
         self.on_records(page)
@@ -34,10 +34,10 @@
     def on_records(self, page):
         self.records += [(r.key, r.value) for r in page.records]
 
-    def on_proof(self, at_s):
-        self.proofs.append(at_s)
+    def on_freshness_confirmed(self, at_s):
+        self.confirmations.append(at_s)
 
-    def on_news(self, at_s):
+    def on_update_available(self, at_s):
         """Does nothing: the tests do not record these calls."""
 
 
@@ -65,10 +65,10 @@
     listener = Recorder()
     feed = TopicFeed(
         client,
-        TopicReading(topic, wait_s, pause_s, topic.startswith("keyed.")),
+        TopicReadOptions(topic, wait_s, pause_s, topic.startswith("keyed.")),
         listener,
         random.Random(1),
-        store_recovery or StoreReturn(),
+        store_recovery or StoreRecoverySignal(),
         relay,
     )
     await feed.start()
@@ -84,7 +84,7 @@
             await asyncio.sleep(0.005)
 
 
-async def test_a_cold_gateway_asks_again_soon():
+async def test_a_starting_gateway_retries_soon():
     # All VMs restart after a loss of power while the store refuses calls. A
     # gateway refuses every caller until it has read the store, so it must
     # detect the store's recovery soon.
@@ -100,46 +100,48 @@
             assert loop.time() - recovered_s < 0.4
 
 
-async def test_an_empty_read_proves_its_whole_wait():
+async def test_an_empty_read_confirms_freshness_for_its_whole_wait():
     # The store held the read for its whole wait and returned no record: no
     # change was made before the end of the wait. A read without an answer
     # confirms nothing.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=0.3) as (_, listener):
-            await wait_until(lambda: len(listener.proofs) >= 3)
+            await wait_until(lambda: len(listener.confirmations) >= 3)
             intervals_s = [
                 later_s - earlier_s
                 for earlier_s, later_s in zip(
-                    listener.proofs, listener.proofs[1:], strict=False
+                    listener.confirmations,
+                    listener.confirmations[1:],
+                    strict=False,
                 )
             ]
             assert min(intervals_s) > 0.2
-            count = len(listener.proofs)
+            count = len(listener.confirmations)
             store.faults.outage = "silent"
             await asyncio.sleep(1.0)
-            assert len(listener.proofs) <= count + 1
+            assert len(listener.confirmations) <= count + 1
 
 
-async def test_a_read_of_the_past_proves_nothing():
+async def test_an_outdated_read_confirms_nothing():
     # The store answers from an outdated copy of the topic. Such an answer must
     # not count as a freshness confirmation.
     async with run_store() as (store, client):
         for number in range(3):
             store.put(TOPIC, "config", b"%d" % number)
         async with run_feed(client) as (_, listener):
-            await wait_until(lambda: len(listener.proofs) >= 2)
+            await wait_until(lambda: len(listener.confirmations) >= 2)
             store.faults.stale_by = 2
             await asyncio.sleep(0.4)
-            count = len(listener.proofs)
+            count = len(listener.confirmations)
             await asyncio.sleep(0.8)
-            assert len(listener.proofs) == count
+            assert len(listener.confirmations) == count
 
 
-async def test_records_in_clumps_share_a_read():
+async def test_records_in_bursts_share_a_read():
     # Guards against one call to the store for each record of a burst.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=2.0, pause_s=0.3) as (_, listener):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             before = len(store.calls)
             for number in range(20):
                 store.put(TOPIC, f"k{number}", b"x")
@@ -148,7 +150,7 @@
             assert len(store.calls) - before <= 4
 
 
-async def test_client_tells_what_an_append_did():
+async def test_client_reports_the_outcome_of_an_append():
     # With status 503 nothing was appended. With a lost answer the records may
     # have been appended. If the topic ends elsewhere, the condition failed, and
     # the error states the end for a retry.
@@ -181,7 +183,7 @@
         ]
 
 
-async def test_client_tells_where_a_shortened_topic_starts():
+async def test_client_reports_where_a_shortened_topic_starts():
     async with run_store() as (store, client):
         for _ in range(4):
             store.put("keyed.status", "k", b"x")
@@ -191,7 +193,7 @@
         assert raised.value.first == 4
 
 
-async def test_client_gives_up_a_silent_connection_and_opens_another():
+async def test_client_aborts_an_inactive_connection_and_opens_another():
     async with run_store() as (store, client):
         store.faults.outage = "silent"
         with pytest.raises(StoreUnavailableError):
@@ -208,30 +210,34 @@
     # callers would be refused until then.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=2.0) as (feed, listener):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             store.faults.outage = "503"
-            await wait_until(lambda: feed.get_lost_age_s(0.0) is not None)
+            await wait_until(
+                lambda: feed.get_last_failure_age_s(0.0) is not None
+            )
             store.faults.outage = ""
-            before = len(listener.proofs)
-            await wait_until(lambda: len(listener.proofs) > before, 1.5)
+            before = len(listener.confirmations)
+            await wait_until(lambda: len(listener.confirmations) > before, 1.5)
 
 
 @contextlib.asynccontextmanager
 async def run_lost_feed(outage):
     """Runs a feed that has lost the store, with its recovery signal."""
     async with run_store() as (store, client):
-        recovery = StoreReturn()
+        recovery = StoreRecoverySignal()
         async with run_feed(client, store_recovery=recovery) as (
             feed,
             listener,
         ):
-            await wait_until(lambda: listener.proofs)
+            await wait_until(lambda: listener.confirmations)
             store.faults.outage = outage
-            await wait_until(lambda: feed.get_lost_age_s(0.0) is not None)
+            await wait_until(
+                lambda: feed.get_last_failure_age_s(0.0) is not None
+            )
             yield store, recovery, listener
 
 
-async def test_feed_that_hangs_asks_again_when_another_has_the_store_back():
+async def test_feed_that_hangs_retries_when_another_detects_the_recovery():
     # The store has recovered from an outage and one feed has detected it. The
     # other feed's current call was sent before the recovery and hangs. If that
     # feed waited for the timeout and the backoff, keys would be refused for a
@@ -240,18 +246,18 @@
         calls = len(store.calls)
         await wait_until(lambda: len(store.calls) > calls)
         store.faults.outage = ""
-        before = len(listener.proofs)
+        before = len(listener.confirmations)
         recovery.notify_feeds()
-        await wait_until(lambda: len(listener.proofs) > before, 0.5)
+        await wait_until(lambda: len(listener.confirmations) > before, 0.5)
 
 
-async def test_call_that_answers_slowly_is_not_given_up():
+async def test_slow_answer_is_not_aborted():
     # The store answers slowly, but it answers: another feed has reached it, and
     # the answer to this feed's call is in transit. The feed must use this
     # answer and not send the call again.
     async with run_lost_feed("503") as (store, recovery, listener):
         store.faults.outage = ""
         store.faults.slow_ms = 50
-        before = len(listener.proofs)
+        before = len(listener.confirmations)
         recovery.notify_feeds()
-        await wait_until(lambda: len(listener.proofs) > before, 0.5)
+        await wait_until(lambda: len(listener.confirmations) > before, 0.5)
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -12,7 +12,6 @@
 
 from lab.ports import get_free_port
 from lovagestage.gateway import gossip as gossip_module
-from lovagestage.gateway.choice import Work, choose_upstream
 from lovagestage.gateway.exposition import Exposition
 from lovagestage.gateway.gossip import (
     DATAGRAM_KIND,
@@ -21,11 +20,12 @@
     REPORT_TTL_S,
     Gossip,
 )
-from lovagestage.gateway.neighbours import choose_gossip_targets
+from lovagestage.gateway.gossip_targets import choose_gossip_targets
 from lovagestage.gateway.peers import PeerSocket
+from lovagestage.gateway.reported_waits import ReportedWaits
 from lovagestage.gateway.rotation import Rotation
-from lovagestage.gateway.told_waits import ToldWaits
 from lovagestage.gateway.upstream import UpstreamEntry
+from lovagestage.gateway.upstream_choice import AttemptCost, choose_upstream
 
 NAMES = ("w1", "w2", "w3")
 
@@ -38,7 +38,7 @@
     return rotation
 
 
-def tell_waits(rotations):
+def exchange_queue_times(rotations):
     """Gives each gateway the sum of the others' queue times, as gossip does."""
     for upstreams in zip(*(r.get_all() for r in rotations), strict=True):
         performances = [upstream.performance for upstream in upstreams]
@@ -81,7 +81,7 @@
             await asyncio.sleep(0.01)
 
 
-async def test_a_gateway_learns_what_another_has_waiting():
+async def test_a_gateway_receives_the_queue_times_of_another():
     async with run_pair() as (_, (one, two)):
         upstream = one.get_ready("pool")[0]
         upstream.performance.waiting_s = 0.4
@@ -91,7 +91,7 @@
         await wait_until(lambda: get_waits_elsewhere(two)["w1"] == 0.0)
 
 
-async def test_what_a_stopped_gateway_told_is_forgotten():
+async def test_reports_of_a_stopped_gateway_expire():
     # A gateway is killed while it has requests waiting. Its last report must
     # expire: else the other gateways would avoid these upstreams indefinitely.
     async with run_pair() as (pair, (one, two)):
@@ -102,7 +102,7 @@
         await wait_until(lambda: get_waits_elsewhere(two)["w1"] == 0.0)
 
 
-async def test_datagrams_of_others_change_nothing():
+async def test_invalid_datagrams_change_nothing():
     # Datagrams that are no valid reports must be dropped without an effect.
     async with run_pair() as (pair, (_, two)):
         for data in (b"", b"x", DATAGRAM_KIND + bytes(12) + b"abc", bytes(40)):
@@ -130,7 +130,7 @@
     rng = random.Random(1)
     chosen = {
         choose_upstream(
-            upstreams, (), Work(0.1, 0.1, str(seed)), "a", 0.0, rng
+            upstreams, (), AttemptCost(0.1, 0.1, str(seed)), "a", 0.0, rng
         ).upstream.id
         for seed in range(200)
     }
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(("zones", "per_zone"), [(6, 12), (16, 25)])
-def test_many_gateways_tell_their_zone(zones, per_zone):
+def test_many_gateways_report_to_their_zone_only(zones, per_zone):
     # Reports to all gateways are rare: they are 0.7 s old with 68 gateways and
     # 4 s old with 390. Reports to the gateways of one zone are three to ten
     # times as frequent, with no more datagrams.
@@ -157,21 +157,21 @@
     assert REPORT_INTERVAL_S * len(chosen.peers) / PEERS_PER_INTERVAL <= 0.25
 
 
-def test_few_gateways_tell_all():
+def test_few_gateways_report_to_all():
     peers = make_peers(5, 2)
     assert (
         choose_gossip_targets(peers.keys(), peers, "z1").peers == peers.keys()
     )
 
 
-def test_a_zone_with_few_gateways_is_told_by_all():
+def test_a_gateway_in_a_small_zone_reports_to_all():
     peers = make_peers(6, 12)
     chosen = choose_gossip_targets(peers.keys(), peers, "elsewhere")
     assert chosen.peers == peers.keys()
     assert chosen.ratio == 1.0
 
 
-def test_a_zone_stands_for_all():
+def test_queue_times_are_extrapolated_from_the_zone():
     # Each of twelve gateways in this zone has a queue time of 0.02 s at an
     # upstream, and so have the gateways of the other zones, which sent no
     # report to this zone or sent one long ago.
@@ -181,7 +181,7 @@
     socket.peers = set(peers)
     gossip = Gossip("edge", "z1", socket, rotation)
     for peer, zone in peers.items():
-        gossip.note_zone(peer, zone)
+        gossip.record_zone(peer, zone)
         reporter = Gossip(str(peer), zone, socket, make_rotation())
         upstream = reporter._rotation.get_ready("pool")[0]
         upstream.performance.waiting_s = 0.02
@@ -199,7 +199,7 @@
     asyncio.run(run())
 
 
-async def test_gateways_of_other_zones_are_told_from_time_to_time(monkeypatch):
+async def test_gateways_of_other_zones_get_keepalive_reports(monkeypatch):
     # Without these reports the other zones would remove this gateway from their
     # peers, and would not count it among the watchers.
     monkeypatch.setattr(gossip_module, "KEEPALIVE_INTERVAL_S", 0.3)
@@ -210,7 +210,7 @@
     socket.send = lambda kind, data, peer: receivers.append(peer)
     gossip = Gossip("edge", "z1", socket, make_rotation())
     for peer, zone in peers.items():
-        gossip.note_zone(peer, zone)
+        gossip.record_zone(peer, zone)
     await gossip.start()
     try:
         await wait_until(lambda: receivers.count(("10.3.0.1", 9)) >= 2)
@@ -227,8 +227,8 @@
         max_size=40,
     )
 )
-def test_sums_are_those_of_what_each_gateway_told_last(reports):
-    waits, newest = ToldWaits(), {}
+def test_sums_are_those_of_the_last_reports(reports):
+    waits, newest = ReportedWaits(), {}
     for gateway, report in reports:
         waits.replace(gateway, report)
         newest[gateway] = report
@@ -237,7 +237,7 @@
         assert waits.get(name) == expected
 
 
-def test_a_datagram_costs_what_it_names_not_all_upstreams(monkeypatch):
+def test_cost_of_a_datagram_does_not_grow_with_all_upstreams(monkeypatch):
     # Guards against gateways whose CPU is used up by each other's datagrams
     # where there are thousands of upstreams.
     hash_calls = []
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -15,11 +15,11 @@
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.upstream import UpstreamEntry
 from lovagestage.platform.configuration import decode_upstream
-from tests.gateway_stage import run_stage
+from tests.gateway_harness import run_gateway_harness
 
 START_MS = 1_700_000_000_000
 ENTRY = UpstreamEntry("pool", "10.0.0.1:80", "a", "v1", 4, False, START_MS)
-RESTARTED = dataclasses.replace(ENTRY, born_ms=START_MS + 5_000)
+RESTARTED = dataclasses.replace(ENTRY, start_ms=START_MS + 5_000)
 FIELDS = {
     "Service": "pool",
     "Address": "10.0.0.1:80",
@@ -52,10 +52,10 @@
     before = get_single(rotation)
     before.performance.running = 9
     before.performance.waiting_s = 3.0
-    before.performance.note_time(1.0, 0.1)
-    before.performance.note_absent(0.5)
+    before.performance.record_answer_time(1.0, 0.1)
+    before.performance.record_unreachable(0.5)
     for _ in range(9):
-        before.performance.note_answer(True)
+        before.performance.record_answer(True)
     rotation.apply("w1", RESTARTED, 2, 1.0, False)
     after = get_single(rotation)
     assert after is not before
@@ -66,7 +66,7 @@
     assert before.performance.running == 9
 
 
-def test_a_restarted_upstream_has_read_no_prompt():
+def test_a_restarted_upstream_has_no_prefix_cached():
     # The new process's cache is empty: a prompt prefix that the previous
     # process had cached takes as long as any other, until a prompt with it has
     # been sent here again.
@@ -109,7 +109,7 @@
 
 def test_a_clock_that_was_set_back_hides_no_restart():
     rotation = make_rotation()
-    back = dataclasses.replace(ENTRY, born_ms=START_MS - 60_000)
+    back = dataclasses.replace(ENTRY, start_ms=START_MS - 60_000)
     before = get_single(rotation)
     rotation.apply("w1", back, 2, 1.0, False)
     assert get_single(rotation) is not before
@@ -127,10 +127,10 @@
     assert len(rotation) == 1
 
 
-def test_decodes_born_where_it_is_told():
+def test_decodes_start_time_where_present():
     data = json.dumps({**FIELDS, "born": START_MS}).encode()
-    assert decode_upstream(data).born_ms == START_MS
-    assert decode_upstream(json.dumps(FIELDS).encode()).born_ms is None
+    assert decode_upstream(data).start_ms == START_MS
+    assert decode_upstream(json.dumps(FIELDS).encode()).start_ms is None
 
 
 INVALID_FIELDS = [
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("fields", INVALID_FIELDS)
-def test_an_entry_that_is_not_whole_names_no_upstream(fields):
+def test_an_invalid_entry_names_no_upstream(fields):
     with pytest.raises(CodecError):
         decode_upstream(json.dumps(fields).encode())
 
@@ -178,18 +178,18 @@
     host, _, port = entry.address.rpartition(":")
     assert host and 0 < int(port) < 65536
     assert type(entry.slots) is int and entry.slots > 0
-    assert entry.born_ms is None or type(entry.born_ms) is int
+    assert entry.start_ms is None or type(entry.start_ms) is int
     for text in (entry.service, entry.zone, entry.version):
         assert type(text) is str
 
 
-async def test_junk_beside_good_entries_harms_none(caplog):
+async def test_invalid_entries_leave_other_upstreams_usable(caplog):
     # Another writer leaves entries that cannot be decoded, under keys of its
     # own and under the key of an upstream. Callers are served by the other
     # upstreams; each invalid entry is logged once, and its key names no
     # upstream until a valid entry is written under it again.
     caplog.set_level(logging.ERROR)
-    async with run_stage(3) as harness:
+    async with run_gateway_harness(3) as harness:
         for name, data in (
             ("x1", b"\xff\xfe{"),
             ("x2", b'{"Service":"pool"}'),
@@ -219,11 +219,11 @@
     # An upstream's VM stops responding while connections to it are pooled, and
     # the upstream starts again under its id. A request on one of these
     # connections would wait for an answer that never comes.
-    async with run_stage(1) as harness:
+    async with run_gateway_harness(1) as harness:
         harness.put_entry("w1", born=START_MS)
         rotation = harness.gateway.deployment.rotation
         await harness.wait_until(
-            lambda: get_single(rotation).entry.born_ms == START_MS
+            lambda: get_single(rotation).entry.start_ms == START_MS
         )
         assert (await harness.call("/safe/x")).status == 200
         assert (await harness.call("/safe/x")).status == 200
@@ -231,7 +231,7 @@
         assert worker.connections == 1
         harness.put_entry("w1", born=START_MS + 1)
         await harness.wait_until(
-            lambda: get_single(rotation).entry.born_ms == START_MS + 1
+            lambda: get_single(rotation).entry.start_ms == START_MS + 1
         )
         assert (await harness.call("/safe/x")).status == 200
         assert worker.connections == 2
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -7,8 +7,8 @@
 import pytest
 
 from lab import worker as lab
-from lovagestage.gateway.latency import UNKNOWN_S, LoadGauge
-from tests.gateway_stage import MODELS, make_route, run_stage
+from lovagestage.gateway.latency import DEFAULT_ANSWER_S, LoadGauge
+from tests.gateway_harness import MODELS, make_route, run_gateway_harness
 
 TARGET_LATENCY_S = 1.5
 BURST = 20
@@ -18,8 +18,8 @@
 
 def test_idle_upstreams_put_no_pressure():
     gauge = LoadGauge()
-    gauge.add(0.05, TARGET_LATENCY_S)
-    assert gauge.get_pressure(0.0, TARGET_LATENCY_S) == 0.0
+    gauge.record_first_event(0.05, TARGET_LATENCY_S)
+    assert gauge.get_load(0.0, TARGET_LATENCY_S) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -32,8 +32,8 @@
 )
 def test_late_answers_and_long_waits_are_full_pressure(begun_s, wait_s):
     gauge = LoadGauge()
-    gauge.add(begun_s, TARGET_LATENCY_S)
-    assert gauge.get_pressure(wait_s, TARGET_LATENCY_S) == 1.0
+    gauge.record_first_event(begun_s, TARGET_LATENCY_S)
+    assert gauge.get_load(wait_s, TARGET_LATENCY_S) == 1.0
 
 
 async def test_burst_is_not_escalated_before_its_first_answers():
@@ -58,7 +58,7 @@
         Resumable=True,
         TargetLatencyMs=TARGET_LATENCY_S * 1000,
     )
-    async with run_stage(1, run, routes=[route]) as harness:
+    async with run_gateway_harness(1, run, routes=[route]) as harness:
         calls = [
             asyncio.ensure_future(
                 harness.call("/sized/x", request_id=name, Model_Name="*")
@@ -75,12 +75,12 @@
     # known. It must count as load nevertheless, or all requests would be sent
     # to one upstream.
     script = lab.make_stream(1, first_s=SLOW_START_S)
-    async with run_stage(workers=1, script=script) as harness:
+    async with run_gateway_harness(workers=1, script=script) as harness:
         (upstream,) = harness.gateway.deployment.rotation.get_all()
         call = asyncio.ensure_future(
             harness.call("/stream/x", body=b"p", Model_Name="m")
         )
         await harness.wait_until(lambda: upstream.performance.running == 1)
-        assert upstream.performance.waiting_s == UNKNOWN_S
+        assert upstream.performance.waiting_s == DEFAULT_ANSWER_S
         assert (await call).status == 200
         assert upstream.performance.waiting_s == 0.0
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -12,7 +12,7 @@
     SeriesKind,
 )
 from lovagestage.gateway.peers import PeerSocket
-from tests.gateway_stage import get_free_port
+from tests.gateway_harness import get_free_port
 from tests.test_gateway_process import run_gateway_process
 
 SAMPLE = re.compile(r"^([a-z_]+)(?:\{(.*)\})? (-?[0-9.e+-]+|\+Inf)$")
@@ -76,14 +76,14 @@
     assert samples[f"{PREFIX}attempts_total", ()] == 123_456_789
 
 
-def test_a_gauge_without_a_value_is_left_out():
+def test_omits_gauge_without_value():
     exposition = Exposition()
     exposition.add_gauge(Series.FRESHNESS_CHECK_AGE_S, lambda: None)
     name = f"{PREFIX}{Series.FRESHNESS_CHECK_AGE_S.value.name}"
     assert (name, ()) not in parse(exposition.format_text())
 
 
-async def test_tells_calls_to_the_store_and_the_age_of_its_proof(tmp_path):
+async def test_exposes_store_calls_and_freshness_check_age(tmp_path):
     # The store stops answering. The counter of refused or lost calls must grow,
     # and the age of the last freshness check must rise, so that the outage
     # shows in the metrics before any caller is refused.
@@ -122,7 +122,7 @@
         socket.register(b"kind", lambda data, sender: None)
         await socket.start()
     try:
-        sockets[0].send(b"kind", b"12345", sockets[1].own)
+        sockets[0].send(b"kind", b"12345", sockets[1].own_address)
         async with asyncio.timeout(5.0):
             while not sockets[1].peers:
                 await asyncio.sleep(0.01)
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -17,7 +17,8 @@
 from lovagestage.gateway import watchers as watchers_module
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.exposition import Exposition
-from lovagestage.gateway.feeds import TopicFeed, TopicReading
+from lovagestage.gateway.feeds import TopicFeed, TopicReadOptions
+from lovagestage.gateway.freshness import ConfigurationFreshness
 from lovagestage.gateway.gossip import KEEPALIVE_INTERVAL_S
 from lovagestage.gateway.peers import PEER_EXPIRY_S, PeerSocket
 from lovagestage.gateway.relay import MIN_RELAY_GATEWAYS, Relay, RelayMode
@@ -29,8 +30,7 @@
     split_records,
 )
 from lovagestage.gateway.settings import Bounds
-from lovagestage.gateway.store_return import StoreReturn
-from lovagestage.gateway.trust import Trust
+from lovagestage.gateway.store_recovery import StoreRecoverySignal
 from lovagestage.gateway.wiring import get_relay_bound_s
 from lovagestage.platform.records import Record
 from lovagestage.platform.store import StoreClient
@@ -40,7 +40,10 @@
 BOUND_S = 3.0
 """Time limit for a change, with queries every 0.6 s: long enough to distinguish
 an effect that is immediate from one that comes with the next query."""
-ROUND_S = relay_module.PERIOD_RATIO * BOUND_S + relay_module.RESPONSE_TIMEOUT_S
+ROUND_S = (
+    relay_module.QUERY_INTERVAL_RATIO * BOUND_S
+    + relay_module.RESPONSE_TIMEOUT_S
+)
 
 
 class Gateway:
@@ -58,10 +61,10 @@
         self.client._exchange = self.count_call
         self.feed = TopicFeed(
             self.client,
-            TopicReading(TOPIC, 0.4, 0.0),
+            TopicReadOptions(TOPIC, 0.4, 0.0),
             self.listener,
             random.Random(1),
-            StoreReturn(),
+            StoreRecoverySignal(),
             self.relay,
         )
         self.relay.add_source(self.feed)
@@ -83,7 +86,7 @@
     runner, port = await start_app(store.make_app(), "127.0.0.1", 0)
     pair = sorted(
         (Gateway(port), Gateway(port)),
-        key=lambda each: watchers_module.get_rank(each.socket.own),
+        key=lambda each: watchers_module.get_rank(each.socket.own_address),
     )
     pair[0].name, pair[1].name = "watcher", "follower"
     add_fake_peers(pair)
@@ -91,7 +94,7 @@
         for service in gateway.services:
             await service.start()
     try:
-        await wait_until(lambda: all(g.listener.proofs for g in pair))
+        await wait_until(lambda: all(g.listener.confirmations for g in pair))
         await wait_until(lambda: TOPIC in pair[1].relay._last_round.states)
         await asyncio.sleep(0.1)
         yield store, *pair
@@ -104,7 +107,7 @@
 def add_fake_peers(pair):
     # The other peers rank after the pair, so that one of the pair is the
     # watcher.
-    max_rank = watchers_module.get_rank(pair[1].socket.own)
+    max_rank = watchers_module.get_rank(pair[1].socket.own_address)
     fake_peers = [
         ("127.0.0.1", port)
         for port in range(1, 60_000)
@@ -112,7 +115,7 @@
     ]
     for gateway, other in zip(pair, reversed(pair), strict=True):
         gateway.socket.peers |= {
-            other.socket.own,
+            other.socket.own_address,
             *fake_peers[: MIN_RELAY_GATEWAYS - 2],
         }
 
@@ -122,7 +125,7 @@
     monkeypatch.setattr(watchers_module, "MIN_WATCHERS", 1)
 
 
-async def test_follower_asks_the_store_nothing_while_nothing_changes():
+async def test_follower_does_not_call_the_store_while_nothing_changes():
     # Guards against calls to the store from followers without a change, and
     # against freshness confirmations that are too old.
     async with run_gateways() as (_, watcher, follower):
@@ -131,16 +134,16 @@
         await asyncio.sleep(ROUND_S)
         calls, confirmation_count = (
             follower.calls,
-            len(follower.listener.proofs),
+            len(follower.listener.confirmations),
         )
         await asyncio.sleep(2.5)
         assert follower.calls == calls
-        assert len(follower.listener.proofs) >= confirmation_count + 2
-        age_s = get_elapsed_s() - follower.listener.proofs[-1]
+        assert len(follower.listener.confirmations) >= confirmation_count + 2
+        age_s = get_elapsed_s() - follower.listener.confirmations[-1]
         assert (
             age_s
-            < relay_module.WATCH_RATIO * BOUND_S
-            + relay_module.SLACK_S
+            < relay_module.HELD_READ_RATIO * BOUND_S
+            + relay_module.CONFIRMATION_AGE_SLACK_S
             + ROUND_S
         )
 
@@ -158,7 +161,7 @@
             await asyncio.sleep(0.7)
 
 
-async def test_change_reaches_a_follower_whose_news_are_lost():
+async def test_change_reaches_a_follower_whose_notification_is_lost():
     # The datagram that notifies of the change is lost. The next response states
     # the new end of the topic, and the follower reads the store.
     async with run_gateways() as (store, watcher, follower):
@@ -186,7 +189,7 @@
         )
 
 
-async def test_follower_counts_its_questions():
+async def test_follower_counts_its_queries():
     async with run_gateways() as (_, watcher, follower):
         name = "lovagestage_relay_questions_total"
         answered, lost = (
@@ -208,13 +211,15 @@
         watcher.client.close()
         store.put(TOPIC, "config", b"new")
         limit_s = (
-            relay_module.WATCH_RATIO * BOUND_S + relay_module.SLACK_S + ROUND_S
+            relay_module.HELD_READ_RATIO * BOUND_S
+            + relay_module.CONFIRMATION_AGE_SLACK_S
+            + ROUND_S
         )
         await wait_until(lambda: follower.listener.records, limit_s + 0.5)
         assert not watcher.listener.records
 
 
-async def test_proof_counts_from_the_question():
+async def test_confirmation_is_dated_to_the_query():
     # The watcher makes its response and is paused before it sends it. A key is
     # revoked in between. If the freshness confirmation were dated to the
     # response's arrival, the follower would accept the key for too long.
@@ -230,14 +235,17 @@
 
         watcher.relay._send = send_late
         await wait_until(lambda: made_s)
-        before = len(follower.listener.proofs)
-        await wait_until(lambda: len(follower.listener.proofs) > before)
-        assert follower.listener.proofs[-1] <= made_s[-1]
+        before = len(follower.listener.confirmations)
+        await wait_until(lambda: len(follower.listener.confirmations) > before)
+        assert follower.listener.confirmations[-1] <= made_s[-1]
         # The follower's confirmation can't be later than the watcher's own one.
-        assert follower.listener.proofs[-1] <= watcher.listener.proofs[-1]
+        assert (
+            follower.listener.confirmations[-1]
+            <= watcher.listener.confirmations[-1]
+        )
 
 
-async def test_answer_to_an_earlier_question_proves_nothing():
+async def test_response_to_an_earlier_query_confirms_nothing():
     # The response arrives after the next query was sent. If it were dated by
     # that query, its freshness confirmation would appear too recent.
     async with run_gateways() as (_, watcher, follower):
@@ -251,7 +259,7 @@
         assert not follower.relay._pending_response.done()
 
 
-async def test_follower_knows_of_an_outage_that_it_did_not_see():
+async def test_follower_learns_of_an_outage_from_its_watcher():
     # The store is unavailable for a moment in which the follower does not call
     # it. Entries of upstreams expire meanwhile. Their removal must not be taken
     # for a departure of the upstreams, so the follower must learn of the
@@ -260,11 +268,16 @@
         calls = follower.calls
         store.faults.outage = "503"
         await wait_until(
-            lambda: watcher.feed.get_lost_age_s(get_elapsed_s()) is not None
+            lambda: (
+                watcher.feed.get_last_failure_age_s(get_elapsed_s()) is not None
+            )
         )
         store.faults.outage = ""
         await wait_until(
-            lambda: follower.feed.get_lost_age_s(get_elapsed_s()) is not None
+            lambda: (
+                follower.feed.get_last_failure_age_s(get_elapsed_s())
+                is not None
+            )
         )
         assert follower.calls == calls
 
@@ -319,10 +332,10 @@
     for socket in (one, two):
         await socket.start()
     try:
-        one.send(b"kind", b"", two.own)
-        await wait_until(lambda: one.own in two.peers)
+        one.send(b"kind", b"", two.own_address)
+        await wait_until(lambda: one.own_address in two.peers)
         two.dispatch(b"none of ours", ("127.0.0.1", 9))
-        assert two.peers == {one.own}
+        assert two.peers == {one.own_address}
     finally:
         for socket in (one, two):
             await socket.stop()
@@ -359,7 +372,7 @@
     assert socket.peers == {("127.0.0.1", 3)}
 
 
-async def test_idle_gateway_is_not_taken_for_gone(monkeypatch):
+async def test_idle_gateway_sends_keepalive_reports(monkeypatch):
     # A gateway without waiting requests has nothing to report. It must send a
     # keep-alive report long before the other gateways remove it.
     monkeypatch.setattr(gossip_module, "KEEPALIVE_INTERVAL_S", 0.3)
@@ -385,11 +398,13 @@
         PeerSocket("127.0.0.1:1", Exposition()), bound_s, Exposition()
     )
     oldest_s = (
-        relay.watch_wait_s + relay_module.SLACK_S + relay._query_interval_s
+        relay.watch_wait_s
+        + relay_module.CONFIRMATION_AGE_SLACK_S
+        + relay._query_interval_s
     )
-    trust = Trust(revoke_s, 4.0)
-    trust.note_proof(0.0)
-    assert trust.holds(oldest_s + 0.599 * revoke_s)
+    freshness = ConfigurationFreshness(revoke_s, 4.0)
+    freshness.record_confirmation(0.0)
+    assert freshness.is_fresh(oldest_s + 0.599 * revoke_s)
 
 
 def change_options(feed, **fields):
@@ -398,10 +413,10 @@
 
 def enable_relayed_records(gateways):
     for gateway in gateways:
-        change_options(gateway.feed, is_told=True)
+        change_options(gateway.feed, is_relayed=True)
 
 
-async def test_follower_gets_what_is_new_from_its_watcher():
+async def test_follower_gets_new_records_from_its_watcher():
     # Upstreams are replaced one after the other. Each change would cost the
     # store a call from every follower; the watcher sends the records instead.
     async with run_gateways() as (store, watcher, follower):
@@ -448,7 +463,7 @@
         assert follower.listener.records == [("config", b"new")]
 
 
-async def test_records_with_callers_keys_are_not_told():
+async def test_records_with_callers_keys_are_not_relayed():
     # Guards against callers' keys in datagrams between gateways.
     async with run_gateways() as (store, watcher, follower):
         calls = follower.calls
@@ -458,7 +473,7 @@
         assert follower.calls > calls
 
 
-async def test_a_watchers_proof_stays_sound_while_there_is_news():
+async def test_a_watchers_confirmation_stays_fresh_while_records_arrive():
     # A record is appended every 0.3 s. Each held read that returns one confirms
     # freshness only for the time at which it was sent. If the next read were
     # held as well, the follower would find the confirmation too old and read
@@ -473,7 +488,7 @@
         assert follower.calls == calls
 
 
-def test_records_are_parted_by_datagram():
+def test_records_are_split_into_datagrams():
     sizes = [300] * 10 + [MAX_DATAGRAM_BYTES + 1, 300]
     records = [Record(n, "", b"x" * size) for n, size in enumerate(sizes)]
     groups = split_records(records)
@@ -483,7 +498,7 @@
         assert total_bytes <= MAX_DATAGRAM_BYTES
 
 
-def test_followers_of_a_watcher_without_the_store_ask_another_watcher():
+def test_followers_of_a_watcher_without_the_store_query_another_watcher():
     # The store rejects the VM of a watcher. The watcher still responds, with a
     # freshness confirmation that becomes too old, and each of its followers
     # would read the store itself in each round until the watcher can read the
@@ -496,14 +511,16 @@
     relay.add_source(
         TopicFeed(
             StoreClient("127.0.0.1:1"),
-            TopicReading(TOPIC, 0.4, 0.0),
+            TopicReadOptions(TOPIC, 0.4, 0.0),
             Recorder(),
             random.Random(1),
-            StoreReturn(),
+            StoreRecoverySignal(),
             relay,
         )
     )
-    ranked = sorted([socket.own, *socket.peers], key=watchers_module.get_rank)
+    ranked = sorted(
+        [socket.own_address, *socket.peers], key=watchers_module.get_rank
+    )
     watchers = ranked[:5]
     first_choice = relay.watchers.choose_watcher(get_elapsed_s())
     assert first_choice in watchers
@@ -527,7 +544,7 @@
     assert list(relay.watchers.get_watchers(get_elapsed_s())) == watchers
 
 
-async def test_followers_leave_a_store_alone_that_all_have_lost():
+async def test_followers_rarely_read_a_store_that_all_gateways_have_lost():
     # The store is unavailable for seconds. Without a limit, every gateway would
     # read each topic every second. The watchers detect the recovery and notify
     # the followers.
@@ -539,8 +556,8 @@
         assert watcher.calls >= calls + 3
         assert follower.calls <= own_calls + 1
         store.faults.outage = ""
-        confirmation_count = len(follower.listener.proofs)
+        confirmation_count = len(follower.listener.confirmations)
         await wait_until(
-            lambda: len(follower.listener.proofs) > confirmation_count,
+            lambda: len(follower.listener.confirmations) > confirmation_count,
             1.0 + ROUND_S,
         )
--- a/tests/test_gateway_repeats.py
+++ b/tests/test_gateway_repeats.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 
 from lab import worker as lab
-from lovagestage.gateway.repeats import (
+from lovagestage.gateway.retry_budget import (
     ASSUMED_GATEWAYS,
     MAX_RESERVED,
     MIN_STARTUP_GATEWAYS,
     SLACK_RATIO,
-    RepeatBudget,
+    ServiceRetryBudget,
 )
-from tests.gateway_stage import run_stage
+from tests.gateway_harness import run_gateway_harness
 from tests.test_gateway_streams import get_ids
 
 RATIO = 0.9
@@ -27,13 +27,13 @@
 
 
 def make_budget(ratio=RATIO, slack=SLACK):
-    return RepeatBudget(0.0, ratio, WINDOW_S, slack, 0.0, 1)
+    return ServiceRetryBudget(0.0, ratio, WINDOW_S, slack, 0.0, 1)
 
 
 def record_requests(budget, per_s, seconds, gateways=1, start_s=0.0):
     count = int(per_s * seconds)
     for number in range(count):
-        budget.note_request(start_s + number / per_s, gateways)
+        budget.record_request(start_s + number / per_s, gateways)
     return start_s + seconds
 
 
@@ -61,14 +61,14 @@
     assert acquire_all(budget, now_s) >= MAX_RESERVED - 1.0
 
 
-def test_a_young_process_reckons_with_gateways_unheard_of():
+def test_a_young_process_assumes_undiscovered_gateways():
     share = SLACK_RATIO * SLACK
     assert make_budget().get_limit(1.0, 1) == share / MIN_STARTUP_GATEWAYS
     assert make_budget().get_limit(WINDOW_S, 1) == share
     assert make_budget().get_limit(99.0, None) == share / ASSUMED_GATEWAYS
 
 
-def test_a_repeat_that_reached_nobody_is_given_back():
+def test_a_retry_that_reached_no_upstream_is_released():
     budget = make_budget()
     before = acquire_all(budget, 0.0)
     assert before >= 1
@@ -87,7 +87,7 @@
     # them and takes all at the worst moment. The rule counts retries in any
     # window against the requests of that window or of the one before it.
     budgets = [
-        RepeatBudget(0.0, RATIO, WINDOW_S, slack, 0.0, gateways)
+        ServiceRetryBudget(0.0, RATIO, WINDOW_S, slack, 0.0, gateways)
         for _ in range(gateways)
     ]
     arrivals = []
@@ -120,7 +120,7 @@
     # first upstream of its retry is the other crashed one; callers receive
     # every event exactly once.
     script = lab.make_stream(EVENTS, pause_s=EVENT_INTERVAL_S)
-    async with run_stage(4, script) as harness:
+    async with run_gateway_harness(4, script) as harness:
         # The pause is longer than the window, so that the budget knows the
         # number of gateways.
         await asyncio.sleep(1.1)
@@ -149,7 +149,7 @@
     # Four of five upstreams have crashed while the store still lists their
     # entries. The caller is served by the fifth, however many of the others
     # were tried first.
-    async with run_stage(5) as harness:
+    async with run_gateway_harness(5) as harness:
         for name in ("w1", "w2", "w3", "w4"):
             await harness.workers[name].stop()
         replies = await asyncio.gather(
@@ -171,7 +171,7 @@
             return
         await lab.answer_plain(arrival, writer)
 
-    async with run_stage(1, run) as harness:
+    async with run_gateway_harness(1, run) as harness:
         assert (await harness.call("/safe/x", request_id="first")).status == 200
         reply = await harness.call("/safe/x", request_id="last")
         assert reply.status == 502
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -13,15 +13,15 @@
 from lab import worker as lab
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.deployment import Deployment
+from lovagestage.gateway.freshness import ConfigurationFreshness
 from lovagestage.gateway.latency import LatencyTable
-from lovagestage.gateway.mailbox import Mailbox
-from lovagestage.gateway.notes import (
-    TOPIC,
-    HelloNote,
-    SessionsNote,
-    decode_letter,
+from lovagestage.gateway.peer_messages import (
+    PEER_MESSAGES_TOPIC,
+    ActiveSessionsMessage,
+    HelloMessage,
+    decode_batch,
 )
-from lovagestage.gateway.pins import SessionPins
+from lovagestage.gateway.peer_messenger import PeerMessenger
 from lovagestage.gateway.rollout_service import RolloutService
 from lovagestage.gateway.rollouts import (
     COMPLETE_ANSWERS,
@@ -43,11 +43,11 @@
     get_first_share,
     get_log_likelihood_ratio,
 )
-from lovagestage.gateway.trust import Trust
+from lovagestage.gateway.session_pins import SessionPins
 from lovagestage.gateway.upstream import UpstreamEntry
 from lovagestage.platform.settings import decode_settings
 from lovagestage.platform.store import StoreClient
-from tests.gateway_stage import make_settings_text, run_stage
+from tests.gateway_harness import make_settings_text, run_gateway_harness
 
 ORDER = RolloutOrder("pool", "v2", 20.0)
 BOTH = ["v1", "v2"]
@@ -226,7 +226,7 @@
     # A session had a request on the old version a moment before the share was
     # agreed. Its hash is below the share, but in the first half it must not
     # change its version; a session that begins later goes to the new version.
-    deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
+    deployment = Deployment(ConfigurationFreshness(5.0, 3.0), SessionPins(5.0))
     for number, version in enumerate(BOTH):
         entry = UpstreamEntry("pool", f"h:{number}", "a", version, 4, False)
         deployment.rotation.apply(f"w{number}", entry, number, 0.0, False)
@@ -239,7 +239,7 @@
     assert deployment.assign("pool", moved, "q4", 112.0).is_new
     deployment.pins.expire(200.0)
     assert len(deployment.pins) == 0
-    again = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
+    again = Deployment(ConfigurationFreshness(5.0, 3.0), SessionPins(5.0))
     again.rotation, again.rollouts = deployment.rotation, deployment.rollouts
     assert again.assign("pool", moved, "q5", 102.0).is_new
 
@@ -261,8 +261,8 @@
     assert choose_version(rollout, BOTH, active_session, 105.0).is_new
 
 
-async def test_gateways_tell_each_other_which_sessions_go_on():
-    async with run_stage() as harness:
+async def test_gateways_report_active_sessions_to_each_other():
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", Version="v2")
         for number in range(200):
             await harness.call(
@@ -277,13 +277,14 @@
 
         def count_reported_sessions():
             batches = map(
-                decode_letter, harness.store.get_topic(TOPIC).read(0, 99)
+                decode_batch,
+                harness.store.get_topic(PEER_MESSAGES_TOPIC).read(0, 99),
             )
             return sum(
-                len(note.sessions)
-                for letter in batches
-                for note in letter.notes
-                if isinstance(note, SessionsNote)
+                len(message.sessions)
+                for batch in batches
+                for message in batch.messages
+                if isinstance(message, ActiveSessionsMessage)
             )
 
         await harness.wait_until(
@@ -307,7 +308,7 @@
     # The new version fails every request. The callers are served by the old
     # one, and once the evidence suffices the roll-out's outcome is written to
     # the store.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", lab.fail, Version="v2")
         await harness.add_worker("n2", lab.fail, Version="v2")
         await put_order(harness, duration_s=30.0)
@@ -328,7 +329,7 @@
 
 
 async def test_a_good_version_is_completed_and_gets_all():
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", Version="v2")
         await put_order(harness, duration_s=3.0)
         await call_until(harness, "completed")
@@ -341,7 +342,7 @@
 async def test_an_outcome_is_written_once_though_its_answer_is_lost():
     # The store carries out the append and its answer is lost. The gateway
     # reads the topic again, finds its own record and writes no second one.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", Version="v2")
         harness.store.faults.lose_appends = 2
         await put_order(harness, duration_s=3.0)
@@ -353,7 +354,7 @@
 async def test_a_final_outcome_in_the_store_wins():
     # Another gateway has reverted the order; this one has just started and
     # must not send any request to the new version.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", Version="v2")
         offset = harness.store.get_topic("keyed.op").end
         record = {"State": "reverted", "Target": "v2", "Order": offset}
@@ -369,7 +370,7 @@
 
 
 async def test_all_gateways_follow_the_first_share_that_was_written():
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         await harness.add_worker("n1", Version="v2")
         offset = harness.store.get_topic("keyed.op").end
         record = {
@@ -464,7 +465,7 @@
         The upstreams that answered, and the roll-out.
     """
     rng = random.Random(seed)
-    deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
+    deployment = Deployment(ConfigurationFreshness(5.0, 3.0), SessionPins(5.0))
     for number in range(94):
         version = BOTH[number % 2]
         entry = UpstreamEntry("pool", f"h:{number}", "a", version, 12, False)
@@ -503,7 +504,7 @@
         assert rollout.is_stopped
 
 
-def test_a_version_that_bears_bursts_passes_its_trial():
+def test_a_version_that_sustains_bursts_passes_its_trial():
     for seed in range(6):
         used, rollout = simulate_trial(12, seed)
         assert rollout.get_due_outcome(19.5) is RolloutOutcome.COMPLETED
@@ -522,7 +523,7 @@
 
 def test_a_version_without_others_is_not_kept_to_a_few_upstreams():
     # The old version's upstreams have crashed while the new one is on trial.
-    deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
+    deployment = Deployment(ConfigurationFreshness(5.0, 3.0), SessionPins(5.0))
     for number in range(9):
         entry = UpstreamEntry("pool", f"h:{number}", "a", "v2", 4, False)
         deployment.rotation.apply(f"w{number}", entry, number, 0.0, False)
@@ -539,7 +540,7 @@
     # is found even without a queue.
     times = LatencyTable()
     for _ in range(20):
-        times.add("stream", 0.15)
+        times.record("stream", 0.15)
     assert times.is_slow("stream", 0.55)
     assert not times.is_slow("stream", 0.55, extra_s=0.4)
     assert times.is_slow("stream", 8 * 0.15, extra_s=0.05)
@@ -552,13 +553,17 @@
     """Records one gateway's answers of a new version, from three upstreams."""
 
     def __init__(self):
-        deployment = Deployment(Trust(5.0, 3.0), SessionPins(5.0))
+        deployment = Deployment(
+            ConfigurationFreshness(5.0, 3.0), SessionPins(5.0)
+        )
         bounds = decode_settings(make_settings_text(1, 2, 3), "boot").bounds
         store = StoreClient("127.0.0.1:1")
         self.service = RolloutService(
             store, deployment, "vm", bounds, random.Random(1)
         )
-        self.service.set_mailbox(Mailbox(store, "vm", 1, HelloNote("")))
+        self.service.set_peer_messenger(
+            PeerMessenger(store, "vm", 1, HelloMessage(""))
+        )
         self.service.on_order(ORDER, 7)
         self.rollout = deployment.rollouts["pool"]
         for number in range(3):
@@ -568,7 +573,7 @@
 
     def answer(self, quality):
         self.upstreams.append(self.upstreams.pop(0))
-        self.service.add_answer(
+        self.service.record_answer(
             "pool", "r", Assignment("v2", True), self.upstreams[0], quality
         )
 
--- a/tests/test_gateway_rotation.py
+++ b/tests/test_gateway_rotation.py
@@ -59,7 +59,7 @@
     assert get_ready_ids(rotation) == []
 
 
-def test_an_entry_that_lapsed_while_the_store_was_away_may_come_back():
+def test_an_entry_that_expired_during_a_store_outage_may_return():
     # The store was unavailable, so upstreams could not write and their entries
     # expired. They still serve requests and write their entries again within
     # seconds.
@@ -72,7 +72,7 @@
     assert get_ready_ids(rotation) == ["w1"]
 
 
-def test_a_lapsed_entry_that_stays_away_is_gone_before_the_drain_is_over():
+def test_an_expired_entry_is_gone_before_the_drain_time_is_over():
     # An upstream left at the moment when the store recovered, without writing
     # that it drains. It must get no requests after the drain time, though its
     # removal looks like an expiry.
@@ -125,9 +125,9 @@
         self.offset += 1
         if kind == "restart":
             self.start_ms[name] = self.start_ms.get(name, 1) + 1
-        born_ms = self.start_ms.get(name, 1) - (kind == "late")
+        start_ms = self.start_ms.get(name, 1) - (kind == "late")
         entry = DRAINING if kind == "drain" else ENTRY
-        entry = dataclasses.replace(entry, born_ms=born_ms)
+        entry = dataclasses.replace(entry, start_ms=start_ms)
         if kind == "end":
             entry = None
         self.history.setdefault(name, []).append((self.offset, entry))
@@ -149,10 +149,10 @@
         past_starts = self.past_starts.setdefault(name, [])
         last = next((e for _, e, *_ in known[::-1] if e is not None), None)
         if entry is not None and last is not None:
-            if entry.born_ms in past_starts:
+            if entry.start_ms in past_starts:
                 return
-            if entry.born_ms != last.born_ms:
-                past_starts.append(last.born_ms)
+            if entry.start_ms != last.start_ms:
+                past_starts.append(last.start_ms)
                 del past_starts[:-MAX_PAST_STARTS]
                 known.clear()
         if entry is None and known[-1][1] is None:
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -7,16 +7,16 @@
 import random
 
 from lab import worker as lab
-from lovagestage.gateway.choice import Work, choose_upstream
-from lovagestage.gateway.silence import (
+from lovagestage.gateway.stall_detection import (
     DEFAULT_STALL_TIMEOUT_S,
     MIN_STALL_TIMEOUT_S,
     STALL_TIMEOUT_FACTOR,
-    Silence,
-    get_patience_s,
+    StallDetector,
+    get_stall_timeout_s,
 )
-from tests.gateway_stage import run_stage
-from tests.test_gateway_gossip import NAMES, make_rotation, tell_waits
+from lovagestage.gateway.upstream_choice import AttemptCost, choose_upstream
+from tests.gateway_harness import run_gateway_harness
+from tests.test_gateway_gossip import NAMES, exchange_queue_times, make_rotation
 
 INTERVAL_S = 0.02
 REQUESTS = 150
@@ -27,14 +27,14 @@
 would be a third of all requests."""
 
 
-def test_patience_grows_with_what_answers_take():
-    assert get_patience_s(0.01) == MIN_STALL_TIMEOUT_S
-    assert get_patience_s(0.5) == STALL_TIMEOUT_FACTOR * 0.5
-    assert get_patience_s(None) == DEFAULT_STALL_TIMEOUT_S
+def test_stall_timeout_grows_with_the_expected_time():
+    assert get_stall_timeout_s(0.01) == MIN_STALL_TIMEOUT_S
+    assert get_stall_timeout_s(0.5) == STALL_TIMEOUT_FACTOR * 0.5
+    assert get_stall_timeout_s(None) == DEFAULT_STALL_TIMEOUT_S
 
 
-def test_silence_counts_while_a_request_waits():
-    detector = Silence()
+def test_an_upstream_is_stalled_only_while_a_request_waits():
+    detector = StallDetector()
     assert not detector.is_stalled(99.0)
     number = detector.add(100.0, 0.25)
     assert not detector.is_stalled(100.2)
@@ -43,18 +43,18 @@
     assert not detector.is_stalled(100.3)
 
 
-def test_any_sign_shows_that_an_upstream_works():
+def test_any_data_shows_that_an_upstream_works():
     # The prefill of a long prompt takes a second, and events of other streams
     # arrive in that time. The upstream is busy and has not stalled.
-    detector = Silence()
+    detector = StallDetector()
     detector.add(100.0, 0.25)
     for tenth in range(1, 11):
-        detector.note_heard(100.0 + 0.1 * tenth)
+        detector.record_data(100.0 + 0.1 * tenth)
         assert not detector.is_stalled(100.0 + 0.1 * tenth + 0.05)
     assert detector.is_stalled(101.3)
 
 
-async def test_few_requests_find_out_that_an_upstream_hangs():
+async def test_few_requests_fail_before_a_stall_is_detected():
     # One of three upstreams accepts each request and answers none during the
     # whole test. A request that must not run twice waits there until its
     # deadline, and no failure occurs before that. The further requests, fifty a
@@ -65,15 +65,15 @@
             script = lab.answer_plain
         await script(arrival, writer)
 
-    async with run_stage(2, lab.answer_plain) as stage:
-        await stage.add_worker("w3", hang_unless_warm)
-        rotation = stage.gateway.deployment.rotation
-        await stage.wait_until(lambda: len(rotation.get_ready("pool")) == 3)
+    async with run_gateway_harness(2, lab.answer_plain) as harness:
+        await harness.add_worker("w3", hang_unless_warm)
+        rotation = harness.gateway.deployment.rotation
+        await harness.wait_until(lambda: len(rotation.get_ready("pool")) == 3)
         for number in range(12):
-            await stage.call("/unsafe/x", request_id=f"warm{number}")
+            await harness.call("/unsafe/x", request_id=f"warm{number}")
         calls = []
         for number in range(REQUESTS):
-            call = stage.call(
+            call = harness.call(
                 "/unsafe/x", request_id=f"r{number}", Deadline_Ms="1500"
             )
             calls.append(asyncio.ensure_future(call))
@@ -115,11 +115,11 @@
                 end()
             if now_s >= next_gossip_s:
                 next_gossip_s = now_s + GOSSIP_S
-                tell_waits(self.rotations)
+                exchange_queue_times(self.rotations)
             self.send(self.rng.choice(self.rotations), now_s, number)
 
     def send(self, rotation, now_s, number):
-        work = Work(ANSWER_S, ANSWER_S)
+        work = AttemptCost(ANSWER_S, ANSWER_S)
         placement = choose_upstream(
             rotation.get_ready("pool"), (), work, "a", now_s, self.rng
         )
@@ -127,26 +127,28 @@
         performance = upstream.performance
         hangs = upstream.id == NAMES[-1]
         self.lost += hangs
-        performance.note_sent(now_s)
+        performance.record_sent(now_s)
         performance.running += 1
         performance.waiting_s += ANSWER_S
-        wait_number = performance.silence.add(now_s, get_patience_s(ANSWER_S))
+        wait_number = performance.stall_detector.add(
+            now_s, get_stall_timeout_s(ANSWER_S)
+        )
         end_s = now_s + (DEADLINE_S if hangs else ANSWER_S)
 
         def end():
-            if performance.silence.is_stalled(end_s):
-                performance.note_absent(end_s)
-            performance.silence.remove(wait_number)
+            if performance.stall_detector.is_stalled(end_s):
+                performance.record_unreachable(end_s)
+            performance.stall_detector.remove(wait_number)
             performance.running -= 1
             performance.waiting_s -= ANSWER_S
             if not hangs:
-                performance.silence.note_heard(end_s)
-                performance.note_answer(False)
+                performance.stall_detector.record_data(end_s)
+                performance.record_answer(False)
 
         heapq.heappush(self.pending_ends, (end_s, number, end))
 
 
-def test_gateways_tell_each_other_of_an_upstream_that_hangs():
+def test_gateways_detect_a_stalled_upstream_together():
     # Each of 24 gateways receives three plain requests a second. One of three
     # upstreams accepts requests and answers none for six seconds. A gateway has
     # no other request in progress when its next one arrives, and judged by the
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -15,11 +15,11 @@
 from lovagestage.exceptions import EXIT_UNAVAILABLE
 from lovagestage.gateway import command
 from lovagestage.gateway.exposition import Exposition
-from lovagestage.gateway.feeds import SILENCE_S
+from lovagestage.gateway.feeds import INACTIVITY_TIMEOUT_S
 from lovagestage.gateway.listeners import open_listener
 from lovagestage.gateway.process import STARTUP_WAIT_S, Gateway
 from lovagestage.platform.settings import decode_settings
-from tests.gateway_stage import (
+from tests.gateway_harness import (
     GatewayHarness,
     make_request,
     make_route,
@@ -53,7 +53,7 @@
     accepted.pop().close()
 
 
-def test_address_in_use_is_named_with_an_exit_code(tmp_path, capsys):
+def test_address_in_use_is_reported_with_exit_code(tmp_path, capsys):
     harness = GatewayHarness()
     path = tmp_path / "boot.conf"
     path.write_text(make_settings_text(harness.client_port, 2, 3))
@@ -102,7 +102,7 @@
     await runner.cleanup()
 
 
-async def test_caller_of_a_starting_gateway_is_refused_soon_without_store():
+async def test_starting_gateway_refuses_early_without_store():
     # The store is unavailable while the gateway starts. The caller must be
     # refused early, with a time after which to retry, and not when its deadline
     # has nearly passed.
@@ -146,5 +146,5 @@
     harness.store.faults.stall = True
     reply, duration_s = await send_before_start(harness, store_port)
     assert reply.status == 503
-    assert duration_s < SILENCE_S + ANSWER_LIMIT_S
+    assert duration_s < INACTIVITY_TIMEOUT_S + ANSWER_LIMIT_S
     await runner.cleanup()
--- a/tests/test_gateway_trust.py
+++ b/tests/test_gateway_trust.py
@@ -9,16 +9,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from lovagestage.gateway.freshness import (
+    FRESHNESS_MARGIN_S,
+    NOTIFICATION_LIFETIME_S,
+    ConfigurationFreshness,
+)
 from lovagestage.gateway.settings import Bounds
-from lovagestage.gateway.trust import MARGIN_S, NEWS_S, Trust
-from lovagestage.gateway.wiring import get_operator_wait_s
-from tests.gateway_stage import KEY, make_configuration, run_stage
+from lovagestage.gateway.wiring import get_operator_poll_s
+from tests.gateway_harness import KEY, make_configuration, run_gateway_harness
 
 SECOND_KEY = "anfqasnmgkcuyj8pjbvk"
 
 
 async def test_a_key_that_was_taken_away_is_refused():
-    async with run_stage(keys=(KEY, SECOND_KEY)) as harness:
+    async with run_gateway_harness(keys=(KEY, SECOND_KEY)) as harness:
         assert (await harness.call("/safe/x")).status == 200
         harness.put_configuration(version=5, keys=(SECOND_KEY,))
         gateway = harness.gateway
@@ -29,12 +33,12 @@
         assert (await harness.call("/safe/x", key=SECOND_KEY)).status == 200
 
 
-async def test_keys_are_refused_for_now_when_the_store_falls_silent():
+async def test_keys_are_refused_while_the_store_does_not_answer():
     # The store's connections stop delivering data: nothing is reset, and polls
     # get no answer. An API key may have been revoked meanwhile, so requests
     # with a key are asked to retry later, while public ones are still served.
     # When the store answers again, the gateway accepts keys again.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         harness.store.faults.outage = "silent"
         gateway = harness.gateway
         await harness.wait_until(lambda: not gateway.is_ready(), 6.0)
@@ -52,7 +56,7 @@
     # The configuration may be out of date, and the newest one may have the
     # route: the caller is asked to retry later, and is not told that there is
     # no such route.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         assert (await harness.call("/nowhere/x")).status == 404
         harness.store.faults.outage = "503"
         await harness.wait_until(lambda: not harness.gateway.is_ready(), 6.0)
@@ -61,7 +65,7 @@
 
 async def test_an_older_configuration_never_comes_back():
     # Reads are stale after the store has lost its history.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         gateway = harness.gateway
         for version in (7, 3):
             harness.put_configuration(version=version)
@@ -72,7 +76,7 @@
 async def test_follows_on_when_the_store_drops_its_history():
     # The records that a read asks for were dropped (410). The newest record of
     # each key is read again, and a change made between the two reads is found.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         for topic in harness.store.topics.values():
             topic.forget()
         harness.put_configuration(version=9)
@@ -87,7 +91,7 @@
     # The store does not wake reads that wait for records. An upstream's entry
     # is removed just after a read began; that read must end early enough for
     # the next one to stop requests within the drain time of 2 s.
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         harness.store.faults.deaf = True
         await asyncio.sleep(0.1)
         harness.store.put("keyed.servers", "w1", b"")
@@ -98,7 +102,7 @@
 
 
 async def test_a_configuration_that_cannot_be_read_changes_nothing():
-    async with run_stage() as harness:
+    async with run_gateway_harness() as harness:
         harness.store.put("keyed.op", "config", b"{")
         harness.store.put("keyed.op", "config", b'{"Version": "x"}')
         harness.put_configuration(version=4)
@@ -124,7 +128,7 @@
 
     def __init__(self):
         super().__init__()
-        self.freshness = Trust(self.LIMIT_S, 2.0)
+        self.freshness = ConfigurationFreshness(self.LIMIT_S, 2.0)
         self.now_s = 50.0
         self.sent = []
         self.revoked_s = None
@@ -144,7 +148,7 @@
             # An answer to a read that was sent after the key was revoked shows
             # the revocation, and the key is refused from then on.
             if self.revoked_s is None or sent_s < self.revoked_s:
-                self.freshness.note_proof(sent_s)
+                self.freshness.record_confirmation(sent_s)
 
     @rule()
     def lose_answers(self):
@@ -159,18 +163,18 @@
     def relies_on_no_key_for_too_long(self):
         if self.revoked_s is None:
             return
-        if self.now_s - self.revoked_s >= self.LIMIT_S - MARGIN_S:
-            assert not self.freshness.holds(self.now_s)
+        if self.now_s - self.revoked_s >= self.LIMIT_S - FRESHNESS_MARGIN_S:
+            assert not self.freshness.is_fresh(self.now_s)
 
 
 FreshnessMachine.TestCase.settings = settings(
     max_examples=60, stateful_step_count=30, deadline=None
 )
-TestTrust = FreshnessMachine.TestCase
+TestConfigurationFreshness = FreshnessMachine.TestCase
 
 
 @pytest.mark.parametrize("revoke_s", [1.5, 5.0, 30.0])
-def test_trust_outlasts_the_loss_of_the_store_by_a_fifth(revoke_s):
+def test_freshness_outlasts_the_loss_of_the_store_by_a_fifth(revoke_s):
     # A read returned a record just before its wait was over, so it is a
     # freshness check only for the time at which it was sent; the next read
     # waits as long, and the store is lost at its end. Callers with keys must
@@ -178,24 +182,24 @@
     bounds = Bounds(
         revoke_s, 3.0, 3.0, 9.0, 8.0, 0.9, 0.15, 30.0, 5.0, 10.0, 54.0
     )
-    oldest_check_s = 2 * get_operator_wait_s(bounds)
-    assert revoke_s - MARGIN_S - oldest_check_s >= 0.2 * revoke_s
+    oldest_check_s = 2 * get_operator_poll_s(bounds)
+    assert revoke_s - FRESHNESS_MARGIN_S - oldest_check_s >= 0.2 * revoke_s
 
 
-def test_news_end_trust_once_they_must_be_in_force():
-    trust = Trust(5.0, 3.0)
-    trust.note_proof(10.0)
-    trust.record_update_notification(10.5)
-    assert not trust.is_superseded(12.0)
-    trust.record_update_notification(12.5)
-    assert trust.is_superseded(13.0)
+def test_configuration_is_superseded_once_a_newer_one_must_be_in_force():
+    freshness = ConfigurationFreshness(5.0, 3.0)
+    freshness.record_confirmation(10.0)
+    freshness.record_update_notification(10.5)
+    assert not freshness.is_superseded(12.0)
+    freshness.record_update_notification(12.5)
+    assert freshness.is_superseded(13.0)
     # A newer configuration that was notified long ago may be out of reach.
-    assert not trust.is_superseded(12.5 + NEWS_S)
-    trust.note_proof(12.7)
-    assert not trust.is_superseded(13.0)
+    assert not freshness.is_superseded(12.5 + NOTIFICATION_LIFETIME_S)
+    freshness.record_confirmation(12.7)
+    assert not freshness.is_superseded(13.0)
 
 
-def test_nothing_is_overdue_without_news():
-    trust = Trust(5.0, 3.0)
-    trust.note_proof(10.0)
-    assert not trust.is_superseded(60.0)
+def test_configuration_is_not_superseded_without_a_notification():
+    freshness = ConfigurationFreshness(5.0, 3.0)
+    freshness.record_confirmation(10.0)
+    assert not freshness.is_superseded(60.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -45,7 +45,7 @@
         charge = table.admit(TAG, tokens, 0, now_s)
         if charge.retry_after_s is not None:
             return used
-        table.settle(TAG, charge, tokens, now_s)
+        table.replace_estimate(TAG, charge, tokens, now_s)
         used += tokens
 
 
@@ -85,7 +85,7 @@
     assert get_balance(table) >= 0
 
 
-def test_silent_peer_returning_charges_a_bounded_debt():
+def test_first_row_after_omitted_rows_charges_a_bounded_debt():
     # Rows of low demand are omitted for hours; the next row contains all tokens
     # used meanwhile. Charged in full, they would block the workspace for hours.
     table = make_table(peers=[PEER])
@@ -121,13 +121,13 @@
     assert sum(used[100:]) == pytest.approx(1000, rel=0.1)
 
 
-def test_unused_estimate_is_given_back():
+def test_unused_estimate_is_refunded():
     # A request asks for 5000 tokens and all upstreams refuse it. The charged
     # estimate has to be refunded, so that the next request is served.
     table = make_table()
     charge = table.admit(TAG, 5000, 0, 5.0)
     assert table.admit(TAG, 10, 0, 5.0).retry_after_s is not None
-    table.settle(TAG, charge, 0, 5.0)
+    table.replace_estimate(TAG, charge, 0, 5.0)
     assert table.admit(TAG, 10, 0, 5.0).retry_after_s is None
 
 
@@ -147,7 +147,7 @@
     # A caller that retries after the time in `retry_after_s` is served.
     table = make_table()
     charge = table.admit(TAG, 1500, 0, 5.0)
-    table.settle(TAG, charge, 1500, 5.0)
+    table.replace_estimate(TAG, charge, 1500, 5.0)
     refused = table.admit(TAG, 10, 2, 5.0)
     later_s = 5.0 + refused.retry_after_s
     assert table.admit(TAG, 10, 2, later_s).retry_after_s is None
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -20,17 +20,17 @@
     decode_outcome,
     decode_upstream,
     encode_outcome,
-    get_evacuated_zone,
-    get_order_service,
+    parse_evacuation_key,
+    parse_order_key,
 )
 from lovagestage.platform.headers import (
     decode_answer,
-    decode_event,
+    decode_event_id,
     decode_request,
     encode_request,
 )
 from lovagestage.platform.settings import decode_settings
-from tests.gateway_stage import (
+from tests.gateway_harness import (
     KEY,
     make_configuration,
     make_route,
@@ -59,8 +59,8 @@
     assert (request.id, request.key, request.model) == ("a1", KEY, "*")
     assert (request.path, request.target) == ("/a/b", b"/a/b?c=1")
     assert request.budget_s == 8.0
-    assert [part.tokens for part in request.parts] == [800, 410, 250]
-    assert request.subject == "91bd3f06"
+    assert [part.tokens for part in request.prompt_segments] == [800, 410, 250]
+    assert request.prefix_key == "91bd3f06"
     assert request.prompt_tokens == 1460
     assert request.session == "s1"
 
@@ -101,7 +101,7 @@
     assert decode_answer(event).is_not_run
 
 
-def test_decodes_what_keeps_a_connection():
+def test_decodes_an_answers_connection_headers():
     event = h11.Response(
         status_code=200,
         headers=[
@@ -114,7 +114,7 @@
     head = decode_answer(event)
     assert (head.idle_timeout_s, head.confidence) == (3.0, 42.0)
     assert head.is_signed
-    assert head.closes
+    assert head.closes_connection
     assert dict(head.headers) == {
         b"Confidence": b"42",
         b"Response-Signature": b"s",
@@ -122,9 +122,9 @@
 
 
 def test_decodes_event_ids():
-    assert decode_event(b"weight-versions: 3\nid: 12\ndata: x\n\n") == "12"
-    assert decode_event(b"id:7\r\ndata: x\r\n\r\n") == "7"
-    assert decode_event(b"data: x\n\n") is None
+    assert decode_event_id(b"weight-versions: 3\nid: 12\ndata: x\n\n") == "12"
+    assert decode_event_id(b"id:7\r\ndata: x\r\n\r\n") == "7"
+    assert decode_event_id(b"data: x\n\n") is None
 
 
 def test_decodes_a_configuration():
@@ -142,7 +142,7 @@
     stream = found.get_route("ficu95.example", "/s/x")
     split = found.get_route("ficu95.example", "/w/x")
     assert found.version == 7
-    assert (stream.kind, stream.is_repeatable) == (RouteKind.STREAM, True)
+    assert (stream.kind, stream.may_run_again) == (RouteKind.STREAM, True)
     assert stream.models == ("m0", "m1")
     assert [b.weight for b in split.backends] == [90.0, 10.0]
     assert found.keys[KEY].name == "clinic"
@@ -150,7 +150,7 @@
     # Requests of an unknown kind of route must not run twice, which is the safe
     # assumption.
     other = found.get_route("ficu95.example", "/n/x")
-    assert (other.kind, other.is_repeatable) == (RouteKind.UNSAFE, False)
+    assert (other.kind, other.may_run_again) == (RouteKind.UNSAFE, False)
 
 
 @given(st.binary(max_size=60) | st.just(b'{"Version":1,"Routes":[{}]}'))
@@ -169,8 +169,8 @@
     for outcome in RolloutOutcome:
         record = OutcomeRecord("v2", outcome, 9, 0.1)
         assert decode_outcome(encode_outcome(record)) == record
-    assert get_order_service("rollout/pool") == "pool"
-    assert get_order_service("config") is None
+    assert parse_order_key("rollout/pool") == "pool"
+    assert parse_order_key("config") is None
 
 
 def test_decodes_settings_and_names_the_line_at_fault():
@@ -184,7 +184,7 @@
         decode_settings(text.replace("RevokeMs=1500", "RevokeMs=-1"), "f")
 
 
-def test_what_cold_upstreams_bear_and_where_requests_may_run():
+def test_decodes_warmup_rates_and_allowed_regions():
     services = [
         {"Name": "pool", "WarmupS": 3.0, "WarmupPerS": 14.0},
         {"Name": "plain", "WarmupS": 0.0, "WarmupPerS": 0.0},
@@ -210,12 +210,12 @@
     )
     configuration = decode_configuration(data.encode())
     assert configuration.warmups == {"pool": Warmup(3.0, 14.0)}
-    assert configuration.get_route("h", "/p/x").homes == {"east"}
-    assert configuration.keys["k1"].homes == {"west"}
-    assert configuration.keys["k2"].homes is None
+    assert configuration.get_route("h", "/p/x").allowed_regions == {"east"}
+    assert configuration.keys["k1"].allowed_regions == {"west"}
+    assert configuration.keys["k2"].allowed_regions is None
 
 
 def test_only_orders_for_zones_name_one():
-    assert get_evacuated_zone("evacuate/lhr-johar") == "lhr-johar"
-    assert get_evacuated_zone("rollout/pool") is None
-    assert get_evacuated_zone("config") is None
+    assert parse_evacuation_key("evacuate/lhr-johar") == "lhr-johar"
+    assert parse_evacuation_key("rollout/pool") is None
+    assert parse_evacuation_key("config") is None
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -67,13 +67,13 @@
         now_s += pause_s
         requests += sent
         for _ in range(sent):
-            budget.note_request(now_s)
-        acquired += sum(budget.take(now_s) for _ in range(failed))
+            budget.record_request(now_s)
+        acquired += sum(budget.try_acquire(now_s) for _ in range(failed))
         earned = BUDGET_RATIO * requests + BUDGET_MINIMUM_PER_S * now_s
         assert acquired <= BUDGET_LIMIT + earned + 1e-6
 
 
-def test_spent_budget_makes_the_failure_final_with_when_to_come_back():
+def test_spent_budget_makes_the_failure_final_with_a_retry_time():
     budget = RetryBudget(0.0)
     failure = Failure(make_error(RunState.NOT_RUN), 1, False, False, 60.0)
     while get_retry_delay_s(failure, budget, 0.0, 0.5) is not None:
@@ -91,7 +91,7 @@
         (NoCapacityError("full", retry_after_s=7), False, 7),
     ],
 )
-def test_caller_is_told_to_come_back_only_where_that_is_safe(
+def test_caller_is_told_to_retry_only_if_that_is_safe(
     error, repeatable, expected
 ):
     failure = Failure(error, 4, False, repeatable, 9.0)
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -181,9 +181,9 @@
 )
 def test_barred_is_only_said_of_runs_that_never_were_nor_will_be(steps):
     # The test models a sidecar: a run may start unless it is barred, and is
-    # forgotten later. `BARRED` must stay true whatever was dropped at the
+    # forgotten later. `REFUSED` must stay true whatever was dropped at the
     # table's limit.
-    table = TombstoneTable(limit=3, keep_s=10.0)
+    table = TombstoneTable(limit=3, retention_s=10.0)
     ran, in_table, barred, now_s = {}, set(), {}, 0.0
     for step, number in steps:
         key = (str(number), 1)
@@ -196,9 +196,9 @@
         elif step == "forget" and key in in_table:
             in_table.discard(key)
             ran[key] = now_s
-            table.add_forgotten(key, now_s)
+            table.record_forgotten(key, now_s)
         elif step == "bar" and key not in in_table:
-            if table.bar(key, now_s) is RunTrace.BARRED:
+            if table.refuse(key, now_s) is RunTrace.REFUSED:
                 assert now_s - ran.get(key, -100.0) >= 10.0 or key in barred
                 barred[key] = now_s
         assert len(table) <= 3
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -8,15 +8,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lovagestage.decisions.subsets import MIN_FOLLOWERS, Place, choose_subset
+from lovagestage.decisions.subsets import (
+    MIN_FOLLOWERS,
+    ProcessLocation,
+    choose_subset,
+)
 
 ENTRIES, SIDECARS, ZONES, SIZE, PEERS = 98, 425, 4, 64, 8
 """A quarter of the target number of VMs; a sidecar has as many followers as at
 the full number."""
 
 
-def make_places(role: str, count: int, zones: int) -> list[Place]:
-    return [Place(f"{role}-{n}", f"zone-{n % zones}") for n in range(count)]
+def make_places(role: str, count: int, zones: int) -> list[ProcessLocation]:
+    return [
+        ProcessLocation(f"{role}-{n}", f"zone-{n % zones}")
+        for n in range(count)
+    ]
 
 
 def choose_all(entries, targets, size):
@@ -76,7 +83,7 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "sidecar"])
-def test_one_vm_that_goes_moves_few_links(entries, role):
+def test_removal_of_one_vm_moves_few_connections(entries, role):
     sidecars = make_places("sidecar", SIDECARS, ZONES)
     before = choose_all(entries, sidecars, SIZE)
     if role == "entry":
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -17,16 +17,16 @@
     MAX_SEND_TIMES,
     SEND_TIME_RETENTION_S,
     WARMUP_GATEWAYS,
-    Gateways,
-    Pace,
-    WarmupLog,
-    ZoneDealers,
+    GatewayView,
+    RateLimit,
+    WarmupTracker,
+    ZoneWarmupPolicy,
 )
-from lovagestage.gateway import warmups
-from lovagestage.gateway.choice import Work, choose_upstream
+from lovagestage.gateway import warmup_guard
 from lovagestage.gateway.rotation import Rotation
 from lovagestage.gateway.upstream import UpstreamEntry
-from tests.gateway_stage import make_route, run_stage
+from lovagestage.gateway.upstream_choice import AttemptCost, choose_upstream
+from tests.gateway_harness import make_route, run_gateway_harness
 
 PER_S = 14.0
 NAMES = [f"10.0.0.{number}:7000" for number in range(9)]
@@ -34,21 +34,21 @@
 
 def make_gateways(own, names, **fields):
     others = [name for name in names if name != own]
-    return Gateways(
+    return GatewayView(
         **{
-            "own": own,
+            "own_name": own,
             "zone": "a",
-            "neighbours": others,
-            "is_settled": True,
+            "zone_peers": others,
+            "is_discovery_complete": True,
             **fields,
         }
     )
 
 
-def get_paces(names, upstream="i-1", zone="a", **fields):
-    policy = ZoneDealers()
+def get_rate_limits(names, upstream="i-1", zone="a", **fields):
+    policy = ZoneWarmupPolicy()
     return [
-        policy.get_pace(
+        policy.get_rate_limit(
             make_gateways(n, names, **fields), upstream, zone, PER_S
         )
         for n in names
@@ -57,9 +57,9 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 9])
 def test_gateways_that_agree_keep_within_the_rate(count):
-    paces = get_paces(NAMES[:count])
-    assert sum(pace.requests for pace in paces) <= PER_S
-    assert sum(pace.requests > 0 for pace in paces) == min(
+    rate_limits = get_rate_limits(NAMES[:count])
+    assert sum(rate_limit.requests for rate_limit in rate_limits) <= PER_S
+    assert sum(rate_limit.requests > 0 for rate_limit in rate_limits) == min(
         WARMUP_GATEWAYS, count
     )
 
@@ -67,25 +67,27 @@
 def test_the_rule_holds_though_a_new_gateway_knows_nobody():
     # Guards against a gateway that does not know the other gateways of its zone
     # yet and considers itself the only one.
-    newcomer = ZoneDealers().get_pace(
+    newcomer = ZoneWarmupPolicy().get_rate_limit(
         make_gateways("10.0.9.9:7000", []), "i-1", "a", PER_S
     )
-    others = sum(pace.requests for pace in get_paces(NAMES))
+    others = sum(rate_limit.requests for rate_limit in get_rate_limits(NAMES))
     assert newcomer.requests + others <= PER_S * 1.5 + 5
 
 
 def test_a_gateway_that_has_just_started_leaves_cold_upstreams_to_others():
-    assert {p.requests for p in get_paces(NAMES, is_settled=False)} == {0}
+    assert {
+        p.requests for p in get_rate_limits(NAMES, is_discovery_complete=False)
+    } == {0}
 
 
 def test_gateways_of_other_zones_leave_cold_upstreams_to_others():
-    assert {p.requests for p in get_paces(NAMES, zone="b")} == {0}
+    assert {p.requests for p in get_rate_limits(NAMES, zone="b")} == {0}
 
 
-def test_gateways_that_cannot_hear_of_each_other_send_few():
-    (pace,) = get_paces(NAMES[:1], neighbours=None)
-    assert pace.requests == 1
-    assert pace.span_s > 1.0
+def test_gateways_without_discovery_send_few_requests():
+    (rate_limit,) = get_rate_limits(NAMES[:1], zone_peers=None)
+    assert rate_limit.requests == 1
+    assert rate_limit.span_s > 1.0
 
 
 @given(
@@ -95,16 +97,16 @@
 )
 def test_no_second_holds_more_than_the_pace(gaps_s, delays_s, requests):
     # Requests are sent some time after they were placed, in any order.
-    log, pace = WarmupLog(), Pace(requests)
+    log, rate_limit = WarmupTracker(), RateLimit(requests)
     now_s, sent_s, pending = 0.0, [], []
     for gap_s, delay_s in zip(gaps_s, delays_s, strict=False):
         now_s += gap_s
         for due_s in sorted(due for due in pending if due <= now_s):
             pending.remove(due_s)
-            log.note_sent(due_s)
+            log.record_sent(due_s)
             sent_s.append(due_s)
-        if log.has_room(pace, now_s):
-            log.note_placed()
+        if log.has_capacity(rate_limit, now_s):
+            log.record_placed()
             pending.append(now_s + delay_s)
     for first_s in sent_s:
         sent_count = sum(first_s <= at_s < first_s + 1.0 for at_s in sent_s)
@@ -112,19 +114,19 @@
 
 
 def test_what_was_sent_before_it_was_known_to_be_cold_counts():
-    log = WarmupLog()
+    log = WarmupTracker()
     for _ in range(3):
-        log.note_placed()
-        log.note_sent(10.0)
-    log.note_left(3.0, 10.2)
-    assert not log.has_room(Pace(3), 10.9)
-    assert log.has_room(Pace(3), 11.1)
+        log.record_placed()
+        log.record_sent(10.0)
+    log.record_time_left(3.0, 10.2)
+    assert not log.has_capacity(RateLimit(3), 10.9)
+    assert log.has_capacity(RateLimit(3), 11.1)
 
 
-def test_a_late_word_makes_no_upstream_warm():
-    log = WarmupLog()
-    assert log.note_left(3.0, 10.0)
-    assert not log.note_left(0.0, 10.1)
+def test_a_late_report_does_not_end_the_warm_up():
+    log = WarmupTracker()
+    assert log.record_time_left(3.0, 10.0)
+    assert not log.record_time_left(0.0, 10.1)
     assert log.is_cold(12.9)
     assert not log.is_cold(13.1)
 
@@ -153,9 +155,9 @@
 ROUTES = [make_route("safe", Public=True)]
 
 
-async def send_burst(stage, seconds, per_s):
+async def send_burst(harness, seconds, per_s):
     async def call_one(number):
-        reply = await stage.call("/safe/x", request_id=f"r{number}")
+        reply = await harness.call("/safe/x", request_id=f"r{number}")
         return reply.status
 
     loop = asyncio.get_running_loop()
@@ -168,52 +170,58 @@
     return statuses, math.ceil(loop.time() - started_s)
 
 
-def test_a_cold_upstream_is_not_felled_by_a_crowd(monkeypatch):
+def test_an_upstream_that_warms_up_is_not_crashed_by_a_burst(monkeypatch):
     # Guards against an empty upstream that gets all requests while it is
     # warming up, so that it crashes, restarts, warms up again and crashes
     # again.
-    monkeypatch.setattr(warmups, "SETTLE_S", 0.0)
+    monkeypatch.setattr(warmup_guard, "STARTUP_DELAY_S", 0.0)
 
     async def run():
         crashes = []
-        async with run_stage(1, services=SERVICES, routes=ROUTES) as stage:
+        async with run_gateway_harness(
+            1, services=SERVICES, routes=ROUTES
+        ) as harness:
             script = make_cold_script(crashes, 6 * 1.5 + 5)
-            await stage.add_worker("w2", script, WarmupLeftMs=3000)
-            rotation = stage.gateway.deployment.rotation
-            await stage.wait_until(lambda: len(rotation) == 2)
-            statuses, took_s = await send_burst(stage, 1.5, 60)
+            await harness.add_worker("w2", script, WarmupLeftMs=3000)
+            rotation = harness.gateway.deployment.rotation
+            await harness.wait_until(lambda: len(rotation) == 2)
+            statuses, took_s = await send_burst(harness, 1.5, 60)
             assert set(statuses) == {200}
             assert crashes == []
-            cold = len(stage.workers["w2"].started)
+            cold = len(harness.workers["w2"].started)
             assert 0 < cold <= 6 * took_s
             await asyncio.sleep(max(0.0, 3.2 - took_s))
-            await send_burst(stage, 0.5, 60)
-            assert len(stage.workers["w2"].started) > cold
+            await send_burst(harness, 0.5, 60)
+            assert len(harness.workers["w2"].started) > cold
 
     asyncio.run(run())
 
 
-def test_a_zone_that_is_given_back_is_taken_for_cold(monkeypatch):
+def test_a_restored_zone_counts_as_warming_up(monkeypatch):
     # Guards against a burst of requests to upstreams that started to warm up
     # while their zone was evacuated, and whose next heartbeat has not reported
     # that yet.
-    monkeypatch.setattr(warmups, "SETTLE_S", 0.0)
+    monkeypatch.setattr(warmup_guard, "STARTUP_DELAY_S", 0.0)
 
     async def run():
-        async with run_stage(1, services=SERVICES, routes=ROUTES) as stage:
-            deployment = stage.gateway.deployment
-            stage.store.put("keyed.op", "evacuate/a", b"{}")
-            await stage.wait_until(lambda: "a" in deployment.evacuations)
-            stage.store.put("keyed.op", "evacuate/a", b"")
-            await stage.wait_until(lambda: "a" not in deployment.evacuations)
-            statuses, took_s = await send_burst(stage, 0.8, 60)
-            assert len(stage.workers["w1"].started) <= 6 * took_s
+        async with run_gateway_harness(
+            1, services=SERVICES, routes=ROUTES
+        ) as harness:
+            deployment = harness.gateway.deployment
+            harness.store.put("keyed.op", "evacuate/a", b"{}")
+            await harness.wait_until(lambda: "a" in deployment.evacuations)
+            harness.store.put("keyed.op", "evacuate/a", b"")
+            await harness.wait_until(lambda: "a" not in deployment.evacuations)
+            statuses, took_s = await send_burst(harness, 0.8, 60)
+            assert len(harness.workers["w1"].started) <= 6 * took_s
             assert statuses.count(503) > 0
 
     asyncio.run(run())
 
 
-def test_dealers_use_more_than_half_and_never_break_the_rule(monkeypatch):
+def test_warmup_gateways_use_more_than_half_and_never_break_the_rule(
+    monkeypatch,
+):
     # Guards against a rule that holds only while all gateways agree on which
     # gateways exist: a third of them have just started and some are gone.
     monkeypatch.setattr(experiment, "DAYS", {3: 5, 31: 5})
@@ -233,21 +241,21 @@
     busy = rotation.get_ready("pool")
     for upstream in busy[1:]:
         upstream.performance.waiting_elsewhere_s = 2.0
-    busy[0].note_cold(3.0, 0.0)
+    busy[0].record_warmup(3.0, 0.0)
     rng = random.Random(7)
     for number in range(50):
-        work = Work(0.2, 0.1, f"subject-{number}")
+        work = AttemptCost(0.2, 0.1, f"subject-{number}")
         placement = choose_upstream(busy, set(), work, "a", 1.0, rng, busy[:1])
         assert placement.upstream is busy[0]
 
 
-def test_what_is_remembered_of_an_upstream_is_bounded():
-    log = WarmupLog()
+def test_retained_send_times_are_bounded():
+    log = WarmupTracker()
     for number in range(5000):
-        log.note_placed()
-        log.note_sent(number * 0.01)
+        log.record_placed()
+        log.record_sent(number * 0.01)
     assert len(log._send_times_s) < 2 * MAX_SEND_TIMES
-    assert not log.has_room(Pace(90), 50.0)
-    log.note_placed()
-    log.note_sent(50.0 + 2 * SEND_TIME_RETENTION_S)
+    assert not log.has_capacity(RateLimit(90), 50.0)
+    log.record_placed()
+    log.record_sent(50.0 + 2 * SEND_TIME_RETENTION_S)
     assert len(log._send_times_s) == 1
