--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -139,7 +139,7 @@
         assert caught.value.response.headers["X-Run-State"] == "not_run"
 
 
-def test_completion_is_a_script_for_the_shell(run):
+def test_completion_prints_a_shell_script(run):
     code, out, _ = run("completion", "bash", with_log=False)
     assert code == 0
     assert "rollout" in out
--- a/tests/test_control_experiments.py
+++ b/tests/test_control_experiments.py
@@ -14,7 +14,7 @@
     assert result.lovagestage["worst_s"] < result.baseline["worst_s"]
 
 
-def test_log_outage_reverts_nothing_where_a_trusting_reader_does(monkeypatch):
+def test_log_outage_reverts_nothing_unlike_for_the_baseline_reader(monkeypatch):
     monkeypatch.setattr(log_outage, "MINUTE_S", 0.2)
     result = log_outage.run(1)
     assert result.ok
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -34,7 +34,7 @@
     return explain_request(request_id, parse_lines(log.splitlines()))
 
 
-def test_story_has_the_request_and_what_explains_it():
+def test_explanation_has_the_request_and_its_context():
     explanation = explain_log("r1")
     assert [line.event for line in explanation.own] == [
         "attempt_failed",
@@ -51,7 +51,7 @@
     assert "has not run" in explanation.conclusion
 
 
-def test_story_leaves_out_what_an_earlier_process_believed():
+def test_explanation_omits_the_state_of_an_earlier_process():
     # The process lost its connection to the store and restarted before the
     # request arrived. The new process has read the configuration again, so the
     # earlier loss does not explain the outcome and must not be listed.
@@ -59,7 +59,7 @@
     assert not any(line.event == "store_lost" for line in explanation.context)
 
 
-def test_story_tells_each_topic_that_was_lost():
+def test_explanation_lists_each_lost_topic():
     # Only the loss of the operators' topic makes keys invalid for lack of
     # confirmation. A later loss of another topic must not hide that line.
     log = LOG.replace(
@@ -98,7 +98,7 @@
     assert explain_log("r1", log).conclusion.startswith("The gateway's time")
 
 
-def test_reader_that_has_seen_enough_gets_no_stack_trace(tmp_path):
+def test_closed_pipe_gives_no_stack_trace(tmp_path):
     # The output is piped into a command that has closed its end of the pipe.
     # The write then fails, and the failure must not print a stack trace.
     path = tmp_path / "a.log"
@@ -138,7 +138,9 @@
     )
 
 
-def test_command_prints_the_story_and_its_exit_code(tmp_path, capsys):
+def test_command_prints_the_explanation_and_sets_the_exit_code(
+    tmp_path, capsys
+):
     path = tmp_path / "a.log"
     path.write_text(LOG)
     assert main(["explain", "r1", str(path)]) == 0
@@ -152,7 +154,7 @@
     assert "log_file_unreadable" in capsys.readouterr().err
 
 
-def test_story_tells_that_the_budget_of_repeats_was_used_up():
+def test_explanation_names_an_exhausted_retry_budget():
     # An upstream crashed and restarted under its id. So many requests failed
     # because of the crash that the retry budget was used up, and this request
     # could not be sent to another upstream.
@@ -171,7 +173,7 @@
     ]
 
 
-def test_story_tells_of_emptied_zones_and_cold_upstreams():
+def test_explanation_lists_evacuated_zones_and_cold_upstreams():
     log = """\
 time=01.0 event=process_started vm=a address=x
 time=01.1 event=zone_evacuated vm=a zone=z1 offset=4
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -61,7 +61,7 @@
     )
 
 
-def test_restored_state_is_equal_and_goes_on_equally():
+def test_restored_state_is_equal_and_folds_later_records_alike():
     state = fold(
         make_change("x", 0),
         make_change("y", 0),
@@ -77,7 +77,7 @@
     assert restored.services["s"].document.team == "z"
 
 
-def test_hash_tells_different_states_of_one_length_apart():
+def test_hash_differs_for_different_states_of_equal_length():
     states = [fold(make_change("x", 0, team)) for team in ("a", "b")]
     assert states[0].get_hash() != states[1].get_hash()
 
@@ -86,7 +86,7 @@
     "data",
     [b"", b"\x01", b"\x02\x00\x80", b"\x01\x00\xff", b"\x01\x00\x91\x01"],
 )
-def test_undecodable_record_is_refused_loudly_and_counted(data, caplog):
+def test_undecodable_record_is_logged_and_counted(data, caplog):
     with caplog.at_level(logging.ERROR):
         state = fold(data, make_change("x", 0))
     assert state.undecodable == 1
@@ -102,13 +102,13 @@
     assert state.services["s"].revision == 1
 
 
-def test_a_gap_is_refused():
+def test_record_after_missing_records_is_rejected():
     with pytest.raises(CodecError):
         ControlState().apply(1, encode_record(make_change()))
 
 
 @pytest.mark.parametrize("cut", [0, 1, 10, -1])
-def test_torn_state_is_not_restored(cut):
+def test_truncated_state_is_not_restored(cut):
     data = fold(make_change()).encode()
     with pytest.raises(CodecError):
         restore_state(data[:cut])
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -9,7 +9,7 @@
 from tests.test_fold import make_change
 
 
-async def test_history_begins_at_the_oldest_record_that_is_left():
+async def test_history_begins_at_the_oldest_retained_record():
     # An operator requests the history after the first records of the log have
     # expired. A read from offset 0 is refused as below the horizon, and the
     # changes that the log still has must nevertheless be listed.
--- a/tests/test_lab_engine.py
+++ b/tests/test_lab_engine.py
@@ -52,7 +52,7 @@
     return [line[6:] for line in lines if line.startswith("data: ")]
 
 
-async def test_resume_after_silence_completes_the_same_bytes():
+async def test_resume_after_stall_completes_the_same_bytes():
     async with serve_engine() as (_, client):
         await client.post("/_faults", json={"silent_after_tokens": 3})
         response = await send_chat_request(
@@ -129,7 +129,7 @@
     assert list(runs) == ["first", "urgent", "normal", "later", "lazy"]
 
 
-async def test_cancel_frees_the_place_and_forgets_the_stream():
+async def test_cancel_frees_the_slot_and_drops_the_stream():
     async with serve_engine(ONE_AT_A_TIME) as (engine, client):
         response = await send_chat_request(
             client, "long", stream=True, max_tokens=4000
@@ -174,7 +174,7 @@
         assert ("small@3" in engine.models.loaded) is not checks_fencing
 
 
-async def test_refusals_are_told_by_status_and_code():
+async def test_refusals_are_reported_by_status_and_code():
     async with serve_engine() as (_, client):
         missing = await send_chat_request(client, "m", model="small@9")
         unknown = await client.get("/v1/streams/none")
@@ -225,7 +225,7 @@
     return process, f"http://127.0.0.1:{int(line.split('=')[1])}"
 
 
-async def test_process_tells_its_port_and_exits_0_on_sigterm():
+async def test_process_prints_its_port_and_exits_0_on_sigterm():
     process, url = await start_process("engine", "--models", MODEL)
     async with aiohttp.ClientSession() as session:
         async with session.get(f"{url}/v1/models") as response:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -204,7 +204,7 @@
             gate.check("l", stale)
 
 
-async def test_released_lease_is_taken_at_once():
+async def test_released_lease_is_taken_immediately():
     async with serve_log() as served:
         (old, _), (new, _) = await start_keepers(served)
         monotonic_s = time.monotonic()
@@ -232,7 +232,7 @@
         assert old.get_fencing() == fencing
 
 
-async def test_gate_that_has_read_nothing_takes_no_order():
+async def test_gate_that_has_read_nothing_accepts_no_order():
     # A sidecar that has just started knows no grant. If its gate accepted the
     # first fencing number, the order of an earlier holder that was paused
     # would be carried out.
@@ -246,7 +246,7 @@
             FencingGate(reader).check("l", 7)
 
 
-async def test_gate_that_has_lost_the_log_takes_no_order(monkeypatch):
+async def test_gate_without_the_log_accepts_no_order(monkeypatch):
     # The log is unavailable to the sidecar only. Another process may have
     # taken the lease meanwhile without the gate's knowledge, so the gate must
     # reject an order with the last fencing number that it has read.
@@ -263,7 +263,7 @@
 
 
 @pytest.mark.parametrize("contenders", [1, 2, 20, 390])
-def test_few_contenders_append_when_a_lease_lapses(contenders):
+def test_few_contenders_append_when_a_lease_expires(contenders):
     # Guards against exhausting the log's append budget, so that other writers
     # are refused. When a holder fails, every entry sees the lease expire in
     # the same second. Without delays, each would append a take, of which only
@@ -286,7 +286,7 @@
     assert max(waited_s) < 15
 
 
-def test_contender_waits_for_its_turn():
+def test_contender_waits_for_its_takeover_delay():
     current = LeaseInForce("l", "dead", 1, 5, 7, 15_000)
     view = leasing.LeaseView("l", Hello("entry", 1), 15_000, current, 100.0)
     assert leasing.make_next_record(view, 115.9, "c", 1.0) is None
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -71,7 +71,7 @@
     return sums, lines
 
 
-def test_entry_sends_what_its_callers_saw():
+def test_entry_sends_metrics_of_its_requests():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
         server.settimeout(10.0)
@@ -126,7 +126,7 @@
         assert "lovagestage.requests:1|c" in send_and_receive(metrics, server)
 
 
-async def test_slow_resolver_holds_up_nothing(monkeypatch):
+async def test_slow_resolver_does_not_block_sends(monkeypatch):
     lookup_started = threading.Event()
     release_lookup = threading.Event()
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -69,7 +69,7 @@
         ),
     ],
 )
-def test_change_not_signed_by_the_teams_operator_loses(change):
+def test_change_not_signed_by_the_teams_operator_is_rejected(change):
     state = make_state()
     assert apply(state, change) is Outcome.FORBIDDEN
     assert not state.services
--- a/tests/test_peerstate.py
+++ b/tests/test_peerstate.py
@@ -61,7 +61,7 @@
     return control
 
 
-def test_the_highest_offset_that_proves_right_is_chosen():
+def test_valid_state_with_the_highest_offset_is_chosen():
     damaged = make_answer(4)
     changed = damaged.state.replace(b'"team":"a"', b'"team":"z"')
     damaged = StateAnswer(4, damaged.checksum, changed)
@@ -72,7 +72,7 @@
     assert choose_newest([damaged, mislabelled]) is None
 
 
-async def test_cold_process_starts_from_its_peers_and_never_goes_back():
+async def test_starting_process_installs_newest_peer_state_and_never_older():
     # The log is down and a VM has been replaced. Its process asks its peers:
     # one does not answer, one has no state either, one is behind, one is
     # ahead. The process installs the newest state, and does not replace it
@@ -113,7 +113,7 @@
             return None
 
 
-async def test_state_that_takes_long_is_fetched(monkeypatch):
+async def test_state_with_a_slow_transfer_is_fetched(monkeypatch):
     # Guards against a process that requests a large state, times out and
     # requests it again for as long as the log is down.
     monkeypatch.setattr(peerstate, "QUERY_TIMEOUT_S", 0.1)
@@ -129,7 +129,7 @@
         assert starting.services["s"].revision == 5
 
 
-async def test_one_peer_sends_its_state_where_several_have_it():
+async def test_one_peer_sends_its_state_when_several_have_it():
     # Guards against several copies of a state sharing one slow link.
     async with serve_log() as served:
         served.faults.outage = True
@@ -140,7 +140,7 @@
         assert table.transfers == 1
 
 
-async def test_installed_state_goes_on_from_the_log_when_it_returns():
+async def test_installed_state_continues_from_the_log_after_an_outage():
     async with serve_log() as served:
         await append_changes(served, 6)
         reference = await served.start_reader()
@@ -170,7 +170,7 @@
         assert not control.caught_up
 
 
-async def test_process_that_is_still_reading_hands_nothing_on():
+async def test_process_that_is_still_reading_sends_no_state():
     async with serve_log() as served:
         control = ControlReader(served.log)
         control.install(make_state(3), whole=False)
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("forged", "alarms"), [(False, 0), (True, 1)])
-async def test_differing_hash_at_one_offset_raises_the_alarm(
+async def test_differing_hash_at_the_same_offset_is_logged(
     forged, alarms, caplog
 ):
     async with serve_log() as served:
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -30,7 +30,7 @@
     )
 
 
-def test_launchers_side_by_side_never_share_ports(tmp_path):
+def test_concurrent_launchers_share_no_ports(tmp_path):
     # Launchers run at the same time, and one of them kills a process. If the
     # port of that process were given to another launcher, the peers of the
     # killed process would connect to an unrelated process, and callers would
@@ -45,7 +45,7 @@
             launcher.communicate("")
 
 
-def test_part_is_free_again_when_its_process_has_ended(tmp_path):
+def test_port_range_is_free_after_its_process_ends(tmp_path):
     launcher = start_launcher(tmp_path)
     port = int(launcher.stdout.readline())
     launcher.communicate("")
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -99,7 +99,7 @@
     return asyncio.run(read())
 
 
-def test_rollout_outlives_the_kill_of_its_driver(rollout_fleet, capsys):
+def test_rollout_completes_after_its_driver_is_killed(rollout_fleet, capsys):
     # The entry that drives a roll-out is killed while engines load. Another
     # entry takes the lease, reads the progress from the log and continues.
     # Each engine loads the version exactly once, and the roll-out completes.
@@ -111,7 +111,7 @@
     assert get_accepted_loads(fleet) == {"engine-0": 1, "engine-1": 1}
 
 
-def test_rollout_waits_out_a_log_outage(rollout_fleet, capsys):
+def test_rollout_resumes_after_a_log_outage(rollout_fleet, capsys):
     # The log is unavailable during a roll-out, for longer than a step takes.
     # No move is recorded meanwhile, since the lease can't be renewed. After
     # the log recovers, the roll-out continues from the recorded step and
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -128,7 +128,7 @@
     assert shares == [0.0, 0.1, 0.5, 1.0, 1.0]
 
 
-def test_move_of_a_paused_holder_loses_for_every_reader():
+def test_move_of_a_paused_holder_is_rejected_by_every_reader():
     # The holder of the roll-out lease decides on the next step and is paused
     # before it appends the move. Another entry takes the lease. The first
     # entry resumes and appends the move under its old fencing number, which
@@ -170,7 +170,7 @@
     assert state.rollouts.get("s", "large").get_share() == 0.5
 
 
-def test_move_for_an_older_revision_loses():
+def test_move_for_an_older_revision_is_rejected():
     state = make_state()
     apply(state, make_document(1, exposure_budget=50))
     assert apply(state, make_move(0, "stepping")) is Outcome.CONFLICT
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -50,7 +50,7 @@
     )
 
 
-def test_token_says_what_was_signed():
+def test_token_contains_the_signed_session():
     signer = sessions.SessionSigner(["k1"])
     assert signer.read_token(signer.make_token(SESSION)) == SESSION
 
@@ -59,7 +59,7 @@
     ("signing", "reading"),
     [(["old"], ["old", "new"]), (["old"], ["new", "old"]), (["b", "a"], ["b"])],
 )
-def test_token_outlives_a_key_rotation(signing, reading):
+def test_token_stays_valid_after_a_key_rotation(signing, reading):
     token = sessions.SessionSigner(signing).make_token(SESSION)
     assert sessions.SessionSigner(reading).read_token(token) == SESSION
 
@@ -108,7 +108,7 @@
         sessions.SessionSigner(["k1"]).read_token(token)
 
 
-def test_header_goes_before_metadata():
+def test_header_takes_precedence_over_metadata():
     assert sessions.get_token({"X-Session": "a"}, {"session": "b"}) == "a"
     assert sessions.get_token({}, {"session": "b"}) == "b"
     assert sessions.get_token({}, None) is None
@@ -156,7 +156,7 @@
         sessions.resolve_model(SESSION, name, make_document())
 
 
-def test_workspace_that_lost_its_right_is_refused():
+def test_workspace_without_access_is_refused():
     with pytest.raises(ModelNotAllowedError):
         sessions.resolve_model(
             SESSION, "vault", make_document(allowed=["small"])
@@ -175,7 +175,7 @@
     assert sessions.resolve_model(SESSION, "vault", document) == target
 
 
-def test_session_with_nowhere_to_move_ends():
+def test_session_without_a_version_to_move_to_ends():
     document = make_document((VersionState.WITHDRAWN,) * 3, OnWithdraw.MOVE)
     with pytest.raises(SessionVersionWithdrawnError):
         sessions.resolve_model(SESSION, "vault", document)
@@ -187,7 +187,7 @@
     st.sampled_from(["vault", "large", *NAMES]),
     st.sets(st.sampled_from(["large", "small", *NAMES])).map(sorted),
 )
-def test_session_runs_on_its_version_or_visibly_not(
+def test_session_runs_on_its_version_or_is_refused_or_moved(
     states, on_withdraw, name, allowed
 ):
     # For every document, a session's request either runs on the session's
--- a/tests/test_sidecar_check.py
+++ b/tests/test_sidecar_check.py
@@ -94,7 +94,7 @@
         return ["large@1"]
 
 
-async def test_one_failed_reading_does_not_hide_an_engine(monkeypatch):
+async def test_one_failed_load_request_does_not_hide_an_engine(monkeypatch):
     # The connection to the engine closes while its load is read, although
     # the engine still serves requests. If the sidecar dropped the versions
     # immediately, entries would answer 503 until the next successful read
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -49,7 +49,7 @@
     return chunk[:-1] + bytes((chunk[-1] ^ 1,))
 
 
-def test_every_order_of_two_writers_chunks_gives_whole_snapshots_only():
+def test_every_order_of_two_writers_chunks_gives_complete_snapshots_only():
     """Bounds: 2 writers, 3 chunks each, all 720 orders and their 5,040 cuts.
 
     After each chunk of every order, the collector retains exactly the
@@ -86,7 +86,7 @@
     ],
     ids=["torn", "corrupt", "other major version", "repeated"],
 )
-def test_damaged_snapshot_leaves_the_one_before(damage, refused):
+def test_damaged_snapshot_does_not_replace_an_earlier_one(damage, refused):
     older = make_chunks(make_state(1), 0)
     newer = make_chunks(make_state(2), 1, 100)
     collector = collect([*older, *damage(newer)])
@@ -115,13 +115,13 @@
     assert [snapshot.cursor for snapshot in collect(chunks).snapshots] == [3, 2]
 
 
-def test_snapshot_that_covers_too_little_is_not_offered():
+def test_snapshot_that_covers_too_little_is_not_returned():
     collector = collect(make_chunks(make_state(2), 0))
     assert collector.get_covering(3) == []
     assert collector.get_covering(2)[0].restore().next_offset == 2
 
 
-def test_unfinished_snapshots_are_bounded():
+def test_incomplete_snapshots_are_bounded():
     first_chunks = [make_chunks(make_state(n), 0, 100)[0] for n in range(1, 12)]
     assert len(collect(first_chunks)._partial) == 4
 
@@ -195,7 +195,7 @@
         assert reader.services["s"].revision == 9
 
 
-async def test_snapshots_outlive_the_horizon_and_their_writer():
+async def test_snapshots_cover_expired_records_after_their_writer_stops():
     # Two processes write snapshots in turn as the lease changes its holder,
     # and one snapshot is incomplete. A process that starts after the early
     # records have expired folds to the same hash as a process that has read
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -16,7 +16,7 @@
     assert not breaches, summary
 
 
-def test_gateways_that_watch_the_store_for_others_keep_their_promises(tmp_path):
+def test_gateways_with_shared_store_watchers_keep_their_guarantees(tmp_path):
     # Of nine gateways, two read the store on behalf of the others. Gateways are
     # stopped, frozen or disconnected from the store while keys are revoked and
     # workers leave. Callers must be given the same guarantees as by three
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "sidecar"])
-def test_stop_during_streams_cuts_none(role):
+def test_stop_completes_open_streams(role):
     # A process receives SIGTERM while streams run through it. It must accept
     # no new requests, let the open streams run to their end and only then exit
     # with 0, so that each caller receives its complete stream.
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -46,7 +46,7 @@
     assert day.worst == [("2", 0.5), ("4", 0.7)]
 
 
-def test_kinds_are_split_by_what_they_lost(tmp_path):
+def test_kinds_are_split_by_cause_of_loss(tmp_path):
     (kind,) = read_day(write_report(tmp_path, REPORT)).kinds
     assert (kind.owed, kind.failed) == (100, 0.03)
     assert kind.late == pytest.approx(0.07)
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -54,7 +54,7 @@
     assert outcomes.count(Outcome.CONFLICT) == 3
 
 
-async def test_refused_append_is_said_to_be_not_appended():
+async def test_refused_append_is_reported_as_not_appended():
     async with serve_log() as served:
         writer = ControlWriter(served.log, await served.start_reader())
         served.faults.outage = True
@@ -65,7 +65,9 @@
     assert page.records == []
 
 
-async def test_stalled_append_is_unknown_with_its_change_id(monkeypatch):
+async def test_stalled_append_is_reported_as_unknown_with_its_change_id(
+    monkeypatch,
+):
     # The log accepts the call and never answers. The error must not say "not
     # appended". It contains the change id, with which the caller can append
     # again later.
@@ -90,7 +92,7 @@
             )
 
 
-async def test_outage_keeps_what_is_in_force(monkeypatch):
+async def test_documents_stay_in_force_during_an_outage(monkeypatch):
     monkeypatch.setattr(control, "READ_WAIT_S", 0.2)
     async with serve_log() as served:
         reader = await served.start_reader()
