--- a/lab/experiments/log_outage.py
+++ b/lab/experiments/log_outage.py
@@ -25,7 +25,7 @@
 from lab.server import start_app
 from lovagestage.adapters.http_log import HttpLog
 from lovagestage.adapters.protocols import Log, LogPage
-from lovagestage.control.peerstate import choose_newest
+from lovagestage.control.peerstate import choose_newest_state
 from lovagestage.control.reader import ControlReader
 from lovagestage.control.snapshotting import SnapshotStream
 from lovagestage.control.writer import ControlWriter
@@ -265,9 +265,9 @@
         for reader in (world.product, world.reference)
     ]
     fresh = ControlReader(world.log)
-    state = choose_newest(answers)
+    state = choose_newest_state(answers)
     assert state is not None
-    fresh.install(state, whole=True)
+    fresh.install(state, is_complete=True)
     copy = dict(world.baseline.documents)
     return (
         _Figures(world.count_product_stale(fresh)),
--- a/src/lovagestage/control/membership.py
+++ b/src/lovagestage/control/membership.py
@@ -108,7 +108,7 @@
 
     async def on_stop(self) -> None:
         """Removes this process, so that others need not await the timeout."""
-        if self.view.has(self.get_own_id()):
+        if self.view.is_member(self.get_own_id()):
             await self._append(
                 MemberRemoved(self.own.vm, self.own.incarnation, ended=True)
             )
@@ -129,7 +129,7 @@
             self._last_answer_s.clear()
             self._removed_s = now_s
         self._last_check_s = now_s
-        if not self.view.has(self.get_own_id()):
+        if not self.view.is_member(self.get_own_id()):
             await self._join(now_s)
             return
         self._has_joined = True
--- a/src/lovagestage/control/peerstate.py
+++ b/src/lovagestage/control/peerstate.py
@@ -70,7 +70,7 @@
     return state
 
 
-def choose_newest(
+def choose_newest_state(
     answers: Sequence[StateAnswer | StateOffer],
 ) -> ControlState | None:
     """Returns the valid state with the highest offset.
@@ -119,9 +119,9 @@
 
     async def _on_state_offer(self, offer: Message) -> Message:
         assert isinstance(offer, StateOffer)
-        state = choose_newest([offer])
+        state = choose_newest_state([offer])
         if state is not None:
-            self._control.install(state, whole=True)
+            self._control.install(state, is_complete=True)
         return self._make_answer(with_state=False)
 
     def _make_answer(self, *, with_state: bool) -> StateAnswer:
@@ -219,8 +219,10 @@
             self._fetch_timeout_s = next_timeout_s
             return False
         self._fetch_timeout_s = QUERY_TIMEOUT_S
-        state = choose_newest([answer])
-        return state is not None and self._control.install(state, whole=True)
+        state = choose_newest_state([answer])
+        return state is not None and self._control.install(
+            state, is_complete=True
+        )
 
     async def compare(self) -> None:
         """Compares the state hash with one peer's and logs a mismatch."""
--- a/src/lovagestage/control/reader.py
+++ b/src/lovagestage/control/reader.py
@@ -106,20 +106,20 @@
         """Registers a callback that is called after each batch of records."""
         self._subscribers.append(callback)
 
-    async def wait_changed(self, timeout_s: float) -> None:
+    async def wait_for_change(self, timeout_s: float) -> None:
         """Waits for the next batch of records, at most `timeout_s` seconds."""
         try:
             await asyncio.wait_for(self._changed.wait(), timeout_s)
         except TimeoutError:
             return
 
-    def install(self, state: ControlState, *, whole: bool) -> bool:
+    def install(self, state: ControlState, *, is_complete: bool) -> bool:
         """Replaces the folded state by a newer one.
 
         Args:
             state: The newer state; the caller has already verified it.
-            whole: Whether the state may be acted on before the log is read to
-                its end.
+            is_complete: Whether the state may be acted on before the log is
+                read to its end.
 
         Returns:
             False if `state` is not newer than the folded state.
@@ -131,7 +131,7 @@
             extra={"from": self.folded.next_offset, "to": state.next_offset},
         )
         self.folded = state
-        self._is_complete = self._is_complete or whole
+        self._is_complete = self._is_complete or is_complete
         self._notify_subscribers()
         return True
 
@@ -195,7 +195,7 @@
                 state = await self._snapshots.find(first_offset)
         except LogError as error:
             _log.warning("snapshot_read_failed", extra={"code": error.code})
-        if state is None or not self.install(state, whole=False):
+        if state is None or not self.install(state, is_complete=False):
             _log.error(
                 "control_below_horizon",
                 extra={
--- a/src/lovagestage/control/rollout_driver.py
+++ b/src/lovagestage/control/rollout_driver.py
@@ -54,7 +54,7 @@
 _FINAL_PHASES = (RolloutPhase.DONE, RolloutPhase.ROLLED_BACK)
 
 
-class Evidence(Protocol):
+class EvidenceSource(Protocol):
     """Evidence for and against the new version of a roll-out."""
 
     def may_step(self, rollout: Rollout) -> bool:
@@ -78,7 +78,7 @@
         lease: LeaseKeeper,
         writer: RecordWriter,
         upstreams: UpstreamTable,
-        evidence: Evidence,
+        evidence: EvidenceSource,
     ) -> None:
         super().__init__()
         self._control = control
--- a/src/lovagestage/control/writer.py
+++ b/src/lovagestage/control/writer.py
@@ -118,7 +118,7 @@
             remaining_s = wait_until_s - time.monotonic()
             if remaining_s <= 0:
                 return
-            await self._control.wait_changed(remaining_s)
+            await self._control.wait_for_change(remaining_s)
 
 
 def _make_timeout_error(
--- a/src/lovagestage/decisions/request_keys.py
+++ b/src/lovagestage/decisions/request_keys.py
@@ -26,7 +26,7 @@
     Pull,
     PullAnswer,
 )
-from lovagestage.state.members import SLOTS, MemberId, MemberView, Period
+from lovagestage.state.members import SLOTS, HolderPeriod, MemberId, MemberView
 from lovagestage.types import Offset, WorkspaceId
 
 NEVER_COMPLETE = Offset(-1)
@@ -303,7 +303,7 @@
                 slot.lost_at_ms = 0
                 slot.lost_holders = ()
 
-    def _enter_period(self, slot: Slot, period: Period) -> None:
+    def _enter_period(self, slot: Slot, period: HolderPeriod) -> None:
         was_complete = slot.whole_start == slot.processed_start
         slot.processed_start = period.start
         if self.own not in period.holders:
@@ -315,7 +315,7 @@
         self,
         view: MemberView,
         index: int,
-        period: Period,
+        period: HolderPeriod,
         answers: dict[MemberId, Offset],
     ) -> PullStep | None:
         """Returns the step for one period of a slot.
@@ -332,7 +332,7 @@
         other_holders = tuple(
             m
             for m in period.holders
-            if m != self.own and m not in answers and view.has(m)
+            if m != self.own and m not in answers and view.is_member(m)
         )
         # One holder with an incomplete history is enough to prove that nothing
         # was granted in the period. This process nevertheless asks the other
--- a/src/lovagestage/entry/exposure_service.py
+++ b/src/lovagestage/entry/exposure_service.py
@@ -165,8 +165,8 @@
     def may_step(self, rollout: Rollout) -> bool:
         """Returns whether a roll-out may proceed to its next step.
 
-        See `rollout_driver.Evidence`. Without a rater no evidence is required:
-        any roll-out that was not stopped may proceed.
+        See `rollout_driver.EvidenceSource`. Without a rater no evidence is
+        required: any roll-out that was not stopped may proceed.
 
         Args:
             rollout: The roll-out.
--- a/src/lovagestage/operations/operator_client.py
+++ b/src/lovagestage/operations/operator_client.py
@@ -153,7 +153,7 @@
                     f" {CATCH_UP_TIMEOUT_S:g} s; the reader is"
                     f" {self.control.follow_state.value}."
                 )
-            await self.control.wait_changed(min(remaining_s, 0.1))
+            await self.control.wait_for_change(min(remaining_s, 0.1))
 
     def get_document(self, service: str) -> tuple[int, ServiceDocument]:
         """Returns the revision and the document of a service in force.
--- a/src/lovagestage/state/members.py
+++ b/src/lovagestage/state/members.py
@@ -70,7 +70,7 @@
     incarnation: int
 
 
-class Period(msgspec.Struct, frozen=True, array_like=True):
+class HolderPeriod(msgspec.Struct, frozen=True, array_like=True):
     """Period in which a slot had the same holders.
 
     Attributes:
@@ -89,7 +89,7 @@
     epoch: Offset
     members: list[MemberJoined]
     may_be_paused: list[MemberId]
-    periods: list[list[Period]]
+    periods: list[list[HolderPeriod]]
 
 
 class MemberView:
@@ -120,7 +120,7 @@
         self.epoch = Offset(-1)
         self.members: dict[VmId, MemberJoined] = {}
         self.may_be_paused: dict[VmId, int] = {}
-        self.periods: list[list[Period]] = [[] for _ in range(slots)]
+        self.periods: list[list[HolderPeriod]] = [[] for _ in range(slots)]
         self.outcomes = OutcomeTable(0)
 
     def apply(self, offset: Offset, record: msgspec.Struct) -> None:
@@ -155,14 +155,14 @@
         }
         self.periods = encoded.periods
 
-    def has(self, member: MemberId) -> bool:
+    def is_member(self, member: MemberId) -> bool:
         """Whether a process is a member under its own incarnation."""
         current = self.members.get(member.vm)
         return current is not None and current.incarnation == member.incarnation
 
     def has_certainly_ended(self, member: MemberId) -> bool:
         """Whether a process can never again grant or confirm a claim."""
-        if self.has(member):
+        if self.is_member(member):
             return False
         return self.may_be_paused.get(member.vm) != member.incarnation
 
@@ -188,7 +188,7 @@
 
     def _remove(self, record: MemberRemoved) -> bool:
         member = MemberId(record.vm, record.incarnation)
-        if self.has(member):
+        if self.is_member(member):
             del self.members[record.vm]
             if not record.ended:
                 self.may_be_paused[record.vm] = record.incarnation
@@ -202,7 +202,7 @@
             holders = choose_holders(slot, self.members)
             if periods and periods[-1].holders == holders:
                 continue
-            periods.append(Period(offset, holders, not periods))
+            periods.append(HolderPeriod(offset, holders, not periods))
             del periods[:-MAX_PERIODS]
 
 
--- a/src/lovagestage/wiring.py
+++ b/src/lovagestage/wiring.py
@@ -31,7 +31,7 @@
 from lovagestage.control.orders import OrderService
 from lovagestage.control.peerstate import PeerState, StateResponder
 from lovagestage.control.reader import ControlReader
-from lovagestage.control.rollout_driver import Evidence, RolloutDriver
+from lovagestage.control.rollout_driver import EvidenceSource, RolloutDriver
 from lovagestage.control.snapshotting import (
     SNAPSHOT_LEASE,
     SnapshotStream,
@@ -344,7 +344,7 @@
     components: _Components,
     role_settings: EntrySettings,
     upstreams: UpstreamTable,
-    evidence: Evidence,
+    evidence: EvidenceSource,
 ) -> list[mode.Service]:
     lease = LeaseKeeper(
         ROLLOUT_LEASE,
--- a/tests/test_peerstate.py
+++ b/tests/test_peerstate.py
@@ -15,7 +15,7 @@
 from lovagestage.control.peerstate import (
     PeerState,
     StateResponder,
-    choose_newest,
+    choose_newest_state,
 )
 from lovagestage.control.reader import ControlReader
 from lovagestage.messages.envelope import StateAnswer, StateQuestion
@@ -57,7 +57,7 @@
 
 async def make_control(log, records: int) -> ControlReader:
     control = ControlReader(log)
-    control.install(make_state(records), whole=True)
+    control.install(make_state(records), is_complete=True)
     return control
 
 
@@ -68,8 +68,8 @@
     mislabelled = make_answer(2)
     mislabelled = StateAnswer(9, mislabelled.checksum, mislabelled.state)
     answers = [make_answer(1), mislabelled, damaged, make_answer(3)]
-    assert choose_newest(answers).next_offset == 3
-    assert choose_newest([damaged, mislabelled]) is None
+    assert choose_newest_state(answers).next_offset == 3
+    assert choose_newest_state([damaged, mislabelled]) is None
 
 
 async def test_starting_process_installs_newest_peer_state_and_never_older():
@@ -173,7 +173,7 @@
 async def test_process_that_is_still_reading_sends_no_state():
     async with serve_log() as served:
         control = ControlReader(served.log)
-        control.install(make_state(3), whole=False)
+        control.install(make_state(3), is_complete=False)
         hub = make_peer(control)
         answer = await hub.answerers[StateQuestion](StateQuestion(True))
         assert answer.state == b""
