--- a/src/lovagestage/decisions/request_keys.py
+++ b/src/lovagestage/decisions/request_keys.py
@@ -194,7 +194,7 @@
         if view.epoch != copy.epoch:
             return ClaimAnswer(ClaimOutcome.STALE_VIEW)
         is_only_holder = len(view.get_holders(copy.slot)) == 1
-        if not is_only_holder and (answer is None or not answer.taken):
+        if not is_only_holder and (answer is None or not answer.accepted):
             return ClaimAnswer(ClaimOutcome.BUSY)
         entry = copy.entry
         if entry is None:
@@ -221,7 +221,7 @@
             return CopyAnswer(False)
         if existing is None and self.size >= self._max_entries:
             return CopyAnswer(False)
-        self._store_entry(slot, entry.at(now_s))
+        self._store_entry(slot, entry.with_put_at(now_s))
         return CopyAnswer(True)
 
     def answer_pull(
@@ -236,7 +236,7 @@
             slot.whole_start,
             slot.lost_at_ms,
             slot.lost_holders,
-            [e.at(now_s - e.put_at_s) for e in slot.entries.values()],
+            [e.with_put_at(now_s - e.put_at_s) for e in slot.entries.values()],
         )
 
     def plan_pull(
@@ -277,7 +277,9 @@
         for entry in answer.entries:
             existing = slot.entries.get((entry.workspace, entry.key))
             if existing is None or existing.stamp < entry.stamp:
-                self._store_entry(slot, entry.at(now_s - entry.put_at_s))
+                self._store_entry(
+                    slot, entry.with_put_at(now_s - entry.put_at_s)
+                )
         if answer.lost_at_ms > slot.lost_at_ms:
             slot.lost_at_ms = answer.lost_at_ms
             slot.lost_holders = answer.lost_holders
@@ -356,14 +358,17 @@
             return self._find_new_key_refusal(view, slot, claim, now_ms)
         if existing.fingerprint != claim.fingerprint:
             return ClaimOutcome.OTHER_BODY
-        if claim.run is not None and existing.run in (claim.run, claim.after):
+        if claim.run is not None and existing.run in (
+            claim.run,
+            claim.replaces,
+        ):
             return None
         return ClaimOutcome.HELD
 
     def _find_new_key_refusal(
         self, view: MemberView, slot: Slot, claim: Claim, now_ms: int
     ) -> ClaimOutcome | None:
-        if claim.after is not None:
+        if claim.replaces is not None:
             return ClaimOutcome.BUSY
         if self.size >= self._max_entries:
             return ClaimOutcome.FULL
--- a/src/lovagestage/decisions/run_gate.py
+++ b/src/lovagestage/decisions/run_gate.py
@@ -15,7 +15,7 @@
 
 import collections
 
-from lovagestage.messages.keys import RunKnown
+from lovagestage.messages.keys import RunKnowledge
 from lovagestage.types import RequestId
 
 PERMIT_LIFETIME_MS = 30_000
@@ -68,7 +68,7 @@
         permit_ms: int,
         forbid: bool,
         now_ms: int,
-    ) -> RunKnown:
+    ) -> RunKnowledge:
         """Returns what is known of a run that the table of runs lacks.
 
         Args:
@@ -80,15 +80,15 @@
             now_ms: Time of the sidecar's clock in milliseconds.
         """
         if incarnation != self.incarnation:
-            return RunKnown.FORGOTTEN
+            return RunKnowledge.FORGOTTEN
         if run in self._forbidden:
-            return RunKnown.FORBIDDEN
+            return RunKnowledge.FORBIDDEN
         if self.may_have_ended(run, permit_ms):
-            return RunKnown.FORGOTTEN
+            return RunKnowledge.FORGOTTEN
         if not forbid:
-            return RunKnown.NEVER
+            return RunKnowledge.NEVER_RECEIVED
         self.forbid(run, now_ms)
-        return RunKnown.FORBIDDEN
+        return RunKnowledge.FORBIDDEN
 
     def may_have_ended(self, run: RunKey, permit_ms: int) -> bool:
         """Returns whether a run here may have ended and been forgotten."""
--- a/src/lovagestage/entry/keyed_runs.py
+++ b/src/lovagestage/entry/keyed_runs.py
@@ -33,7 +33,7 @@
     InquiryAnswer,
     LedgerEntry,
     RunId,
-    RunKnown,
+    RunKnowledge,
 )
 from lovagestage.types import RunState, VmId, parse_model_version
 
@@ -273,17 +273,17 @@
             search.replace_run(run)
         elif error.run is RunState.RAN:
             raise error
-        elif await self._query_run(run, forbid=True) is RunKnown.FORBIDDEN:
+        elif await self._query_run(run, forbid=True) is RunKnowledge.FORBIDDEN:
             search.replaced_run = run
         else:
             raise error
 
     async def _is_at_sidecar(self, run: RunId) -> bool:
-        run_known = await self._query_run(run, forbid=False)
-        if run_known is RunKnown.NEVER:
+        knowledge = await self._query_run(run, forbid=False)
+        if knowledge is RunKnowledge.NEVER_RECEIVED:
             await asyncio.sleep(JOIN_GRACE_S)
-            run_known = await self._query_run(run, forbid=False)
-        return run_known is RunKnown.HERE
+            knowledge = await self._query_run(run, forbid=False)
+        return knowledge is RunKnowledge.RECORDED
 
     async def _abandon_run(
         self, request: Request, run: RunId, search: _Search
@@ -294,8 +294,8 @@
             KeyRunLostError: The run may have run, and the request must not
                 run again.
         """
-        run_known = await self._query_run(run, forbid=True)
-        if run_known is RunKnown.FORBIDDEN:
+        knowledge = await self._query_run(run, forbid=True)
+        if knowledge is RunKnowledge.FORBIDDEN:
             search.replaced_run = run
         elif request.repeatable:
             search.replace_run(run)
@@ -306,14 +306,14 @@
                 RunState.UNKNOWN,
                 # A sidecar that does not answer may only be paused, so that a
                 # retry can still succeed.
-                RETRY_AFTER_S if run_known is None else None,
+                RETRY_AFTER_S if knowledge is None else None,
             )
 
-    async def _query_run(self, run: RunId, forbid: bool) -> RunKnown | None:
+    async def _query_run(self, run: RunId, forbid: bool) -> RunKnowledge | None:
         answer = await self._upstreams.ask(
             run.sidecar, Inquiry(run, forbid), INQUIRY_TIMEOUT_S
         )
-        return answer.known if isinstance(answer, InquiryAnswer) else None
+        return answer.knowledge if isinstance(answer, InquiryAnswer) else None
 
 
 def get_body_digest(body: bytes) -> bytes:
--- a/src/lovagestage/execution/runs.py
+++ b/src/lovagestage/execution/runs.py
@@ -23,7 +23,7 @@
 from lovagestage.execution.plain_stream import open_stream
 from lovagestage.execution.readers import Run, get_read_interval_s
 from lovagestage.messages.envelope import Message
-from lovagestage.messages.keys import Inquiry, InquiryAnswer, RunKnown
+from lovagestage.messages.keys import Inquiry, InquiryAnswer, RunKnowledge
 from lovagestage.messages.runs import (
     Accepted,
     Ack,
@@ -97,15 +97,15 @@
         run = message.run
         key = (run.request_id, run.attempt)
         if key in self._runs and run.incarnation == self.gate.incarnation:
-            return InquiryAnswer(RunKnown.HERE)
-        known = self.gate.inquire(
+            return InquiryAnswer(RunKnowledge.RECORDED)
+        knowledge = self.gate.inquire(
             key,
             run.incarnation,
             run.permit_ms,
             message.forbid,
             self.get_clock_ms(),
         )
-        return InquiryAnswer(known)
+        return InquiryAnswer(knowledge)
 
     def forbid(self, dispatch: Dispatch) -> None:
         """Prevents a refused keyed run from starting later."""
--- a/src/lovagestage/messages/keys.py
+++ b/src/lovagestage/messages/keys.py
@@ -56,7 +56,7 @@
     stamp: tuple[Offset, int]
     put_at_s: float
 
-    def at(self, put_at_s: float) -> LedgerEntry:
+    def with_put_at(self, put_at_s: float) -> LedgerEntry:
         """Returns a copy of the claim with another time.
 
         Args:
@@ -76,8 +76,8 @@
         run: The run to execute; None only queries the claim of the key.
         version: Version of the run, as `MODEL@VERSION`.
         repeatable: Whether the request may run more than once.
-        after: The earlier run that `run` replaces. Either the earlier run was
-            proved not to run, or the request is repeatable.
+        replaces: The earlier run that `run` replaces. Either the earlier run
+            was proved not to run, or the request is repeatable.
     """
 
     epoch: Offset
@@ -87,7 +87,7 @@
     run: RunId | None
     version: str
     repeatable: bool
-    after: RunId | None = None
+    replaces: RunId | None = None
 
 
 class ClaimOutcome(enum.Enum):
@@ -133,7 +133,7 @@
 ):
     """Answer to `Copy`: whether the copy holder accepted it."""
 
-    taken: bool
+    accepted: bool
 
 
 class Pull(msgspec.Struct, frozen=True, array_like=True, tag="pull"):
@@ -171,11 +171,11 @@
     forbid: bool
 
 
-class RunKnown(enum.Enum):
+class RunKnowledge(enum.Enum):
     """Knowledge of a sidecar about a run."""
 
-    HERE = "here"
-    NEVER = "never"
+    RECORDED = "here"
+    NEVER_RECEIVED = "never"
     FORBIDDEN = "forbidden"
     """The run was never executed and never will be."""
     FORGOTTEN = "forgotten"
@@ -187,4 +187,4 @@
 ):
     """Answer to `Inquiry`: the sidecar's knowledge about the run."""
 
-    known: RunKnown
+    knowledge: RunKnowledge
--- a/tests/test_request_keys_model.py
+++ b/tests/test_request_keys_model.py
@@ -19,7 +19,13 @@
 
 from lovagestage.decisions.request_keys import Ledger, PullState
 from lovagestage.decisions.run_gate import RunGate
-from lovagestage.messages.keys import Claim, ClaimOutcome, Pull, RunId, RunKnown
+from lovagestage.messages.keys import (
+    Claim,
+    ClaimOutcome,
+    Pull,
+    RunId,
+    RunKnowledge,
+)
 from lovagestage.state.members import (
     MemberId,
     MemberJoined,
@@ -247,7 +253,7 @@
     def on_inquiry(self, run, caller):
         sidecar = self.sidecars[int(run.sidecar)]
         name = (run.request_id, run.attempt)
-        known = RunKnown.HERE
+        known = RunKnowledge.RECORDED
         if sidecar.here.get(name) != run:
             known = sidecar.gate.inquire(
                 name, run.incarnation, run.permit_ms, True, self.now_ms
@@ -257,9 +263,9 @@
     def on_known(self, run, known, caller):
         if caller.state != "asking" or caller.run != run:
             return
-        if known is RunKnown.HERE:
+        if known is RunKnowledge.RECORDED:
             self.end(caller, "answered", run)
-        elif known is RunKnown.FORBIDDEN:
+        elif known is RunKnowledge.FORBIDDEN:
             caller.after = run
             self.claim(caller)
         else:
--- a/tests/test_request_keys_rules.py
+++ b/tests/test_request_keys_rules.py
@@ -23,7 +23,7 @@
     CopyAnswer,
     Pull,
     RunId,
-    RunKnown,
+    RunKnowledge,
 )
 from lovagestage.state.members import (
     MAX_PERIODS,
@@ -68,12 +68,12 @@
     # replaced it.
     gate = RunGate(incarnation=2)
     assert not gate.may_start(RUN, 1, 0, 0)
-    assert gate.inquire(RUN, 1, 0, True, 0) is RunKnown.FORGOTTEN
+    assert gate.inquire(RUN, 1, 0, True, 0) is RunKnowledge.FORGOTTEN
 
 
 def test_gate_refuses_a_forbidden_run_however_late_it_comes():
     gate = RunGate(1)
-    assert gate.inquire(RUN, 1, 500, True, 1000) is RunKnown.FORBIDDEN
+    assert gate.inquire(RUN, 1, 500, True, 1000) is RunKnowledge.FORBIDDEN
     for now_ms in range(1000, 1000 + 4 * PERMIT_LIFETIME_MS, 1000):
         gate.remove_expired(now_ms)
         assert not gate.may_start(RUN, 1, 500, now_ms)
@@ -84,9 +84,9 @@
     gate = RunGate(1)
     for number in range(MAX_ENDED_RUNS + 1):
         gate.forget((f"r{number}", 1), permit_ms=number + 10)
-    assert gate.inquire(("r0", 1), 1, 10, True, 0) is RunKnown.FORGOTTEN
-    assert gate.inquire(("r1", 1), 1, 11, True, 0) is RunKnown.FORGOTTEN
-    assert gate.inquire(("new", 1), 1, 12, True, 0) is RunKnown.FORBIDDEN
+    assert gate.inquire(("r0", 1), 1, 10, True, 0) is RunKnowledge.FORGOTTEN
+    assert gate.inquire(("r1", 1), 1, 11, True, 0) is RunKnowledge.FORGOTTEN
+    assert gate.inquire(("new", 1), 1, 12, True, 0) is RunKnowledge.FORBIDDEN
 
 
 def test_copy_refuses_a_claim_of_another_epoch():
@@ -102,10 +102,10 @@
     for ledger in ledgers.values():
         ledger.finish_pull(view, 0)
     decided = ledgers[owner].claim(view, make_claim(view), 0.0, 0)
-    assert ledgers[copy].take_copy(view, decided, 0.0).taken
+    assert ledgers[copy].take_copy(view, decided, 0.0).accepted
     view.apply(9, MemberRemoved(owner.vm, 1, ended=False))
     ledgers[copy].apply_view(view)
-    assert not ledgers[copy].take_copy(view, decided, 0.0).taken
+    assert not ledgers[copy].take_copy(view, decided, 0.0).accepted
     stale = ledgers[owner].confirm(view, decided, CopyAnswer(True))
     assert stale.outcome is ClaimOutcome.STALE_VIEW
 
@@ -144,12 +144,12 @@
     first = owner.claim(view, make_claim(view), 0.0, 0)
     second = owner.claim(
         view,
-        make_claim(view, request="r2", after=first.entry.run),
+        make_claim(view, request="r2", replaces=first.entry.run),
         0.0,
         0,
     )
-    assert copy.take_copy(view, second, 0.0).taken
-    assert not copy.take_copy(view, first, 0.0).taken
+    assert copy.take_copy(view, second, 0.0).accepted
+    assert not copy.take_copy(view, first, 0.0).accepted
     stale = owner.answer_pull(view, Pull(view.epoch, 0), 0.0)
     stale.entries[:] = [first.entry]
     copy.merge(0, stale, 0.0)
@@ -179,9 +179,9 @@
     view, ledger = make_single_holder()
     first, second, third = (make_claim(view, request=r) for r in "123")
     decide(view, ledger, first)
-    replaced = make_claim(view, request="2", after=first.run)
+    replaced = make_claim(view, request="2", replaces=first.run)
     assert decide(view, ledger, replaced) is ClaimOutcome.GRANTED
-    late = make_claim(view, request="3", after=first.run)
+    late = make_claim(view, request="3", replaces=first.run)
     assert decide(view, ledger, late) is ClaimOutcome.HELD
     assert decide(view, ledger, first) is ClaimOutcome.HELD
     assert {second.run, third.run}.isdisjoint({first.run})
