--- a/lab/experiments/capacity.py
+++ b/lab/experiments/capacity.py
@@ -307,7 +307,7 @@
             heartbeat = self._make_heartbeat(message.sequence)
             self.listener.send(peer, shorten(heartbeat, message))
 
-    def _make_heartbeat(self, heard_sequence: int) -> Heartbeat:
+    def _make_heartbeat(self, answered_sequence: int) -> Heartbeat:
         self._sequence += 1
         versions = ["small@1", "large@1", "large@2"]
         return Heartbeat(
@@ -323,7 +323,7 @@
             21.5,
             100_000,
             86_400_000,
-            heard_sequence,
+            answered_sequence,
             get_state_hash(self._vm, _ZONE, versions),
         )
 
--- a/lab/experiments/cost.py
+++ b/lab/experiments/cost.py
@@ -252,10 +252,10 @@
 
 def run_plan(trace: Trace, index: int, plan: Plan) -> tuple[float, float]:
     """Cost and true rating of one request."""
-    column = VERSIONS.index(plan.start)
+    column = VERSIONS.index(plan.first)
     spent = trace.tokens[index] * PRICES[column]
     if may_escalate(plan, bool(trace.doubtful[index, column]), 0.0, 1.0):
-        column = VERSIONS.index(plan.then)
+        column = VERSIONS.index(plan.escalate_to)
         spent += trace.tokens[index] * PRICES[column]
     return float(spent), float(trace.scores[index, column])
 
--- a/src/lovagestage/api/entry.py
+++ b/src/lovagestage/api/entry.py
@@ -169,7 +169,7 @@
 
     def _on_hello(self, peer: PeerId, message: Message) -> None:
         assert isinstance(message, Hello)
-        answer = Hello(VmId(""), 0, heard_sequence=message.sequence)
+        answer = Hello(VmId(""), 0, answered_sequence=message.sequence)
         self._hub.send(peer, answer)
 
     def _on_dump_request(self, peer: PeerId, message: Message) -> None:
--- a/src/lovagestage/bus/links.py
+++ b/src/lovagestage/bus/links.py
@@ -397,20 +397,22 @@
         if link is None:
             return
         if isinstance(message, Hello | Heartbeat):
-            self._record_heartbeat_answer(link, message.heard_sequence)
+            self._record_heartbeat_answer(link, message.answered_sequence)
         if isinstance(message, Reply):
             self._pending.resolve(message)
         else:
             self.on_frame(vm, message)
 
-    def _record_heartbeat_answer(self, link: Link, heard_sequence: int) -> None:
+    def _record_heartbeat_answer(
+        self, link: Link, answered_sequence: int
+    ) -> None:
         # Frames received from the peer prove only that the incoming direction
         # works. A connection that loses everything this process sends would
         # look healthy for ever while requests vanish on it. An answered
         # heartbeat proves both directions.
-        if heard_sequence <= link.answered_sequence:
+        if answered_sequence <= link.answered_sequence:
             return
-        link.answered_sequence = heard_sequence
+        link.answered_sequence = answered_sequence
         link.heard_s = time.monotonic()
         link.asked_s = None
         link.answered = True
--- a/src/lovagestage/decisions/cascade.py
+++ b/src/lovagestage/decisions/cascade.py
@@ -66,9 +66,12 @@
         versions: The versions in order from cheapest to best.
     """
     plans = []
-    for index, start in enumerate(versions[:-1]):
-        plans.append(Plan(start))
-        plans += [Plan(start, then) for then in versions[index + 1 :][-1:]]
+    for index, first in enumerate(versions[:-1]):
+        plans.append(Plan(first))
+        plans += [
+            Plan(first, escalate_to)
+            for escalate_to in versions[index + 1 :][-1:]
+        ]
     return [*plans, *(Plan(version) for version in versions[-1:])]
 
 
@@ -84,7 +87,9 @@
         left_s: Seconds until the deadline.
     """
     return (
-        is_doubtful and bool(plan.then) and left_s >= MIN_LEFT_RATIO * spent_s
+        is_doubtful
+        and bool(plan.escalate_to)
+        and left_s >= MIN_LEFT_RATIO * spent_s
     )
 
 
--- a/src/lovagestage/decisions/learned.py
+++ b/src/lovagestage/decisions/learned.py
@@ -92,7 +92,7 @@
             if entry.window <= self._window - RETAINED_WINDOWS:
                 continue
             owners = self._get_owners(entry.window, entry.arm)
-            if entry.counter.is_later(owners.get(owner, Counter())):
+            if entry.counter.is_newer_than(owners.get(owner, Counter())):
                 owners[owner] = entry.counter
 
     def _add_to_counter(self, arm: Arm, amount: Counter) -> None:
--- a/src/lovagestage/entry/cascade_service.py
+++ b/src/lovagestage/entry/cascade_service.py
@@ -152,7 +152,7 @@
         """
         cost = 0.0
         if result.replaced_answer is not None:
-            price = self._get_price(request.service, arm.plan.start)
+            price = self._get_price(request.service, arm.plan.first)
             cost += price * result.replaced_answer.completion_tokens
         if result.finished is not None:
             price = self._get_price(request.service, str(result.version))
@@ -180,7 +180,7 @@
                 "explore_ratio": table.explore_ratio,
                 "levels": {
                     str(level): [
-                        [share.plan.start, share.plan.then, share.ratio]
+                        [share.plan.first, share.plan.escalate_to, share.ratio]
                         for share in shares
                     ]
                     for level, shares in table.shares.items()
--- a/src/lovagestage/entry/escalation.py
+++ b/src/lovagestage/entry/escalation.py
@@ -106,7 +106,7 @@
     spent_s, left_s = now_s - started_s, request.deadline_at_s - now_s
     if not may_escalate(plan, _is_low_quality(request, body), spent_s, left_s):
         return None
-    version = parse_model_version(plan.then)
+    version = parse_model_version(plan.escalate_to)
     if version is None:
         return None
     return dataclasses.replace(request, version=version)
--- a/src/lovagestage/entry/trials.py
+++ b/src/lovagestage/entry/trials.py
@@ -126,7 +126,7 @@
         arm = self._cascades.choose(
             document, workspace, class_name, spec, prompt_bytes
         )
-        version = parse_model_version(arm.plan.start) if arm else None
+        version = parse_model_version(arm.plan.first) if arm else None
         if arm is None or version is None:
             return None
         choice = self.choose(document.service, version, document, workspace)
--- a/src/lovagestage/entry/version_search.py
+++ b/src/lovagestage/entry/version_search.py
@@ -24,7 +24,7 @@
 from lovagestage.messages.envelope import Message
 from lovagestage.messages.peers import (
     VersionAnswer,
-    VersionPlace,
+    VersionLocation,
     VersionQuestion,
 )
 from lovagestage.types import PoolId, VmId
@@ -58,7 +58,7 @@
 
 def find_locations(
     versions: Iterable[str], loaded: Mapping[VmId, Sequence[str]]
-) -> list[VersionPlace]:
+) -> list[VersionLocation]:
     """Returns, for each version, some of the upstreams that have loaded it.
 
     Args:
@@ -69,14 +69,14 @@
     for version in versions:
         holders = (vm for vm in sorted(loaded) if version in loaded[vm])
         locations += [
-            VersionPlace(vm, version)
+            VersionLocation(vm, version)
             for vm, _ in zip(holders, range(MIN_UPSTREAMS), strict=False)
         ]
     return locations
 
 
 def choose_extra_upstreams(
-    locations: Iterable[VersionPlace],
+    locations: Iterable[VersionLocation],
     wanted: Iterable[str],
     known: Mapping[VmId, Sequence[str]],
 ) -> frozenset[VmId]:
@@ -120,7 +120,7 @@
         self._upstreams = upstreams
         self._peers = peers
         self._rng = rng
-        self._locations: list[VersionPlace] = []
+        self._locations: list[VersionLocation] = []
         self._pause_s = CHECK_INTERVAL_S
         self._next_search_s = 0.0
         hub.register_answer(VersionQuestion, self._answer_question)
@@ -157,7 +157,7 @@
         self._next_search_s = now_s + self._pause_s
         self._apply_locations(found)
 
-    def _apply_locations(self, found: list[VersionPlace]) -> None:
+    def _apply_locations(self, found: list[VersionLocation]) -> None:
         # The extra upstreams' own heartbeats take precedence over the reports
         # of other entries: an upstream that has unloaded the version since is
         # dropped, unless an entry has just reported it again.
@@ -187,7 +187,7 @@
             }
         return wanted
 
-    async def _ask_entries(self, versions: list[str]) -> list[VersionPlace]:
+    async def _ask_entries(self, versions: list[str]) -> list[VersionLocation]:
         entries = self._peers.get_listed()
         chosen_entries = self._rng.sample(
             entries, min(MAX_ENTRIES_ASKED, len(entries))
@@ -203,7 +203,7 @@
             location
             for answer in answers
             if isinstance(answer, VersionAnswer)
-            for location in answer.places
+            for location in answer.locations
         ]
         return list(dict.fromkeys(locations))
 
--- a/src/lovagestage/execution/sidecar.py
+++ b/src/lovagestage/execution/sidecar.py
@@ -306,7 +306,7 @@
         versions = tuple(self._versions)
         return _PublishedState(self._leaving, is_full, self._is_up, versions)
 
-    def _make_heartbeat(self, heard_sequence: int = 0) -> Heartbeat:
+    def _make_heartbeat(self, answered_sequence: int = 0) -> Heartbeat:
         self._sequence += 1
         return Heartbeat(
             self._settings.vm,
@@ -321,7 +321,7 @@
             self._load.token_interval_ms,
             self._control.folded.next_offset,
             self._runs.get_clock_ms(),
-            heard_sequence,
+            answered_sequence,
             self._load.max_batch,
             self._role.pool,
             self._is_up,
--- a/src/lovagestage/messages/counters.py
+++ b/src/lovagestage/messages/counters.py
@@ -21,13 +21,13 @@
     """Versions that answer a request, in the order in which they are asked.
 
     Attributes:
-        start: Version, as `MODEL@VERSION`, that answers first.
-        then: Version that the request escalates to if the first answer is
-            doubtful; empty if the request does not escalate.
+        first: Version, as `MODEL@VERSION`, that answers first.
+        escalate_to: Version that the request escalates to if the first answer
+            is doubtful; empty if the request does not escalate.
     """
 
-    start: str
-    then: str = ""
+    first: str
+    escalate_to: str = ""
 
 
 class Arm(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -69,7 +69,7 @@
         self.score_sum += other.score_sum
         self.square_sum += other.square_sum
 
-    def is_later(self, other: Counter) -> bool:
+    def is_newer_than(self, other: Counter) -> bool:
         """Whether this counter is a newer copy of the same counter."""
         mine = (self.requests + self.ratings, self.requests)
         return mine > (other.requests + other.ratings, other.requests)
--- a/src/lovagestage/messages/envelope.py
+++ b/src/lovagestage/messages/envelope.py
@@ -67,7 +67,7 @@
             has a higher one.
         sequence: Sequence number, which increases on a connection; the answer
             carries it back.
-        heard_sequence: If this message is an answer, the sequence number of
+        answered_sequence: If this message is an answer, the sequence number of
             the answered message.
         known_state: `state_hash` of the latest heartbeat received. The answer
             may then omit the fields that have this hash; 0 requests all
@@ -78,7 +78,7 @@
     vm: VmId
     incarnation: int
     sequence: int = 0
-    heard_sequence: int = 0
+    answered_sequence: int = 0
     known_state: int = 0
 
 
@@ -104,8 +104,8 @@
             stream.
         clock_ms: The sidecar's own clock in milliseconds, from which runs of
             keyed requests take their permit.
-        heard_sequence: Sequence number of the latest `Hello` received on this
-            connection.
+        answered_sequence: Sequence number of the latest `Hello` received on
+            this connection.
         max_batch: Number of requests that the engine processes at the same
             time; 0 if unknown.
         pool: Pool of the plain service; empty beside an engine.
@@ -127,7 +127,7 @@
     token_interval_ms: float
     control_offset: int
     clock_ms: int = 0
-    heard_sequence: int = 0
+    answered_sequence: int = 0
     max_batch: int = 0
     pool: PoolId = PoolId("")
     is_up: bool = False
--- a/src/lovagestage/messages/peers.py
+++ b/src/lovagestage/messages/peers.py
@@ -100,7 +100,7 @@
     versions: list[str]
 
 
-class VersionPlace(msgspec.Struct, frozen=True, array_like=True):
+class VersionLocation(msgspec.Struct, frozen=True, array_like=True):
     """A sidecar that has a version loaded."""
 
     vm: VmId
@@ -112,7 +112,7 @@
 ):
     """Answers `VersionQuestion` with some of the sidecars that have them."""
 
-    places: list[VersionPlace]
+    locations: list[VersionLocation]
 
 
 class UsageRow(msgspec.Struct, frozen=True, array_like=True):
--- a/tests/test_cascade.py
+++ b/tests/test_cascade.py
@@ -158,8 +158,8 @@
     table = make_table(counters, target, allowed)
     rng = random.Random(seed)
     plans = [table.choose(level, rng) for level in range(8) for _ in range(20)]
-    assert {p.start for p in plans} <= set(allowed)
-    assert {p.then for p in plans} <= {"", *allowed}
+    assert {p.first for p in plans} <= set(allowed)
+    assert {p.escalate_to for p in plans} <= {"", *allowed}
 
 
 @given(st.floats(0.5, 20.0), st.floats(0.5, 20.0))
--- a/tests/test_version_search.py
+++ b/tests/test_version_search.py
@@ -16,7 +16,7 @@
 )
 from lovagestage.messages.peers import (
     VersionAnswer,
-    VersionPlace,
+    VersionLocation,
     VersionQuestion,
 )
 
@@ -93,5 +93,5 @@
     locations = find_locations([RARE], loaded)
     assert len(locations) == MIN_UPSTREAMS
     assert choose_extra_upstreams(locations, [RARE], loaded) == frozenset()
-    extra = choose_extra_upstreams([VersionPlace("far", RARE)], [RARE], {})
+    extra = choose_extra_upstreams([VersionLocation("far", RARE)], [RARE], {})
     assert extra == {"far"}
