--- a/src/lovagestage/adapters/protocols.py
+++ b/src/lovagestage/adapters/protocols.py
@@ -83,14 +83,14 @@
         role: Role of the system's process on the VM.
         zone: Availability zone of the VM.
         state: Whether the VM is live or leaving.
-        bus: `HOST:PORT` of the listener of the VM's process.
+        bus_address: `HOST:PORT` of the listener of the VM's process.
     """
 
     vm: VmId
     role: Role
     zone: ZoneId
     state: VmState
-    bus: str
+    bus_address: str
 
 
 class VmList(Protocol):
--- a/src/lovagestage/bus/hub.py
+++ b/src/lovagestage/bus/hub.py
@@ -44,7 +44,9 @@
         """Calls `handler` with each message of type `kind`."""
         self._handlers[kind] = handler
 
-    def register_answer(self, kind: type[Message], answerer: Answerer) -> None:
+    def register_query_handler(
+        self, kind: type[Message], answerer: Answerer
+    ) -> None:
         """Answers each query of type `kind` with the result of `answerer`."""
         self._answerers[kind] = answerer
 
--- a/src/lovagestage/bus/links.py
+++ b/src/lovagestage/bus/links.py
@@ -145,30 +145,30 @@
             self._send_hello(link)
         return link.connection.send(message)
 
-    def get_kept(self) -> list[VmId]:
+    def get_permanent(self) -> list[VmId]:
         """Returns the processes whose connections stay open while idle."""
-        return [name for name, link in self.links.items() if link.kept]
+        return [name for name, link in self.links.items() if link.is_permanent]
 
     def get_listed(self) -> list[VmId]:
         """Returns all listed processes of the role, connected or not."""
         return list(self._listed)
 
-    def get_presumed(self) -> list[VmId]:
+    def get_presumed_running(self) -> list[VmId]:
         """Returns the listed processes that are presumed to be running.
 
         Excluded are processes with a permanent connection that are not live,
         by the list or by their heartbeats. A process without such a connection
         is not monitored, so it counts as running until the list drops it.
         """
-        unreachable = set(self.get_kept()) - set(self.get_live())
+        unreachable = set(self.get_permanent()) - set(self.get_live())
         return [vm for vm in self._listed if vm not in unreachable]
 
     @property
-    def has_all(self) -> bool:
+    def subset_has_all(self) -> bool:
         """Whether the subset holds all listed processes of the role."""
         return len(self._subset) == len(self._listed)
 
-    def follow_all(self, wanted: bool) -> bool:
+    def keep_all_connected(self, wanted: bool) -> bool:
         """Keeps connections to all listed processes open, or stops doing so.
 
         Args:
@@ -188,9 +188,9 @@
         if self._all_kept_since_s is None:
             return False
         waited_s = time.monotonic() - self._all_kept_since_s
-        return self.has_all or waited_s > self.bus.silent_after_s
+        return self.subset_has_all or waited_s > self.bus.silent_after_s
 
-    def set_extra(self, vms: frozenset[VmId]) -> None:
+    def set_extra_vms(self, vms: frozenset[VmId]) -> None:
         """Keeps connections to `vms` open in addition to the subset."""
         if vms != self._extra_vms:
             self._extra_vms = vms
@@ -238,13 +238,15 @@
         if link is not None:
             link.in_use = max(0, link.in_use + change)
 
-    def is_heard(self, link: Link) -> bool:
+    def is_responsive(self, link: Link) -> bool:
         """Returns whether the process answers heartbeats.
 
         A process whose port refuses connections does not count as answering.
         """
         unanswered_s = link.get_unanswered_s(time.monotonic())
-        return not link.gone and unanswered_s <= self.bus.silent_after_s
+        return (
+            not link.is_port_refused and unanswered_s <= self.bus.silent_after_s
+        )
 
     def is_lost(self, link: Link) -> bool:
         """Returns whether the process has ended or is considered lost.
@@ -253,7 +255,7 @@
         also across replaced connections.
         """
         unanswered_s = link.get_unanswered_s(time.monotonic())
-        return link.gone or unanswered_s > self.bus.lost_after_s
+        return link.is_port_refused or unanswered_s > self.bus.lost_after_s
 
     def get_live(self) -> list[VmId]:
         """Returns the processes that are listed as live and answer heartbeats.
@@ -263,9 +265,9 @@
         return [
             name
             for name, link in self.links.items()
-            if link.kept
+            if link.is_permanent
             and link.vm.state is VmState.LIVE
-            and self.is_heard(link)
+            and self.is_responsive(link)
         ]
 
     def get_dump(self) -> list[dict[str, object]]:
@@ -276,12 +278,12 @@
                 "vm": name,
                 "zone": link.vm.zone,
                 "state": link.vm.state.value,
-                "heard_s_ago": round(now_s - link.heard_s, 3),
+                "heard_s_ago": round(now_s - link.last_answer_s, 3),
                 "silent_s": round(link.get_unanswered_s(now_s), 3),
                 "in_use": link.in_use,
                 "answered": link.answered,
-                "gone": link.gone,
-                "kept": link.kept,
+                "gone": link.is_port_refused,
+                "kept": link.is_permanent,
             }
             for name, link in self.links.items()
         ]
@@ -309,7 +311,7 @@
         self._listed, self._entries = listed, entries
         self._update_links()
 
-    def is_watched(self, vm: VmId) -> bool:
+    def must_monitor(self, vm: VmId) -> bool:
         """Returns whether this process must detect that a peer is unreachable.
 
         This holds for processes of the subset, and for those that the VM list
@@ -326,13 +328,13 @@
             if existing is None:
                 if name in permanent:
                     self._connect(vm)
-            elif existing.vm.bus != vm.bus:
+            elif existing.vm.bus_address != vm.bus_address:
                 self._connect(vm)
             else:
                 existing.vm = vm
         for name, link in list(self.links.items()):
-            link.kept = name in permanent
-            if not link.kept and self._is_unused(name, link):
+            link.is_permanent = name in permanent
+            if not link.is_permanent and self._is_unused(name, link):
                 link.connection.close()
                 del self.links[name]
                 self.on_removed(name)
@@ -347,7 +349,7 @@
         if listed is None:
             return None
         self._connect(listed)
-        self.links[vm].kept = False
+        self.links[vm].is_permanent = False
         return self.links[vm]
 
     def on_frame(self, vm: VmId, message: Message) -> None:
@@ -371,7 +373,7 @@
         connection = Connection(
             self._context,
             self.bus,
-            vm.bus,
+            vm.bus_address,
             keys[key_index % len(keys)],
             lambda message: self._on_any_frame(vm.vm, message),
             lambda event: self._on_event(vm.vm, event),
@@ -379,13 +381,13 @@
         now_s = time.monotonic()
         link = Link(vm, connection, now_s, now_s, key_index)
         if previous is not None:
-            link.heard_s = previous.heard_s
+            link.last_answer_s = previous.last_answer_s
             link.in_use = previous.in_use
-            link.gone = previous.gone
+            link.is_port_refused = previous.is_port_refused
             link.sequence = previous.sequence
             link.answered_sequence = previous.sequence
-            link.kept = previous.kept
-            link.asked_s = previous.asked_s
+            link.is_permanent = previous.is_permanent
+            link.unanswered_since_s = previous.unanswered_since_s
             link.last_sent_s = previous.last_sent_s
         self.links[vm.vm] = link
         self._send_hello(link)
@@ -413,10 +415,10 @@
         if answered_sequence <= link.answered_sequence:
             return
         link.answered_sequence = answered_sequence
-        link.heard_s = time.monotonic()
-        link.asked_s = None
+        link.last_answer_s = time.monotonic()
+        link.unanswered_since_s = None
         link.answered = True
-        link.gone = False
+        link.is_port_refused = False
 
     def get_known_state_hash(self, vm: VmId) -> int:
         """Returns `Hello.known_state` for a connection that has answered."""
@@ -426,8 +428,8 @@
     def _send_hello(self, link: Link) -> None:
         link.sequence += 1
         link.last_hello_s = time.monotonic()
-        if link.asked_s is None:
-            link.asked_s = link.last_hello_s
+        if link.unanswered_since_s is None:
+            link.unanswered_since_s = link.last_hello_s
         known_state = (
             self.get_known_state_hash(link.vm.vm) if link.answered else 0
         )
@@ -458,13 +460,13 @@
             link = self.links.get(vm)
             if (
                 link is None
-                or link.gone
-                or not await is_connection_refused(link.vm.bus)
+                or link.is_port_refused
+                or not await is_connection_refused(link.vm.bus_address)
             ):
                 return
             link = self.links.get(vm)
-            if link is not None and not link.gone:
-                link.gone = True
+            if link is not None and not link.is_port_refused:
+                link.is_port_refused = True
                 _log.warning("process_gone", extra={"peer": vm})
                 self._on_gone(vm)
         finally:
@@ -484,11 +486,11 @@
                 # case the peer has rotated its key.
                 _log.warning("connection_silent", extra={"peer": link.vm.vm})
                 self._connect(link.vm, link.key_index + 1)
-            elif not link.gone and self._is_hello_due(link, now_s):
+            elif not link.is_port_refused and self._is_hello_due(link, now_s):
                 self._send_hello(link)
 
     def _is_hello_due(self, link: Link, now_s: float) -> bool:
-        if link.in_use or link.asked_s is not None:
+        if link.in_use or link.unanswered_since_s is not None:
             return True
         return now_s - link.last_hello_s >= self.bus.idle_heartbeat_interval_s
 
--- a/src/lovagestage/bus/upstreams.py
+++ b/src/lovagestage/bus/upstreams.py
@@ -76,7 +76,7 @@
         """Returns a sidecar's latest heartbeat; None before the first."""
         return self._heartbeats.get(vm)
 
-    def may_return(self, version: str, excluded: set[VmId]) -> bool:
+    def may_recover(self, version: str, excluded: set[VmId]) -> bool:
         """Returns whether an upstream with the version may become reachable.
 
         Such an upstream has reported the version and does not answer
@@ -89,7 +89,7 @@
         return any(
             link.vm.state is VmState.LIVE
             and name not in excluded
-            and not self.is_heard(link)
+            and not self.is_responsive(link)
             and not self.is_lost(link)
             and name in self._heartbeats
             and not self._heartbeats[name].leaving
@@ -105,7 +105,7 @@
             if name in self._heartbeats and not self._heartbeats[name].leaving
         ]
 
-    def note_sent(self, vm: VmId) -> None:
+    def record_sent(self, vm: VmId) -> None:
         """Counts a request that this entry sends to an upstream."""
         self.change_use_count(vm, 1)
         self._sent_count += 1
@@ -142,7 +142,7 @@
     def get_subset_versions(self) -> dict[VmId, list[str]]:
         """Returns `get_versions` without the sidecars outside the subset."""
         versions = self.get_versions()
-        return {vm: versions[vm] for vm in versions if self.is_watched(vm)}
+        return {vm: versions[vm] for vm in versions if self.must_monitor(vm)}
 
     def on_removed(self, vm: VmId) -> None:
         """Drops the sidecar's heartbeat and this entry's record of it."""
--- a/src/lovagestage/control/membership.py
+++ b/src/lovagestage/control/membership.py
@@ -163,7 +163,7 @@
         others = [
             MemberId(m.vm, m.incarnation)
             for m in self.view.members.values()
-            if m.vm != own.vm and self._peers.is_watched(m.vm)
+            if m.vm != own.vm and self._peers.must_monitor(m.vm)
         ]
         inactive = [
             m for m in others if self._is_inactive(m, len(others), now_s)
@@ -190,7 +190,9 @@
         if link is not None:
             # A peer that has answered every request is not inactive, however
             # long ago its last answer came.
-            answered_s = now_s if link.asked_s is None else link.heard_s
+            answered_s = (
+                now_s if link.unanswered_since_s is None else link.last_answer_s
+            )
             self._last_answer_s[member] = last_answer_s = max(
                 last_answer_s, answered_s
             )
@@ -213,7 +215,9 @@
         Until the inactive entry answers, callers are told to retry later.
         """
         link = self._peers.links.get(member.vm)
-        if not self._is_listed(member.vm) or (link is not None and link.gone):
+        if not self._is_listed(member.vm) or (
+            link is not None and link.is_port_refused
+        ):
             return False
         return last_answer_s <= self._removed_s
 
--- a/src/lovagestage/control/orders.py
+++ b/src/lovagestage/control/orders.py
@@ -31,7 +31,7 @@
     def __init__(self, engine: Engine, gate: FencingGate, hub: Hub) -> None:
         self._engine = engine
         self._gate = gate
-        hub.register_answer(Order, self._answer)
+        hub.register_query_handler(Order, self._answer)
 
     async def _answer(self, message: Message) -> Message:
         assert isinstance(message, Order)
--- a/src/lovagestage/control/peerstate.py
+++ b/src/lovagestage/control/peerstate.py
@@ -110,8 +110,8 @@
 
     def __init__(self, control: ControlReader, hub: Hub) -> None:
         self._control = control
-        hub.register_answer(StateQuestion, self._on_state_question)
-        hub.register_answer(StateOffer, self._on_state_offer)
+        hub.register_query_handler(StateQuestion, self._on_state_question)
+        hub.register_query_handler(StateOffer, self._on_state_offer)
 
     async def _on_state_question(self, question: Message) -> Message:
         assert isinstance(question, StateQuestion)
--- a/src/lovagestage/control/rollout_driver.py
+++ b/src/lovagestage/control/rollout_driver.py
@@ -103,7 +103,7 @@
                 rollout.progress.phase not in _FINAL_PHASES
                 for rollout in rollouts
             )
-            if self._upstreams.follow_all(is_driver and has_unfinished):
+            if self._upstreams.keep_all_connected(is_driver and has_unfinished):
                 for rollout in rollouts:
                     await self._drive_rollout(rollout)
             await self.sleep(DRIVE_INTERVAL_S)
--- a/src/lovagestage/entry/billing_service.py
+++ b/src/lovagestage/entry/billing_service.py
@@ -74,7 +74,7 @@
         self._copy_holder: VmId | None = None
         self._background_tasks: set[asyncio.Task[None]] = set()
         hub.register(BillRelease, self._on_release)
-        hub.register_answer(BillCopy, self._on_copy)
+        hub.register_query_handler(BillCopy, self._on_copy)
 
     async def on_start(self) -> None:
         """Subscribes to the timers."""
@@ -205,7 +205,11 @@
             if self._copy_holder
             else None
         )
-        if link is None or not link.kept or not self._peers.is_heard(link):
+        if (
+            link is None
+            or not link.is_permanent
+            or not self._peers.is_responsive(link)
+        ):
             self._copy_holder = self._choose_copy_holder()
         return self._copy_holder
 
--- a/src/lovagestage/entry/cascade_service.py
+++ b/src/lovagestage/entry/cascade_service.py
@@ -216,7 +216,7 @@
         delta = self._learned.make_delta()
         if not delta.entries:
             return
-        for vm in self._peers.get_kept():
+        for vm in self._peers.get_permanent():
             self._peers.send(vm, delta)
 
     def _on_delta(self, peer: PeerId, message: Message) -> None:
--- a/src/lovagestage/entry/crash_watch.py
+++ b/src/lovagestage/entry/crash_watch.py
@@ -137,7 +137,7 @@
         self._forwarded[report] = None
         while len(self._forwarded) > MAX_FORWARDED_REPORTS:
             del self._forwarded[next(iter(self._forwarded))]
-        for vm in self._peers.get_kept():
+        for vm in self._peers.get_permanent():
             self._peers.send(vm, report)
 
     def _on_report(self, peer: PeerId, message: Message) -> None:
--- a/src/lovagestage/entry/dispatcher.py
+++ b/src/lovagestage/entry/dispatcher.py
@@ -277,7 +277,7 @@
             if vm is not None:
                 self._permissions.check(request)
                 return vm
-            if not self._upstreams.may_return(version, excluded) or (
+            if not self._upstreams.may_recover(version, excluded) or (
                 time.monotonic() + RECONNECT_POLL_S >= request.deadline_at_s
             ):
                 raise NoCapacityError(
@@ -320,7 +320,7 @@
     ) -> Attempt:
         attempt = Attempt(key, vm, incarnation)
         self._attempts.setdefault(key, []).append(attempt)
-        self._upstreams.note_sent(vm)
+        self._upstreams.record_sent(vm)
         return attempt
 
     def _close_attempt(self, attempt: Attempt) -> None:
--- a/src/lovagestage/entry/key_service.py
+++ b/src/lovagestage/entry/key_service.py
@@ -63,9 +63,9 @@
         self._ledger = self._make_ledger()
         self._view_changed = asyncio.Event()
         control.subscribe(self._on_control)
-        hub.register_answer(Claim, self._answer_claim)
-        hub.register_answer(Copy, self._answer_copy)
-        hub.register_answer(Pull, self._answer_pull)
+        hub.register_query_handler(Claim, self._answer_claim)
+        hub.register_query_handler(Copy, self._answer_copy)
+        hub.register_query_handler(Pull, self._answer_pull)
 
     @property
     def view(self) -> MemberView:
--- a/src/lovagestage/entry/limit_service.py
+++ b/src/lovagestage/entry/limit_service.py
@@ -134,7 +134,7 @@
 
     def _on_report_due(self) -> None:
         self._refresh_limits()
-        peer_names = sorted(self._peers.get_presumed())
+        peer_names = sorted(self._peers.get_presumed_running())
         report = self._table.make_report(time.monotonic())
         size_bytes = len(encode_message(report)) if report else 0
         count = get_report_count(size_bytes, len(peer_names))
--- a/src/lovagestage/entry/version_search.py
+++ b/src/lovagestage/entry/version_search.py
@@ -123,7 +123,7 @@
         self._locations: list[VersionLocation] = []
         self._pause_s = CHECK_INTERVAL_S
         self._next_search_s = 0.0
-        hub.register_answer(VersionQuestion, self._answer_question)
+        hub.register_query_handler(VersionQuestion, self._answer_question)
 
     @mode.Service.task
     async def _search_periodically(self) -> None:
@@ -140,7 +140,7 @@
         scarce = find_scarce_versions(
             self._list_wanted_versions(), self._upstreams.get_versions()
         )
-        if not scarce or self._upstreams.has_all:
+        if not scarce or self._upstreams.subset_has_all:
             self._pause_s = CHECK_INTERVAL_S
             return
         if now_s < self._next_search_s:
@@ -174,7 +174,7 @@
         extra = choose_extra_upstreams(self._locations, wanted, known)
         if extra:
             _log.info("versions_found", extra={"upstreams": len(extra)})
-        self._upstreams.set_extra(extra)
+        self._upstreams.set_extra_vms(extra)
 
     def _list_wanted_versions(self) -> set[str]:
         wanted = set()
--- a/src/lovagestage/execution/runs.py
+++ b/src/lovagestage/execution/runs.py
@@ -85,7 +85,7 @@
         self._ended_keys: collections.deque[RunKey] = collections.deque()
         self._ended_bytes = 0
         self._tombstones = TombstoneTable(MAX_TOMBSTONES, TOMBSTONE_KEEP_S)
-        hub.register_answer(Inquiry, self.answer_inquiry)
+        hub.register_query_handler(Inquiry, self.answer_inquiry)
 
     def get_clock_ms(self) -> int:
         """Returns the milliseconds since the start of the process."""
--- a/src/lovagestage/operations/operator_client.py
+++ b/src/lovagestage/operations/operator_client.py
@@ -301,7 +301,7 @@
 
     async def _query_process(self, vm: Vm) -> ProcessStatus:
         try:
-            state = json.loads(await self.get_dump(vm.bus))
+            state = json.loads(await self.get_dump(vm.bus_address))
         except ProcessSilentError:
             return ProcessStatus(vm.vm, vm.role.value, vm.zone, False)
         control = state["control"]
--- a/tests/test_peerstate.py
+++ b/tests/test_peerstate.py
@@ -29,7 +29,7 @@
     def __init__(self):
         self.answerers = {}
 
-    def register_answer(self, kind, answerer):
+    def register_query_handler(self, kind, answerer):
         self.answerers[kind] = answerer
 
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -39,10 +39,10 @@
     def get_heartbeat(self, vm):
         return None
 
-    def note_sent(self, vm):
+    def record_sent(self, vm):
         pass
 
-    def may_return(self, version, excluded):
+    def may_recover(self, version, excluded):
         return False
 
     def send(self, vm, message):
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -59,7 +59,7 @@
     def __init__(self):
         self.sent = []
 
-    def register_answer(self, kind, answerer):
+    def register_query_handler(self, kind, answerer):
         pass
 
     def send(self, peer, message):
--- a/tests/test_version_search.py
+++ b/tests/test_version_search.py
@@ -26,7 +26,7 @@
 class FakeUpstreams:
     def __init__(self, versions) -> None:
         self.versions = versions
-        self.has_all = False
+        self.subset_has_all = False
         self.extra: frozenset[str] = frozenset()
 
     def get_versions(self):
@@ -34,7 +34,7 @@
 
     get_subset_versions = get_versions
 
-    def set_extra(self, vms) -> None:
+    def set_extra_vms(self, vms) -> None:
         self.extra = vms
 
 
