--- a/src/lovagestage/adapters/http1.py
+++ b/src/lovagestage/adapters/http1.py
@@ -56,12 +56,12 @@
     """A TCP connection whose bytes a task reads and writes.
 
     Attributes:
-        lost: Future that completes when the peer has closed or reset the
-            connection.
+        closed_by_peer: Future that completes when the peer has closed or reset
+            the connection.
     """
 
     def __init__(self) -> None:
-        self.lost: asyncio.Future[None] = (
+        self.closed_by_peer: asyncio.Future[None] = (
             asyncio.get_running_loop().create_future()
         )
         self._transport: asyncio.Transport | None = None
@@ -114,7 +114,7 @@
         )
 
     @property
-    def has_input(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether received bytes have not been read yet."""
         return bool(self._buffer)
 
@@ -123,7 +123,7 @@
         """Whether written bytes have not been sent to the peer yet."""
         return bool(self._transport and self._transport.get_write_buffer_size())
 
-    def get_peer(self) -> str:
+    def get_peer_address(self) -> str:
         """Returns the `IP:PORT` of the peer."""
         assert self._transport is not None
         name = self._transport.get_extra_info("peername") or ("", 0)
@@ -193,8 +193,8 @@
 
     def _mark_ended(self) -> None:
         self._is_ended = True
-        if not self.lost.done():
-            self.lost.set_result(None)
+        if not self.closed_by_peer.done():
+            self.closed_by_peer.set_result(None)
         self._wake_reader()
 
     def _wake_reader(self) -> None:
@@ -232,13 +232,13 @@
     Attributes:
         channel: The TCP connection.
         idle_since_s: Loop time at which the connection was last used.
-        uses: Number of requests sent on the connection.
+        requests_sent: Number of requests sent on the connection.
     """
 
     def __init__(self, channel: Channel) -> None:
         self.channel = channel
         self.idle_since_s = 0.0
-        self.uses = 0
+        self.requests_sent = 0
         self._parser = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
@@ -252,7 +252,7 @@
         Raises:
             WrongMessageError: The request is not valid HTTP/1.1.
         """
-        self.uses += 1
+        self.requests_sent += 1
         parser = self._parser
         try:
             self._head = h11.Request(
@@ -281,7 +281,7 @@
             if not isinstance(event, h11.InformationalResponse):
                 raise ConnectionLostError("Closed before an answer.")
 
-    async def receive_part(self) -> bytes | None:
+    async def receive_body_part(self) -> bytes | None:
         """Reads a part of the response body.
 
         Returns:
@@ -299,7 +299,7 @@
             return None
         raise ConnectionLostError("Closed within an answer.")
 
-    def skip_answer(self) -> None:
+    def discard_response(self) -> None:
         """Discards the last response and prepares to read the next one.
 
         Used when the last response was a late second response to an earlier
@@ -331,7 +331,7 @@
         if (
             trailing
             or is_closed
-            or channel.has_input
+            or channel.has_unread_input
             or channel.has_unsent_output
         ):
             return False
--- a/src/lovagestage/gateway/exchange.py
+++ b/src/lovagestage/gateway/exchange.py
@@ -141,7 +141,7 @@
             connection = await self._connect()
             sent_s = get_elapsed_s()
             self.connect_s = sent_s - started_s
-            was_reused = connection.uses > 0
+            was_reused = connection.requests_sent > 0
             try:
                 head = await self._send_call(connection)
             except ConnectionLostError as error:
@@ -177,7 +177,7 @@
         """
         assert self._connection is not None
         try:
-            chunk = await self._connection.receive_part()
+            chunk = await self._connection.receive_body_part()
         except (ConnectionLostError, WrongMessageError) as error:
             raise AttemptFailedError("answer_broken", RunState.RAN) from error
         self.upstream.performance.silence.note_heard(get_elapsed_s())
@@ -254,9 +254,9 @@
             if head.request_id in (None, request.id):
                 return head
             # This is a second answer to an earlier request on the connection.
-            while await connection.receive_part() is not None:
+            while await connection.receive_body_part() is not None:
                 await asyncio.sleep(0)
-            connection.skip_answer()
+            connection.discard_response()
         raise WrongMessageError("Got only answers to other requests.")
 
     def _check_head(self, head: AnswerHead) -> None:
--- a/src/lovagestage/gateway/server.py
+++ b/src/lovagestage/gateway/server.py
@@ -74,7 +74,10 @@
             ConnectionLostError: The caller reset the connection.
         """
         limits = self._limits()
-        if not self._parser.trailing_data[0] and not self.channel.has_input:
+        if (
+            not self._parser.trailing_data[0]
+            and not self.channel.has_unread_input
+        ):
             try:
                 async with asyncio.timeout(limits.idle_timeout_s):
                     data = await self.channel.receive()
@@ -301,7 +304,7 @@
         self._tasks[task] = connection
         task.add_done_callback(self._tasks.pop)
         # When a caller disconnects, the work on its request ends immediately.
-        channel.lost.add_done_callback(lambda _: task.cancel())
+        channel.closed_by_peer.add_done_callback(lambda _: task.cancel())
 
     async def _serve(self, connection: CallerConnection) -> None:
         try:
@@ -324,7 +327,7 @@
             _log.warning(
                 "message_refused",
                 extra={
-                    "caller": connection.channel.get_peer(),
+                    "caller": connection.channel.get_peer_address(),
                     "reason": error.message,
                     "status": error.status,
                 },
--- a/src/lovagestage/platform/store.py
+++ b/src/lovagestage/platform/store.py
@@ -352,7 +352,7 @@
         is_ok = head.status_code == 200
         on_part(b"")
         parts: list[bytes] = []
-        while (part := await connection.receive_part()) is not None:
+        while (part := await connection.receive_body_part()) is not None:
             on_part(part if is_ok else b"")
             parts.append(part)
             received_bytes = self._transfer.received_bytes + len(part)
