--- a/lab/experiments/log_outage.py
+++ b/lab/experiments/log_outage.py
@@ -29,7 +29,7 @@
 from lovagestage.control.reader import ControlReader
 from lovagestage.control.snapshotting import SnapshotStream
 from lovagestage.control.writer import ControlWriter
-from lovagestage.exceptions import BelowHorizonError, LogUnavailableError
+from lovagestage.exceptions import LogUnavailableError, RecordsExpiredError
 from lovagestage.messages.envelope import StateAnswer
 from lovagestage.state.fold import Outcome
 from lovagestage.state.records import (
@@ -92,7 +92,7 @@
             page = await self._platform_log.read(
                 CONTROL_STREAM, self.next_offset, 1000, 0.0
             )
-        except BelowHorizonError as error:
+        except RecordsExpiredError as error:
             self.next_offset = Offset(error.first_offset)
             return
         for offset, data in page.records:
--- a/src/lovagestage/adapters/http_log.py
+++ b/src/lovagestage/adapters/http_log.py
@@ -14,9 +14,9 @@
 )
 from lovagestage.adapters.protocols import LogPage
 from lovagestage.exceptions import (
-    BelowHorizonError,
     LogAnswerLostError,
     LogUnavailableError,
+    RecordsExpiredError,
 )
 from lovagestage.types import Offset
 
@@ -94,7 +94,7 @@
                 body = await response.read()
                 if response.status == 410:
                     decoded = msgspec.json.decode(body, type=_ErrorResponse)
-                    raise BelowHorizonError(stream, decoded.first_offset)
+                    raise RecordsExpiredError(stream, decoded.first_offset)
                 if response.status != 200:
                     raise LogUnavailableError(
                         f"The log answered {response.status} to a read."
--- a/src/lovagestage/adapters/protocols.py
+++ b/src/lovagestage/adapters/protocols.py
@@ -70,7 +70,7 @@
 
         Raises:
             LogUnavailableError: The log does not answer, or refused the read.
-            BelowHorizonError: The record at `start` has expired.
+            RecordsExpiredError: The record at `start` has expired.
         """
 
 
--- a/src/lovagestage/api/authentication.py
+++ b/src/lovagestage/api/authentication.py
@@ -10,7 +10,7 @@
 from lovagestage.control.reader import ControlReader
 from lovagestage.entry.keyed_refusals import get_progress
 from lovagestage.entry.trials import Trials
-from lovagestage.exceptions import NotReadyError, WrongKeyError
+from lovagestage.exceptions import InvalidApiKeyError, NotReadyError
 from lovagestage.state.document import ServiceDocument, get_key_digest
 from lovagestage.state.documents import ServiceInForce
 from lovagestage.state.fold import ControlState
@@ -51,7 +51,7 @@
 
         Raises:
             NotReadyError: No configuration is in force.
-            WrongKeyError: The API key belongs to no workspace.
+            InvalidApiKeyError: The API key belongs to no workspace.
         """
         if not self._control.services:
             raise NotReadyError(
@@ -61,7 +61,7 @@
         digest = get_key_digest(header.removeprefix(_BEARER))
         caller = self._get_index().get(digest)
         if caller is None:
-            raise WrongKeyError("The API key belongs to no workspace.")
+            raise InvalidApiKeyError("The API key belongs to no workspace.")
         get_progress(request).workspace = caller.workspace
         document = self._trials.get_document(caller.document)
         return dataclasses.replace(caller, document=document)
--- a/src/lovagestage/api/callers.py
+++ b/src/lovagestage/api/callers.py
@@ -20,7 +20,7 @@
     BodyTooLargeError,
     IncompleteBodyError,
     RequestRefusedError,
-    UnknownRouteError,
+    RouteNotFoundError,
 )
 from lovagestage.settings import EntrySettings
 from lovagestage.state.document import get_open_versions
@@ -170,7 +170,7 @@
         caller = self._authenticator.identify_caller(request)
         route = find_route(caller.document, request.raw_path)
         if route is None:
-            raise UnknownRouteError(f"There is nothing at {request.path!r}.")
+            raise RouteNotFoundError(f"There is nothing at {request.path!r}.")
         content = await self._read_body(request)
         return await self._plain.handle_call(
             request, content, caller.workspace, caller.document, route
--- a/src/lovagestage/api/chat_admission.py
+++ b/src/lovagestage/api/chat_admission.py
@@ -26,7 +26,7 @@
 from lovagestage.exceptions import (
     MalformedRequestError,
     ModelNotAllowedError,
-    UnknownModelError,
+    ModelNotFoundError,
 )
 from lovagestage.execution.request import Request
 from lovagestage.state.document import (
@@ -150,7 +150,7 @@
         spec: Specification of the request's class.
 
     Raises:
-        UnknownModelError: No service, model or version has the name.
+        ModelNotFoundError: No service, model or version has the name.
         ModelNotAllowedError: The workspace may not use the named version.
     """
     allowed = get_open_versions(caller.document, caller.workspace)
@@ -171,7 +171,7 @@
         for known_name in (version.name, version.name.partition("@")[0])
     }
     if name not in known and name != caller.document.service:
-        raise UnknownModelError(f"There is no model {name!r}.")
+        raise ModelNotFoundError(f"There is no model {name!r}.")
     raise ModelNotAllowedError(
         f"Workspace {caller.workspace!r} may not use {name!r}."
     )
--- a/src/lovagestage/control/reader.py
+++ b/src/lovagestage/control/reader.py
@@ -11,7 +11,7 @@
 import mode
 
 from lovagestage.adapters.protocols import Log, LogPage
-from lovagestage.exceptions import BelowHorizonError, LogError
+from lovagestage.exceptions import LogError, RecordsExpiredError
 from lovagestage.state.fold import ControlState, ServiceInForce
 from lovagestage.state.records import CONTROL_STREAM
 from lovagestage.types import Offset, ServiceId
@@ -176,7 +176,7 @@
         while not self.should_stop:
             try:
                 await self._read_once()
-            except BelowHorizonError as error:
+            except RecordsExpiredError as error:
                 await self._recover(Offset(error.first_offset))
             except LogError as error:
                 self._on_read_failed(error)
--- a/src/lovagestage/control/snapshotting.py
+++ b/src/lovagestage/control/snapshotting.py
@@ -13,10 +13,10 @@
 from lovagestage.control.leasing import LeaseKeeper
 from lovagestage.control.reader import ControlReader
 from lovagestage.exceptions import (
-    BelowHorizonError,
     CodecError,
     LeaseLostError,
     LogError,
+    RecordsExpiredError,
 )
 from lovagestage.state.fold import ControlState
 from lovagestage.state.records import SNAPSHOT_STREAM
@@ -76,7 +76,7 @@
                 page = await self._platform_log.read(
                     SNAPSHOT_STREAM, self._next_offset, READ_LIMIT, 0.0
                 )
-            except BelowHorizonError as error:
+            except RecordsExpiredError as error:
                 # Chunks expire as well. A snapshot that lost a chunk before
                 # it was read stays incomplete and is never restored.
                 self._next_offset = Offset(error.first_offset)
--- a/src/lovagestage/decisions/retries.py
+++ b/src/lovagestage/decisions/retries.py
@@ -7,11 +7,11 @@
 from lovagestage.exceptions import (
     DeadlineExceededError,
     DispatchLostError,
+    IsolatedRunPendingError,
     ModelNotAllowedError,
     RequestCrashesUpstreamsError,
     RequestRefusedError,
     RouteNotAllowedError,
-    SuspectWaitingError,
 )
 from lovagestage.types import RunState
 
@@ -153,7 +153,7 @@
     A request whose next attempt would start after its deadline fails
     immediately, so that its caller can use the remaining time.
     """
-    if isinstance(failure.error, SuspectWaitingError):
+    if isinstance(failure.error, IsolatedRunPendingError):
         # Probes run one at a time. Waiting for a turn adds no load to the
         # upstreams and uses no retry of the budget.
         delay_s = PROBE_WAIT_S * (0.5 + jitter)
@@ -168,7 +168,7 @@
 
 def is_upstream_at_fault(error: RequestRefusedError) -> bool:
     """Returns whether the next attempt should use another upstream."""
-    return not isinstance(error, DispatchLostError | SuspectWaitingError)
+    return not isinstance(error, DispatchLostError | IsolatedRunPendingError)
 
 
 def make_final_error(
--- a/src/lovagestage/entry/crash_watch.py
+++ b/src/lovagestage/entry/crash_watch.py
@@ -13,8 +13,8 @@
 from lovagestage.bus.transport import PeerId
 from lovagestage.decisions.crash_suspects import Admission, SuspectTable
 from lovagestage.exceptions import (
+    IsolatedRunPendingError,
     RequestCrashesUpstreamsError,
-    SuspectWaitingError,
     UpstreamCrashedError,
 )
 from lovagestage.messages.crashes import CrashReport
@@ -71,8 +71,8 @@
         Raises:
             RequestCrashesUpstreamsError: The request is convicted of crashing
                 upstreams.
-            SuspectWaitingError: Another copy of the request was being probed
-                until `WAIT_LIMIT_S` or the deadline had passed.
+            IsolatedRunPendingError: Another copy of the request was being
+                probed until `WAIT_LIMIT_S` or the deadline had passed.
         """
         end_s = min(deadline_at_s, time.monotonic() + WAIT_LIMIT_S)
         while True:
@@ -91,7 +91,7 @@
                         " not run again for a while."
                     )
                 case Admission.WAIT if now_s >= end_s:
-                    raise SuspectWaitingError(
+                    raise IsolatedRunPendingError(
                         "The same request is being run apart from others.",
                         retry_after_s=1,
                     )
--- a/src/lovagestage/entry/dispatcher.py
+++ b/src/lovagestage/entry/dispatcher.py
@@ -25,7 +25,7 @@
 from lovagestage.decisions.sessions import is_pinned
 from lovagestage.entry.crash_watch import CrashWatch
 from lovagestage.exceptions import (
-    REFUSALS,
+    REFUSAL_CLASSES,
     DeadlineExceededError,
     NoCapacityError,
     RequestRefusedError,
@@ -460,5 +460,5 @@
 
 
 def _make_refusal(refused: Refused) -> RequestRefusedError:
-    error_type = REFUSALS.get(refused.code, UpstreamFailedError)
+    error_type = REFUSAL_CLASSES.get(refused.code, UpstreamFailedError)
     return error_type(refused.message, refused.run, refused.retry_after_s)
--- a/src/lovagestage/exceptions.py
+++ b/src/lovagestage/exceptions.py
@@ -86,13 +86,13 @@
     exit_code = EXIT_INVALID
 
 
-class ServiceUnknownError(LovagestageError):
+class UnknownServiceError(LovagestageError):
     """No service in force matches the name or version given."""
 
     code = "unknown_service"
 
 
-class ProcessSilentError(LovagestageError):
+class ProcessUnresponsiveError(LovagestageError):
     """A process of the system does not answer a query in time."""
 
     code = "process_silent"
@@ -150,7 +150,7 @@
         self.change_id = change_id
 
 
-class BelowHorizonError(LogError):
+class RecordsExpiredError(LogError):
     """The requested records of the log have expired.
 
     Attributes:
@@ -279,7 +279,7 @@
     status = 408
 
 
-class WrongKeyError(RequestRefusedError):
+class InvalidApiKeyError(RequestRefusedError):
     """The API key belongs to no workspace."""
 
     code = "invalid_api_key"
@@ -287,7 +287,7 @@
     kind = "authentication_error"
 
 
-class UnknownModelError(RequestRefusedError):
+class ModelNotFoundError(RequestRefusedError):
     """No service, model or version has the requested name."""
 
     code = "model_not_found"
@@ -302,7 +302,7 @@
     kind = "permission_error"
 
 
-class UnknownRouteError(RequestRefusedError):
+class RouteNotFoundError(RequestRefusedError):
     """No route of the caller's service matches the path."""
 
     code = "route_not_found"
@@ -421,7 +421,7 @@
     status = 422
 
 
-class SuspectWaitingError(RequestRefusedError):
+class IsolatedRunPendingError(RequestRefusedError):
     """The request was in flight during crashes and awaits an isolated run."""
 
     code = "suspect_waiting"
@@ -492,14 +492,14 @@
     kind = "server_error"
 
 
-REFUSALS: dict[str, type[RequestRefusedError]] = {
+REFUSAL_CLASSES: dict[str, type[RequestRefusedError]] = {
     kind.code: kind
     for kind in (
         MalformedRequestError,
         BodyTooLargeError,
         IncompleteBodyError,
-        WrongKeyError,
-        UnknownModelError,
+        InvalidApiKeyError,
+        ModelNotFoundError,
         ModelNotAllowedError,
         RouteNotAllowedError,
         VersionWithdrawnError,
@@ -515,7 +515,7 @@
         DispatchLostError,
         UpstreamCrashedError,
         RequestCrashesUpstreamsError,
-        SuspectWaitingError,
+        IsolatedRunPendingError,
         UpstreamFailedError,
         DeadlineExceededError,
         RunForbiddenError,
@@ -532,7 +532,7 @@
     exit_code = EXIT_UNAVAILABLE
 
 
-class WrongMessageError(LovagestageError):
+class InvalidHttpMessageError(LovagestageError):
     """Bytes on a connection are no valid HTTP/1.1, or a limit was exceeded.
 
     Attributes:
@@ -547,7 +547,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Transfer:
+class TransferProgress:
     """Progress of the transfer of a response body.
 
     Attributes:
@@ -570,7 +570,9 @@
     code = "store_error"
     exit_code = EXIT_UNAVAILABLE
 
-    def __init__(self, message: str, transfer: Transfer = Transfer()) -> None:
+    def __init__(
+        self, message: str, transfer: TransferProgress = TransferProgress()
+    ) -> None:
         super().__init__(message)
         self.transfer = transfer
 
@@ -592,29 +594,29 @@
     """The store has dropped the requested records.
 
     Attributes:
-        first: Offset of the oldest record that the store still holds.
+        first_offset: Offset of the oldest record that the store still holds.
     """
 
     code = "store_history_lost"
 
-    def __init__(self, topic: str, first: int) -> None:
-        super().__init__(f"{topic} starts at {first}.")
-        self.first = first
+    def __init__(self, topic: str, first_offset: int) -> None:
+        super().__init__(f"{topic} starts at {first_offset}.")
+        self.first_offset = first_offset
 
 
 class StoreConflictError(StoreError):
     """A conditional append did not match the end of the topic.
 
     Attributes:
-        end: Offset at which the topic currently ends.
+        end_offset: Offset at which the topic currently ends.
     """
 
     code = "store_conflict"
     exit_code = EXIT_CONFLICT
 
-    def __init__(self, end: int) -> None:
-        super().__init__(f"The topic ends at {end}.")
-        self.end = end
+    def __init__(self, end_offset: int) -> None:
+        super().__init__(f"The topic ends at {end_offset}.")
+        self.end_offset = end_offset
 
 
 class AttemptFailedError(LovagestageError):
@@ -623,8 +625,8 @@
     Attributes:
         run: Whether the upstream ran the request, as far as known.
         reason: Stable name of the failure.
-        at_fault: Whether the failure counts against the upstream.
-        has_arrived: Whether the upstream may have received the request.
+        is_upstream_at_fault: Whether the failure counts against the upstream.
+        may_have_arrived: Whether the upstream may have received the request.
     """
 
     code = "attempt_failed"
@@ -633,14 +635,14 @@
         self,
         reason: str,
         run: RunState,
-        at_fault: bool = True,
-        has_arrived: bool = True,
+        is_upstream_at_fault: bool = True,
+        may_have_arrived: bool = True,
     ) -> None:
         super().__init__(f"{reason} ({run.value}).")
-        self.has_arrived = has_arrived
+        self.may_have_arrived = may_have_arrived
         self.reason = reason
         self.run = run
-        self.at_fault = at_fault
+        self.is_upstream_at_fault = is_upstream_at_fault
 
 
 class GatewayRefusalError(LovagestageError):
--- a/src/lovagestage/execution/request.py
+++ b/src/lovagestage/execution/request.py
@@ -8,8 +8,8 @@
 from lovagestage.decisions.sessions import Session
 from lovagestage.exceptions import (
     DeadlineExceededError,
+    IsolatedRunPendingError,
     RequestRefusedError,
-    SuspectWaitingError,
     UpstreamCrashedError,
     UpstreamFailedError,
     UpstreamLostError,
@@ -121,7 +121,7 @@
         self.has_yielded_output = (
             self.has_yielded_output or attempt.has_yielded_output
         )
-        self.probe_waits += isinstance(error, SuspectWaitingError)
+        self.probe_waits += isinstance(error, IsolatedRunPendingError)
         # A retry that succeeds would hide a version that fails occasionally.
         self.version_failed |= is_version_at_fault(error)
         self.run = combine_run_states(self.run, error.run)
--- a/src/lovagestage/gateway/attempts.py
+++ b/src/lovagestage/gateway/attempts.py
@@ -257,9 +257,9 @@
         self._excluded.add(upstream.id)
         if error.run is RunState.NOT_RUN:
             self.runs -= 1
-            if error.has_arrived:
+            if error.may_have_arrived:
                 self._refusals += 1
-        if not error.has_arrived:
+        if not error.may_have_arrived:
             self._budget.release()
 
     def note_head(self, connect_s: float, head_s: float) -> None:
--- a/src/lovagestage/gateway/exchange.py
+++ b/src/lovagestage/gateway/exchange.py
@@ -11,7 +11,7 @@
 from lovagestage.exceptions import (
     AttemptFailedError,
     ConnectionLostError,
-    WrongMessageError,
+    InvalidHttpMessageError,
 )
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.connections import ConnectionPool
@@ -154,7 +154,7 @@
                 raise AttemptFailedError(
                     "connection_lost", RunState.UNKNOWN
                 ) from error
-            except WrongMessageError as error:
+            except InvalidHttpMessageError as error:
                 raise AttemptFailedError(
                     "wrong_bytes", RunState.UNKNOWN
                 ) from error
@@ -178,7 +178,7 @@
         assert self._connection is not None
         try:
             chunk = await self._connection.receive_body_part()
-        except (ConnectionLostError, WrongMessageError) as error:
+        except (ConnectionLostError, InvalidHttpMessageError) as error:
             raise AttemptFailedError("answer_broken", RunState.RAN) from error
         self.upstream.performance.silence.note_heard(get_elapsed_s())
         self.is_complete = chunk is None
@@ -231,7 +231,7 @@
             raise AttemptFailedError(
                 "unreachable",
                 RunState.UNKNOWN if self._has_sent else RunState.NOT_RUN,
-                has_arrived=self._has_sent,
+                may_have_arrived=self._has_sent,
             ) from error
         finally:
             performance.note_connect_ended(begun_s)
@@ -257,14 +257,14 @@
             while await connection.receive_body_part() is not None:
                 await asyncio.sleep(0)
             connection.discard_response()
-        raise WrongMessageError("Got only answers to other requests.")
+        raise InvalidHttpMessageError("Got only answers to other requests.")
 
     def _check_head(self, head: AnswerHead) -> None:
         if head.is_other_instance:
             raise AttemptFailedError("other_instance", RunState.NOT_RUN)
         if head.is_not_run:
             raise AttemptFailedError(
-                "refused", RunState.NOT_RUN, at_fault=False
+                "refused", RunState.NOT_RUN, is_upstream_at_fault=False
             )
         if not head.is_signed and head.status in _BAD_GATEWAY_CODES:
             raise AttemptFailedError("unsigned_failure", RunState.UNKNOWN)
--- a/src/lovagestage/gateway/feeds.py
+++ b/src/lovagestage/gateway/feeds.py
@@ -521,7 +521,9 @@
             "store_history_lost",
             extra={"topic": self.topic, "reason": error.message},
         )
-        self._topic_log.restart(None if self._options.is_keyed else error.first)
+        self._topic_log.restart(
+            None if self._options.is_keyed else error.first_offset
+        )
 
     async def _on_failure(self, error: StoreError) -> None:
         self._store.close()
--- a/src/lovagestage/gateway/runs.py
+++ b/src/lovagestage/gateway/runs.py
@@ -243,9 +243,9 @@
     """
     attempts.note_failure(upstream, error)
     performance, now_s = upstream.performance, get_elapsed_s()
-    if error.at_fault and error.run is RunState.RAN:
+    if error.is_upstream_at_fault and error.run is RunState.RAN:
         performance.note_answer(True)
-    elif error.at_fault:
+    elif error.is_upstream_at_fault:
         performance.note_absent(now_s)
     _log.warning(
         "attempt_failed",
@@ -259,7 +259,7 @@
             "left_out_s": round(performance.get_left_out_s(now_s), 2),
         },
     )
-    if error.at_fault and error.reason in CRASH_LIKE_REASONS:
+    if error.is_upstream_at_fault and error.reason in CRASH_LIKE_REASONS:
         context.suspects.note_lost(
             attempts.fingerprint, attempts.run_name, upstream
         )
--- a/src/lovagestage/gateway/stream_runs.py
+++ b/src/lovagestage/gateway/stream_runs.py
@@ -171,7 +171,9 @@
             if should_retry_answer(attempts, self._upstream, head.status):
                 return _NextRun(self._model)
         if self.progress.is_started:
-            raise AttemptFailedError("failed", RunState.RAN, at_fault=False)
+            raise AttemptFailedError(
+                "failed", RunState.RAN, is_upstream_at_fault=False
+            )
         await self._sink.send_answer(head, body)
         return None
 
--- a/src/lovagestage/operations/edits.py
+++ b/src/lovagestage/operations/edits.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lovagestage.exceptions import DocumentInvalidError, ServiceUnknownError
+from lovagestage.exceptions import DocumentInvalidError, UnknownServiceError
 from lovagestage.operations.operator_client import (
     Edit,
     OperatorClient,
@@ -84,7 +84,7 @@
         version: Version by which the service is found if none is named.
 
     Raises:
-        ServiceUnknownError: No service was named, and no service or several
+        UnknownServiceError: No service was named, and no service or several
             services have the version.
     """
     if service is not None:
@@ -95,7 +95,7 @@
     }
     names = find_services_with_version(documents, version)
     if len(names) != 1:
-        raise ServiceUnknownError(
+        raise UnknownServiceError(
             f"Services with {version!r}: {sorted(names)}; expected exactly"
             " one; otherwise name the service with --service."
         )
--- a/src/lovagestage/operations/operator_client.py
+++ b/src/lovagestage/operations/operator_client.py
@@ -21,13 +21,13 @@
 from lovagestage.control.snapshotting import SnapshotStream
 from lovagestage.control.writer import ControlWriter, make_change_id
 from lovagestage.exceptions import (
-    BelowHorizonError,
     CodecError,
     DocumentInvalidError,
     LogUnavailableError,
-    ProcessSilentError,
-    ServiceUnknownError,
+    ProcessUnresponsiveError,
+    RecordsExpiredError,
     SettingsError,
+    UnknownServiceError,
 )
 from lovagestage.messages.envelope import DumpAnswer, DumpRequest, Message
 from lovagestage.operations.checks import Fault, find_faults
@@ -159,12 +159,12 @@
         """Returns the revision and the document of a service in force.
 
         Raises:
-            ServiceUnknownError: The service has no document.
+            UnknownServiceError: The service has no document.
         """
         in_force = self.control.services.get(ServiceId(service))
         if in_force is None:
             known = sorted(self.control.services)
-            raise ServiceUnknownError(
+            raise UnknownServiceError(
                 f"There is no service {service!r}; expected one of {known}."
             )
         return in_force.revision, in_force.document
@@ -236,7 +236,7 @@
                 page = await self._log.read(
                     CONTROL_STREAM, start, RECORDS_PER_READ, 0.0
                 )
-            except BelowHorizonError as error:
+            except RecordsExpiredError as error:
                 # Records expire in the log, even between two reads.
                 start = Offset(error.first_offset)
                 continue
@@ -263,7 +263,7 @@
             address: `HOST:PORT` of the process's listener.
 
         Raises:
-            ProcessSilentError: The process did not answer in time.
+            ProcessUnresponsiveError: The process did not answer in time.
             SettingsError: The settings have no `bus`.
         """
         bus = self._settings.bus
@@ -302,7 +302,7 @@
     async def _query_process(self, vm: Vm) -> ProcessStatus:
         try:
             state = json.loads(await self.get_dump(vm.bus_address))
-        except ProcessSilentError:
+        except ProcessUnresponsiveError:
             return ProcessStatus(vm.vm, vm.role.value, vm.zone, False)
         control = state["control"]
         folded = self.control.folded
@@ -332,7 +332,7 @@
         State of the process as JSON.
 
     Raises:
-        ProcessSilentError: The process did not answer within
+        ProcessUnresponsiveError: The process did not answer within
             `DUMP_TIMEOUT_S`.
     """
     context: zmq.Context[zmq.Socket[bytes]] = zmq.Context()
@@ -351,7 +351,7 @@
             connection.send(DumpRequest())
         return await asyncio.wait_for(answer, DUMP_TIMEOUT_S)
     except TimeoutError:
-        raise ProcessSilentError(
+        raise ProcessUnresponsiveError(
             f"The process at {address!r} did not answer within"
             f" {DUMP_TIMEOUT_S:g} s."
         ) from None
--- a/src/lovagestage/operations/usage.py
+++ b/src/lovagestage/operations/usage.py
@@ -19,8 +19,8 @@
 )
 from lovagestage.exceptions import (
     EXIT_INVALID,
-    BelowHorizonError,
     CodecError,
+    RecordsExpiredError,
 )
 from lovagestage.types import Offset
 
@@ -250,7 +250,7 @@
     while True:
         try:
             page = await log.read(BILLING_STREAM, offset, RECORDS_PER_READ, 0.0)
-        except BelowHorizonError as error:
+        except RecordsExpiredError as error:
             totals.expired = error.first_offset
             offset = Offset(error.first_offset)
             continue
--- a/src/lovagestage/platform/store.py
+++ b/src/lovagestage/platform/store.py
@@ -17,12 +17,12 @@
 from lovagestage.adapters.http1 import ClientConnection, open_channel
 from lovagestage.exceptions import (
     ConnectionLostError,
+    InvalidHttpMessageError,
     StoreAnswerLostError,
     StoreConflictError,
     StoreHistoryLostError,
     StoreUnavailableError,
-    Transfer,
-    WrongMessageError,
+    TransferProgress,
 )
 from lovagestage.platform.records import (
     Page,
@@ -93,7 +93,7 @@
         self._address = address
         self._on_call = on_call
         self._connection: ClientConnection | None = None
-        self._transfer = Transfer()
+        self._transfer = TransferProgress()
 
     def close(self) -> None:
         """Aborts the connection; the next call opens another."""
@@ -254,8 +254,8 @@
                 error.message, error.transfer
             ) from error
         if status == 410:
-            first = int(_decode(body).get("StartOffset", 0))
-            raise StoreHistoryLostError(path, first)
+            first_offset = int(_decode(body).get("StartOffset", 0))
+            raise StoreHistoryLostError(path, first_offset)
         if status != 200:
             raise StoreUnavailableError(f"Read: status {status}.")
         return body
@@ -301,7 +301,11 @@
             is_ok = status == 200
             outcome = CallOutcome.ANSWERED if is_ok else CallOutcome.REFUSED
             return status, answer
-        except (ConnectionLostError, WrongMessageError, TimeoutError) as error:
+        except (
+            ConnectionLostError,
+            InvalidHttpMessageError,
+            TimeoutError,
+        ) as error:
             was_sent = self._connection is not None
             self.close()
             error_type = (
@@ -316,7 +320,7 @@
         finally:
             time_s = time.monotonic() - started_s
             received_bytes = self._transfer.received_bytes
-            self._transfer = Transfer()
+            self._transfer = TransferProgress()
             self._on_call(CallEnd(kind, outcome, time_s, received_bytes))
 
     async def _exchange(
@@ -348,7 +352,7 @@
         on_part: PartListener,
     ) -> bytes:
         expected_bytes = _get_length(head)
-        self._transfer = Transfer(0, expected_bytes)
+        self._transfer = TransferProgress(0, expected_bytes)
         is_ok = head.status_code == 200
         on_part(b"")
         parts: list[bytes] = []
@@ -356,9 +360,11 @@
             on_part(part if is_ok else b"")
             parts.append(part)
             received_bytes = self._transfer.received_bytes + len(part)
-            self._transfer = Transfer(received_bytes, expected_bytes)
+            self._transfer = TransferProgress(received_bytes, expected_bytes)
             if received_bytes > _BODY_LIMIT_BYTES:
-                raise WrongMessageError(f"Body over {_BODY_LIMIT_BYTES} bytes.")
+                raise InvalidHttpMessageError(
+                    f"Body over {_BODY_LIMIT_BYTES} bytes."
+                )
         return b"".join(parts)
 
 
--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lovagestage.api.authentication import Authenticator
-from lovagestage.exceptions import NotReadyError, WrongKeyError
+from lovagestage.exceptions import InvalidApiKeyError, NotReadyError
 from lovagestage.state.document import get_key_digest
 from lovagestage.state.fold import ControlState
 from lovagestage.state.records import DocumentChange, encode_record
@@ -69,7 +69,7 @@
     assert find_workspace(authenticator, "old") == "till"
     control.publish("s", 1, till="new")
     assert find_workspace(authenticator, "new") == "till"
-    with pytest.raises(WrongKeyError):
+    with pytest.raises(InvalidApiKeyError):
         find_workspace(authenticator, "old")
 
 
@@ -80,7 +80,7 @@
     assert find_workspace(authenticator, "a") == "till"
     control.folded = ControlState()
     control.publish("s", 0, till="b")
-    with pytest.raises(WrongKeyError):
+    with pytest.raises(InvalidApiKeyError):
         find_workspace(authenticator, "a")
 
 
--- a/tests/test_gateway_feeds.py
+++ b/tests/test_gateway_feeds.py
@@ -164,7 +164,7 @@
             await client.append("keyed.status", record, 1.0)
         with pytest.raises(StoreConflictError) as raised:
             await client.append("keyed.status", record, 1.0, expected_end=1)
-        assert raised.value.end == 2
+        assert raised.value.end_offset == 2
 
 
 async def test_client_reads_all_pages_and_removals():
@@ -188,7 +188,7 @@
         store.get_topic("keyed.status").forget()
         with pytest.raises(StoreHistoryLostError) as raised:
             await client.read("keyed.status", 1, 0.0, 1.0)
-        assert raised.value.first == 4
+        assert raised.value.first_offset == 4
 
 
 async def test_client_gives_up_a_silent_connection_and_opens_another():
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -10,7 +10,11 @@
 from hypothesis import strategies as st
 
 from lovagestage.decisions.warmup import Warmup
-from lovagestage.exceptions import CodecError, SettingsError, WrongMessageError
+from lovagestage.exceptions import (
+    CodecError,
+    InvalidHttpMessageError,
+    SettingsError,
+)
 from lovagestage.gateway.configuration import RouteKind
 from lovagestage.gateway.messages import OutgoingCall
 from lovagestage.gateway.rollouts import OutcomeRecord, RolloutOutcome
@@ -88,7 +92,7 @@
 
 @pytest.mark.parametrize("name", [b"Attempt-Id", b"Deadline-Ms"])
 def test_headers_that_decide_may_stand_once(name):
-    with pytest.raises(WrongMessageError):
+    with pytest.raises(InvalidHttpMessageError):
         decode([*REQUEST, (name, b"1")])
 
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -12,8 +12,8 @@
 from lovagestage.decisions.routing import UpstreamView
 from lovagestage.entry.dispatcher import Dispatcher
 from lovagestage.exceptions import (
+    IsolatedRunPendingError,
     RequestRefusedError,
-    SuspectWaitingError,
     VersionWithdrawnError,
 )
 from lovagestage.execution.request import Request, Result
@@ -71,7 +71,7 @@
     async def admit(self, fingerprint, label, deadline_at_s):
         self.count -= 1
         if self.count < 0:
-            raise SuspectWaitingError("waiting")
+            raise IsolatedRunPendingError("waiting")
         return False
 
     def get_strikes(self, fingerprint):
