--- a/lab/experiments/failover.py
+++ b/lab/experiments/failover.py
@@ -40,7 +40,7 @@
 from lovagestage.adapters.http_log import HttpLog
 from lovagestage.decisions.billing import BILLING_STREAM, Bill, decode_batch
 from lovagestage.operations.edits import make_withdrawal
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 from lovagestage.types import Offset
 
@@ -206,7 +206,7 @@
 
     def _withdraw(self) -> None:
         path = EXAMPLES / f"{SHAPE.service}.jsonc"
-        document = parse_file(path, ServiceDocument)
+        document = parse_json_file(path, ServiceDocument)
         withdrawn = make_withdrawal(WITHDRAWN)(document)
         try:
             self._fleet.publish_document(withdrawn, 1)
--- a/lab/experiments/limits.py
+++ b/lab/experiments/limits.py
@@ -28,11 +28,11 @@
 )
 from lovagestage.messages.envelope import encode_message
 from lovagestage.messages.peers import UsageReport
-from lovagestage.types import VmId, WorkspaceTag
+from lovagestage.types import VmId, WorkspaceHash
 
 ENTRIES = 8
-BIG = WorkspaceTag(2**63 + 1)
-SMALL = WorkspaceTag(2**63 + 2)
+BIG = WorkspaceHash(2**63 + 1)
+SMALL = WorkspaceHash(2**63 + 2)
 LIMITS = {BIG: Limit(900.0, 1800.0), SMALL: Limit(150.0, 300.0)}
 OVERLOAD = 3.0
 SMALL_LOAD = 0.5
@@ -55,7 +55,7 @@
 @dataclasses.dataclass(frozen=True)
 class _Arrival:
     at_s: float
-    tag: WorkspaceTag
+    tag: WorkspaceHash
     place: float
     tokens: int
 
@@ -69,7 +69,7 @@
         }
         self._updated_s = now_s
 
-    def admit(self, tag: WorkspaceTag, now_s: float) -> bool:
+    def admit(self, tag: WorkspaceHash, now_s: float) -> bool:
         elapsed_s, self._updated_s = now_s - self._updated_s, now_s
         for each, limit in LIMITS.items():
             level = (
@@ -78,7 +78,7 @@
             self._levels[each] = min(level, limit.burst_tokens / ENTRIES)
         return self._levels[tag] > 0
 
-    def spend(self, tag: WorkspaceTag, tokens: float) -> None:
+    def spend(self, tag: WorkspaceHash, tokens: float) -> None:
         self._levels[tag] -= tokens
 
 
@@ -93,7 +93,7 @@
     """
 
     generated: list[float]
-    refused: dict[WorkspaceTag, int]
+    refused: dict[WorkspaceHash, int]
     sent_bytes: list[float]
 
 
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -26,7 +26,7 @@
 from lab.fleet_settings import OPERATOR, FleetSettings, StandInUrls
 from lab.ports import HOST, get_free_port
 from lab.shapes import EXAMPLES, Shape
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 from lovagestage.state.operators import sign_change
 from lovagestage.state.records import (
@@ -250,7 +250,7 @@
             path: File with the service document as JSON with comments.
             base: Revision that the document replaces.
         """
-        self.publish_document(parse_file(path, ServiceDocument), base)
+        self.publish_document(parse_json_file(path, ServiceDocument), base)
 
     def publish_document(self, document: ServiceDocument, base: int) -> None:
         """Appends a service document to the log, signed by the lab's operator.
--- a/lab/up.py
+++ b/lab/up.py
@@ -7,7 +7,7 @@
 
 from lab.fleet import Fleet
 from lab.shapes import SHAPES
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 
 
@@ -21,7 +21,9 @@
     from lab.shapes import EXAMPLES
 
     shape = SHAPES[args.fleet]
-    document = parse_file(EXAMPLES / f"{shape.service}.jsonc", ServiceDocument)
+    document = parse_json_file(
+        EXAMPLES / f"{shape.service}.jsonc", ServiceDocument
+    )
     with Fleet(shape) as fleet:
         for entry in fleet.entries:
             print(f"entry={entry.url}")
--- a/src/lovagestage/api/chat_admission.py
+++ b/src/lovagestage/api/chat_admission.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from lovagestage.api.authentication import Caller
-from lovagestage.api.chat_form import ChatFields, get_class_name
+from lovagestage.api.chat_fields import ChatFields, get_class_name
 from lovagestage.decisions.admission import Choice
 from lovagestage.decisions.sessions import (
     Session,
--- a/src/lovagestage/api/chat_api.py
+++ b/src/lovagestage/api/chat_api.py
@@ -9,7 +9,7 @@
 from lovagestage.api.authentication import Caller
 from lovagestage.api.chat_admission import ChatAdmission
 from lovagestage.api.chat_answers import ChatAnswers
-from lovagestage.api.chat_form import parse_fields
+from lovagestage.api.chat_fields import parse_fields
 from lovagestage.entry.billing_service import BillingService
 from lovagestage.entry.deferral_service import DeferralService
 from lovagestage.entry.dispatcher import Dispatcher
--- a/src/lovagestage/api/entry.py
+++ b/src/lovagestage/api/entry.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from lovagestage.api.authentication import Authenticator
-from lovagestage.api.callers import CallerApi
+from lovagestage.api.caller_api import CallerApi
 from lovagestage.api.chat_admission import ChatAdmission
 from lovagestage.api.chat_answers import ChatAnswers
 from lovagestage.api.chat_api import ChatApi
--- a/src/lovagestage/cli.py
+++ b/src/lovagestage/cli.py
@@ -81,9 +81,9 @@
 
 
 def _run_daemon(options: argparse.Namespace) -> int:
-    from lovagestage.settings import get_settings
+    from lovagestage.settings import read_settings
 
-    settings = get_settings(options.settings)
+    settings = read_settings(options.settings)
     if getattr(settings, options.role) is None:
         raise SettingsError(
             str(options.settings), 1, options.role, "expected this key."
--- a/src/lovagestage/decisions/limits.py
+++ b/src/lovagestage/decisions/limits.py
@@ -21,7 +21,7 @@
 import xxhash
 
 from lovagestage.messages.peers import UsageReport, UsageRow
-from lovagestage.types import ServiceId, VmId, WorkspaceId, WorkspaceTag
+from lovagestage.types import ServiceId, VmId, WorkspaceHash, WorkspaceId
 
 DEFAULT_TOKENS = 256.0
 """Estimate in tokens for a request that names no maximum, before this entry has
@@ -175,8 +175,8 @@
         self._vm = vm
         self._incarnation = incarnation
         self._started_s = now_s
-        self._usages: dict[WorkspaceTag, _Usage] = {}
-        self._limits: dict[WorkspaceTag, Limit] = {}
+        self._usages: dict[WorkspaceHash, _Usage] = {}
+        self._limits: dict[WorkspaceHash, Limit] = {}
         self._live_peers: frozenset[VmId] = frozenset()
         self._cycle_s = 1.0
 
@@ -195,7 +195,7 @@
         self._live_peers = frozenset(live)
         self._cycle_s = cycle_s
 
-    def set_limit(self, tag: WorkspaceTag, limit: Limit) -> None:
+    def set_limit(self, tag: WorkspaceHash, limit: Limit) -> None:
         """Sets a limit in force.
 
         Reports about workspaces for which no limit was set are ignored.
@@ -207,7 +207,7 @@
 
     def admit(
         self,
-        tag: WorkspaceTag,
+        tag: WorkspaceHash,
         max_tokens: int | None,
         priority: int,
         now_s: float,
@@ -232,7 +232,7 @@
 
     def settle(
         self,
-        tag: WorkspaceTag,
+        tag: WorkspaceHash,
         charge: Charge,
         used_tokens: float,
         now_s: float,
@@ -308,7 +308,7 @@
             report.incarnation, row.used_tokens, row.demand_per_s, now_s
         )
 
-    def _advance(self, tag: WorkspaceTag, now_s: float) -> _Usage:
+    def _advance(self, tag: WorkspaceHash, now_s: float) -> _Usage:
         usage = self._usages.get(tag)
         if usage is None:
             usage = self._make_usage(self._limits[tag], now_s)
@@ -368,7 +368,7 @@
 
 def get_workspace_tag(
     service: ServiceId, workspace: WorkspaceId
-) -> WorkspaceTag:
+) -> WorkspaceHash:
     """Returns the short name of a service's workspace in reports."""
     name = f"{service}/{workspace}".encode()
-    return WorkspaceTag(xxhash.xxh64_intdigest(name))
+    return WorkspaceHash(xxhash.xxh64_intdigest(name))
--- a/src/lovagestage/messages/peers.py
+++ b/src/lovagestage/messages/peers.py
@@ -7,7 +7,7 @@
 from lovagestage.types import (
     ServiceId,
     VmId,
-    WorkspaceTag,
+    WorkspaceHash,
 )
 
 
@@ -126,7 +126,7 @@
             request through the entry.
     """
 
-    tag: WorkspaceTag
+    tag: WorkspaceHash
     used_tokens: int
     demand_per_s: int
 
--- a/src/lovagestage/operations/commands.py
+++ b/src/lovagestage/operations/commands.py
@@ -35,7 +35,7 @@
     print_result,
     print_rows,
 )
-from lovagestage.settings import OperatorSettings, parse_file
+from lovagestage.settings import OperatorSettings, parse_json_file
 from lovagestage.state.document import (
     RolloutSpec,
     RolloutState,
@@ -58,7 +58,7 @@
     Returns:
         The exit code that the command returned.
     """
-    settings = parse_file(options.settings, OperatorSettings)
+    settings = parse_json_file(options.settings, OperatorSettings)
 
     async def run() -> int:
         async with open_client(settings) as client:
@@ -85,7 +85,7 @@
 
 def run_service_put(options: argparse.Namespace) -> int:
     """Appends a document to the log and prints the outcome."""
-    document = parse_file(options.file, ServiceDocument)
+    document = parse_json_file(options.file, ServiceDocument)
 
     async def run_command(client: OperatorClient) -> int:
         result = await client.put(document, options.base, options.change_id)
@@ -96,7 +96,7 @@
 
 def run_service_diff(options: argparse.Namespace) -> int:
     """Compares a file with the document in force; exits 1 on a difference."""
-    local_text = format_document(parse_file(options.file, ServiceDocument))
+    local_text = format_document(parse_json_file(options.file, ServiceDocument))
 
     async def run_command(client: OperatorClient) -> int:
         service = json.loads(local_text)["service"]
@@ -151,7 +151,7 @@
     """Checks a document file without access to the log."""
     from lovagestage.operations.checks import find_faults
 
-    faults = find_faults(parse_file(options.file, ServiceDocument))
+    faults = find_faults(parse_json_file(options.file, ServiceDocument))
     if options.json:
         print_json({"faults": [msgspec.to_builtins(f) for f in faults]})
     elif faults:
@@ -236,7 +236,7 @@
 
 def run_operators_put(options: argparse.Namespace) -> int:
     """Replaces the list of operators; the settings must hold the root key."""
-    specs = parse_file(options.file, list[OperatorSpec])
+    specs = parse_json_file(options.file, list[OperatorSpec])
 
     async def run_command(client: OperatorClient) -> int:
         change = OperatorsChange(
--- a/src/lovagestage/operations/usage.py
+++ b/src/lovagestage/operations/usage.py
@@ -222,9 +222,9 @@
 
 
 def _get_log_url(path: pathlib.Path) -> str:
-    from lovagestage.settings import get_settings
+    from lovagestage.settings import read_settings
 
-    return get_settings(path).platform.log_url
+    return read_settings(path).platform.log_url
 
 
 async def _sum_stream(url: str, bill_filter: Filter, passes: int) -> Totals:
--- a/src/lovagestage/settings.py
+++ b/src/lovagestage/settings.py
@@ -249,16 +249,16 @@
 _T = TypeVar("_T")
 
 
-def get_settings(path: pathlib.Path) -> Settings:
+def read_settings(path: pathlib.Path) -> Settings:
     """Reads and checks the settings file of a process.
 
     Raises:
         SettingsError: The file can't be read or is not valid.
     """
-    return parse_file(path, Settings)
+    return parse_json_file(path, Settings)
 
 
-def parse_file(path: pathlib.Path, kind: type[_T]) -> _T:
+def parse_json_file(path: pathlib.Path, kind: type[_T]) -> _T:
     """Reads a file of JSON with comments and checks it against a type.
 
     Args:
@@ -274,10 +274,10 @@
         raise SettingsError(
             str(path), 1, "$", f"expected a readable UTF-8 file; {error}."
         ) from error
-    return parse_text(text, str(path), kind)
+    return parse_json_text(text, str(path), kind)
 
 
-def parse_text(text: str, file: str, kind: type[_T]) -> _T:
+def parse_json_text(text: str, file: str, kind: type[_T]) -> _T:
     """Parses JSON with comments and checks it against a type.
 
     Args:
--- a/src/lovagestage/types.py
+++ b/src/lovagestage/types.py
@@ -22,7 +22,7 @@
 ChangeId = NewType("ChangeId", str)
 Fingerprint = NewType("Fingerprint", str)
 """Hash of a request's workspace and body."""
-WorkspaceTag = NewType("WorkspaceTag", int)
+WorkspaceHash = NewType("WorkspaceHash", int)
 """64-bit hash of the names of a service and a workspace."""
 LeaseId = NewType("LeaseId", str)
 Offset = NewType("Offset", int)
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from lovagestage.operations.checks import find_faults
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 
 EXAMPLES = sorted(pathlib.Path("examples").glob("*.jsonc"))
@@ -18,7 +18,7 @@
 
 
 def load_document(path=EXAMPLES[-1]) -> dict:
-    return msgspec.to_builtins(parse_file(path, ServiceDocument))
+    return msgspec.to_builtins(parse_json_file(path, ServiceDocument))
 
 
 def find_fault_paths(raw: dict) -> list[str]:
--- a/tests/test_keyed_refusals.py
+++ b/tests/test_keyed_refusals.py
@@ -12,7 +12,7 @@
 
 from lab.fleet import Fleet
 from lab.shapes import EXAMPLES, SHAPES
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 
 LIMIT_BYTES = 50_000
@@ -27,7 +27,7 @@
         SHAPES["thin"], entry_options={"max_body_bytes": LIMIT_BYTES}
     ) as running_fleet:
         assert send_request(running_fleet, "used", entry=0)[0] == 200
-        document = parse_file(EXAMPLES / "vault.jsonc", ServiceDocument)
+        document = parse_json_file(EXAMPLES / "vault.jsonc", ServiceDocument)
         audit = msgspec.structs.replace(
             document.workspaces["audit"], allowed=["small"]
         )
--- a/tests/test_limits_fleet.py
+++ b/tests/test_limits_fleet.py
@@ -7,7 +7,7 @@
 
 from lab.fleet import Fleet
 from lab.shapes import EXAMPLES, Shape
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 from lovagestage.types import WorkspaceId
 from tests.test_sessions_fleet import send_request
@@ -50,7 +50,7 @@
     # three entries, and one entry is killed meanwhile. The workspace gets what
     # its limit and burst grant, neither three times as much nor a third; the
     # other workspace is refused nothing.
-    document = parse_file(EXAMPLES / "vault.jsonc", ServiceDocument)
+    document = parse_json_file(EXAMPLES / "vault.jsonc", ServiceDocument)
     limit = document.workspaces[LIMITED_WORKSPACE]
     with Fleet(SHAPE) as fleet, concurrent.futures.ThreadPoolExecutor() as pool:
         time.sleep(1.0)
--- a/tests/test_paused_sidecar.py
+++ b/tests/test_paused_sidecar.py
@@ -12,11 +12,11 @@
 from lab.fleet import Fleet
 from lab.shapes import EXAMPLES, SHAPES
 from lovagestage.operations.edits import make_withdrawal
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 from tests.test_thin_path import MESSAGES
 
-DOCUMENT = parse_file(EXAMPLES / "vault.jsonc", ServiceDocument)
+DOCUMENT = parse_json_file(EXAMPLES / "vault.jsonc", ServiceDocument)
 
 
 def test_resumed_sidecar_runs_nothing_on_a_withdrawn_version():
--- a/tests/test_plain_services.py
+++ b/tests/test_plain_services.py
@@ -13,7 +13,7 @@
 from lab.fleet import Fleet
 from lab.shapes import EXAMPLES, Shape
 from lovagestage.decisions.plain_calls import find_route
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import (
     RouteSpec,
     ServiceDocument,
@@ -299,7 +299,7 @@
 def test_two_services_may_have_one_prefix(fleet):
     # A second service publishes the same prefix with a pool that no upstream
     # serves. Each caller gets the route of the service that has its key.
-    document = parse_file(EXAMPLES / "vault.jsonc", ServiceDocument)
+    document = parse_json_file(EXAMPLES / "vault.jsonc", ServiceDocument)
     spec = msgspec.structs.replace(
         document.workspaces["audit"], key_digests=[get_key_digest("key-other")]
     )
@@ -325,7 +325,7 @@
 
 def test_longest_prefix_wins():
     document = msgspec.structs.replace(
-        parse_file(EXAMPLES / "vault.jsonc", ServiceDocument),
+        parse_json_file(EXAMPLES / "vault.jsonc", ServiceDocument),
         routes=[RouteSpec("/a/", "one"), RouteSpec("/a/b/", "two")],
     )
     pools = [
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -24,7 +24,7 @@
 from lovagestage.decisions.exposure import Assignment
 from lovagestage.entry.quality import MAX_QUEUED, QualityService
 from lovagestage.execution.request import Request
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import (
     RolloutSpec,
     ServiceDocument,
@@ -34,7 +34,7 @@
 from lovagestage.state.rollouts import RolloutKey
 from lovagestage.types import parse_model_version
 
-DOCUMENT = parse_file(EXAMPLES / "vault.jsonc", ServiceDocument)
+DOCUMENT = parse_json_file(EXAMPLES / "vault.jsonc", ServiceDocument)
 SPEC = RolloutSpec("large@1", "large@2", [1.0])
 TRIAL = Trial(RolloutKey("vault", "large", 1), Assignment(True, 0.5))
 
--- a/tests/test_quality_fleet.py
+++ b/tests/test_quality_fleet.py
@@ -15,10 +15,10 @@
 
 from lab.fleet import Fleet
 from lab.shapes import EXAMPLES, SHAPES
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import RolloutSpec, ServiceDocument
 
-DOCUMENT = parse_file(EXAMPLES / "vault.jsonc", ServiceDocument)
+DOCUMENT = parse_json_file(EXAMPLES / "vault.jsonc", ServiceDocument)
 NEW = "large@2"
 SPEC = RolloutSpec(
     "large@1",
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -14,7 +14,7 @@
 from lab.fleet import Fleet
 from lab.shapes import EXAMPLES, SHAPES
 from lovagestage.cli import main
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import (
     RolloutSpec,
     RolloutState,
@@ -23,7 +23,7 @@
 from lovagestage.state.records import RolloutProgress, decode_record
 
 SHAPE = dataclasses.replace(SHAPES["thin"], models="small@1,large@1")
-DOCUMENT = parse_file(EXAMPLES / "vault.jsonc", ServiceDocument)
+DOCUMENT = parse_json_file(EXAMPLES / "vault.jsonc", ServiceDocument)
 SPEC = RolloutSpec("large@1", "large@2", [0.2, 1.0], step_min_s=1.0)
 TIMEOUT_S = 25.0
 
@@ -93,7 +93,9 @@
     path = fleet.make_operator_settings()
 
     async def read() -> str:
-        async with open_client(parse_file(path, OperatorSettings)) as client:
+        async with open_client(
+            parse_json_file(path, OperatorSettings)
+        ) as client:
             return client.control.folded.leases.by_id["rollout"].holder
 
     return asyncio.run(read())
--- a/tests/test_sessions_fleet.py
+++ b/tests/test_sessions_fleet.py
@@ -16,7 +16,7 @@
 from lab.calls import call
 from lab.fleet import Fleet
 from lab.shapes import EXAMPLES, SHAPES
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import OnWithdraw, ServiceDocument, VersionState
 
 IN_FORCE_S = 2.0
@@ -32,7 +32,7 @@
     def __init__(self, fleet: Fleet) -> None:
         path = pathlib.Path(EXAMPLES / "vault.jsonc")
         self.fleet = fleet
-        self.document = parse_file(path, ServiceDocument)
+        self.document = parse_json_file(path, ServiceDocument)
         self.revision = 1
 
     def publish(self, states, on_withdraw=OnWithdraw.END) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lovagestage.exceptions import EXIT_USAGE, SettingsError
-from lovagestage.settings import Settings, parse_text
+from lovagestage.settings import Settings, parse_json_text
 
 VALID_SETTINGS = """{
   // A comment with a "quoted" word.
@@ -25,7 +25,7 @@
 
 
 def test_comments_are_allowed_and_strings_kept():
-    settings = parse_text(VALID_SETTINGS, "a.json", Settings)
+    settings = parse_json_text(VALID_SETTINGS, "a.json", Settings)
     assert settings.platform.vms_url == "http://x//y"
     assert settings.entry.http_port == 8080
 
@@ -45,7 +45,7 @@
     old, new, line, key, expected
 ):
     with pytest.raises(SettingsError) as caught:
-        parse_text(VALID_SETTINGS.replace(old, new), "a.json", Settings)
+        parse_json_text(VALID_SETTINGS.replace(old, new), "a.json", Settings)
     error = caught.value
     assert (error.file, error.line, error.key) == ("a.json", line, key)
     assert expected in error.message
