--- a/lab/experiments/failover.py
+++ b/lab/experiments/failover.py
@@ -39,7 +39,7 @@
 from lab.traffic import Traffic
 from lovagestage.adapters.http_log import HttpLog
 from lovagestage.decisions.billing import BILLING_STREAM, Bill, decode_batch
-from lovagestage.operations.edits import make_withdrawal
+from lovagestage.operations.edits import make_withdrawal_edit
 from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 from lovagestage.types import Offset
@@ -207,7 +207,7 @@
     def _withdraw(self) -> None:
         path = EXAMPLES / f"{SHAPE.service}.jsonc"
         document = parse_json_file(path, ServiceDocument)
-        withdrawn = make_withdrawal(WITHDRAWN)(document)
+        withdrawn = make_withdrawal_edit(WITHDRAWN)(document)
         try:
             self._fleet.publish_document(withdrawn, 1)
         except urllib.error.HTTPError as error:
--- a/src/lovagestage/api/caller_api.py
+++ b/src/lovagestage/api/caller_api.py
@@ -24,7 +24,7 @@
 )
 from lovagestage.settings import EntrySettings
 from lovagestage.state.document import get_open_versions
-from lovagestage.telemetry.measurement import HEALTH_PATH, Meter
+from lovagestage.telemetry.measurement import HEALTH_PATH, RequestMeter
 
 MAX_START_S = 10.0
 """Time in seconds after the start from which an entry with a configuration is
@@ -56,7 +56,7 @@
         chat: ChatApi,
         plain: PlainApi,
         refusals: KeyedRefusals,
-        meter: Meter,
+        meter: RequestMeter,
     ) -> None:
         self._settings = settings
         self._control = control
--- a/src/lovagestage/api/chat_answers.py
+++ b/src/lovagestage/api/chat_answers.py
@@ -96,7 +96,7 @@
             # that a request refused before it gets an error status.
             first_chunk = await anext(chunks, b"")
             measurement = get_measurement(request)
-            measurement.add_first_chunk()
+            measurement.record_first_chunk()
             response = web.StreamResponse(
                 headers=_make_headers(admitted, result)
                 | self._make_session_headers(caller, admitted, result)
@@ -127,7 +127,7 @@
             await response.write(stream.add(chunk))
         await response.write(await stream.end(time.time()))
     except RequestRefusedError as error:
-        measurement.add_refusal(error.code)
+        measurement.record_refusal(error.code)
         body = msgspec.json.encode(make_error_body(error))
         await response.write(b"data: " + body + b"\n\n")
     except (ConnectionError, asyncio.CancelledError):
--- a/src/lovagestage/api/chat_api.py
+++ b/src/lovagestage/api/chat_api.py
@@ -92,7 +92,7 @@
                     chunks, caller, admitted, result
                 )
         finally:
-            get_measurement(request).add_attempts(result.attempts)
+            get_measurement(request).record_attempts(result.attempts)
 
     def _run(
         self, request: web.Request, admitted: Request, result: Result
--- a/src/lovagestage/api/entry.py
+++ b/src/lovagestage/api/entry.py
@@ -37,7 +37,7 @@
     Message,
 )
 from lovagestage.settings import EntrySettings, Settings
-from lovagestage.telemetry.measurement import Meter
+from lovagestage.telemetry.measurement import RequestMeter
 from lovagestage.telemetry.metrics import Metrics
 from lovagestage.types import VmId
 
@@ -117,7 +117,7 @@
                 self._dispatcher, keyed, self._role_settings.default_deadline_s
             ),
             KeyedRefusals(self._keys),
-            Meter(self._metrics),
+            RequestMeter(self._metrics),
         )
 
     def _make_chat_api(self, keyed: KeyedRuns) -> ChatApi:
--- a/src/lovagestage/api/plain_api.py
+++ b/src/lovagestage/api/plain_api.py
@@ -78,7 +78,7 @@
         try:
             data = b"".join([chunk async for chunk in chunks])
         finally:
-            get_measurement(request).add_attempts(result.attempts)
+            get_measurement(request).record_attempts(result.attempts)
         return _make_response(_decode(data), admitted, result)
 
     def _admit(
--- a/src/lovagestage/operations/commands.py
+++ b/src/lovagestage/operations/commands.py
@@ -20,7 +20,7 @@
 )
 from lovagestage.operations.edits import (
     make_rollout_edit,
-    make_withdrawal,
+    make_withdrawal_edit,
     resolve_service,
 )
 from lovagestage.operations.operator_client import (
@@ -173,7 +173,9 @@
 
     async def run_command(client: OperatorClient) -> int:
         service = resolve_service(client, options.service, options.version)
-        result = await client.edit(service, make_withdrawal(options.version))
+        result = await client.edit(
+            service, make_withdrawal_edit(options.version)
+        )
         return print_result(result, options.json)
 
     return run_with_client(options, run_command)
--- a/src/lovagestage/operations/edits.py
+++ b/src/lovagestage/operations/edits.py
@@ -18,7 +18,7 @@
 )
 
 
-def make_withdrawal(version: str) -> Edit:
+def make_withdrawal_edit(version: str) -> Edit:
     """Makes an edit that withdraws a version.
 
     The edit also removes each roll-out that has the version as its old or new
--- a/src/lovagestage/operations/usage.py
+++ b/src/lovagestage/operations/usage.py
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Filter:
+class BillFilter:
     """Selects the bills that are summed.
 
     Attributes:
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass
-class Totals:
+class UsageTotals:
     """Result of reading the billing stream.
 
     Attributes:
@@ -99,7 +99,7 @@
     """
 
     def __init__(
-        self, bill_filter: Filter, passes: int, totals: Totals
+        self, bill_filter: BillFilter, passes: int, totals: UsageTotals
     ) -> None:
         self._bill_filter = bill_filter
         self._passes = passes
@@ -118,7 +118,7 @@
         self._finished = set()
         self._cancelled = {}
 
-    def add(self, data: bytes) -> None:
+    def add_batch(self, data: bytes) -> None:
         """Adds the bills of a record that belong to the current share.
 
         Args:
@@ -215,7 +215,7 @@
 
 def _run_usage(options: argparse.Namespace) -> int:
     url = options.log or _get_log_url(options.settings)
-    bill_filter = Filter(options.workspace, options.day)
+    bill_filter = BillFilter(options.workspace, options.day)
     totals = asyncio.run(_sum_stream(url, bill_filter, max(options.passes, 1)))
     print(format_json(totals) if options.json else format_table(totals))
     return EXIT_INVALID if totals.undecodable else 0
@@ -227,12 +227,14 @@
     return read_settings(path).platform.log_url
 
 
-async def _sum_stream(url: str, bill_filter: Filter, passes: int) -> Totals:
+async def _sum_stream(
+    url: str, bill_filter: BillFilter, passes: int
+) -> UsageTotals:
     import aiohttp
 
     from lovagestage.adapters.http_log import HttpLog
 
-    totals = Totals()
+    totals = UsageTotals()
     counter = UsageCounter(bill_filter, passes, totals)
     async with aiohttp.ClientSession() as session:
         log = HttpLog(session, url)
@@ -244,7 +246,7 @@
 
 
 async def _read_pass(
-    log: HttpLog, counter: UsageCounter, totals: Totals, end: Offset | None
+    log: HttpLog, counter: UsageCounter, totals: UsageTotals, end: Offset | None
 ) -> Offset:
     offset = Offset(0)
     while True:
@@ -257,13 +259,13 @@
         end = page.next_offset if end is None else end
         for offset, data in page.records:
             if offset < end:
-                counter.add(data)
+                counter.add_batch(data)
         offset = Offset(offset + 1) if page.records else end
         if offset >= end:
             return end
 
 
-def format_json(totals: Totals) -> str:
+def format_json(totals: UsageTotals) -> str:
     """Formats the totals as one JSON object."""
     rows = [
         dataclasses.asdict(key) | dataclasses.asdict(total)
@@ -279,7 +281,7 @@
     )
 
 
-def format_table(totals: Totals) -> str:
+def format_table(totals: UsageTotals) -> str:
     """Formats the totals as a table for a terminal."""
     layout = "{:<10} {:<24} {:<16} {:>9} {:>12} {:>12}"
     lines = [
--- a/src/lovagestage/telemetry/measurement.py
+++ b/src/lovagestage/telemetry/measurement.py
@@ -25,35 +25,35 @@
         self._metrics = metrics
         self._started_at_s = time.monotonic()
         self._is_refused = False
-        metrics.count(Metric.REQUESTS)
+        metrics.add_to_counter(Metric.REQUESTS)
 
-    def add_first_chunk(self) -> None:
+    def record_first_chunk(self) -> None:
         """Records the time to the first chunk of a streamed answer."""
-        self._metrics.time(Metric.FIRST_CHUNK, self._get_elapsed_ms())
+        self._metrics.record_timing(Metric.FIRST_CHUNK, self._get_elapsed_ms())
 
-    def add_attempts(self, attempts: int) -> None:
+    def record_attempts(self, attempts: int) -> None:
         """Records the attempts beyond the first as retries.
 
         Args:
             attempts: Number of all attempts of the request.
         """
         if attempts > 1:
-            self._metrics.count(Metric.RETRIES, amount=attempts - 1)
+            self._metrics.add_to_counter(Metric.RETRIES, amount=attempts - 1)
 
-    def add_refusal(self, code: str) -> None:
+    def record_refusal(self, code: str) -> None:
         """Records that the request was refused or its stream ended in an error.
 
         Args:
             code: Code of the error.
         """
         self._is_refused = True
-        self._metrics.count(Metric.REFUSALS, code)
+        self._metrics.add_to_counter(Metric.REFUSALS, code)
 
     def end(self) -> None:
         """Records a complete answer, unless an error was recorded before."""
         if not self._is_refused:
-            self._metrics.count(Metric.ANSWERS)
-            self._metrics.time(Metric.TOTAL, self._get_elapsed_ms())
+            self._metrics.add_to_counter(Metric.ANSWERS)
+            self._metrics.record_timing(Metric.TOTAL, self._get_elapsed_ms())
 
     def _get_elapsed_ms(self) -> float:
         return (time.monotonic() - self._started_at_s) * 1000
@@ -63,11 +63,12 @@
 
 
 def get_measurement(request: web.Request) -> Measurement:
-    """Returns the measurement that `Meter.measure` attached to a request."""
+    """Returns the measurement that `RequestMeter.measure` attached to a
+    request."""
     return request[_MEASUREMENT]
 
 
-class Meter:
+class RequestMeter:
     """Measures the requests of an HTTP application.
 
     Args:
@@ -79,7 +80,7 @@
 
     def set_open_requests(self, count: int) -> None:
         """Sets the gauge of the requests that are currently open."""
-        self._metrics.set(Metric.OPEN_REQUESTS, count)
+        self._metrics.set_gauge(Metric.OPEN_REQUESTS, count)
 
     @web.middleware
     async def measure(
@@ -93,10 +94,10 @@
         try:
             response = await handler(request)
         except RequestRefusedError as error:
-            measurement.add_refusal(error.code)
+            measurement.record_refusal(error.code)
             raise
         except web.HTTPRequestEntityTooLarge:
-            measurement.add_refusal(BodyTooLargeError.code)
+            measurement.record_refusal(BodyTooLargeError.code)
             raise
         measurement.end()
         return response
--- a/src/lovagestage/telemetry/metrics.py
+++ b/src/lovagestage/telemetry/metrics.py
@@ -124,7 +124,9 @@
         self._gauges: dict[str, float] = {}
         timers.subscribe(SEND_INTERVAL_S, self.send)
 
-    def count(self, metric: Metric, suffix: str = "", amount: int = 1) -> None:
+    def add_to_counter(
+        self, metric: Metric, suffix: str = "", amount: int = 1
+    ) -> None:
         """Adds to a counter.
 
         Args:
@@ -135,13 +137,13 @@
         name = f"{metric.value}.{suffix}" if suffix else metric.value
         self._counts[name] += amount
 
-    def time(self, metric: Metric, value_ms: float) -> None:
+    def record_timing(self, metric: Metric, value_ms: float) -> None:
         """Adds a timing in milliseconds; drops it if too many were added."""
         values = self._timings.setdefault(metric.value, [])
         if len(values) < MAX_TIMINGS_PER_SEND:
             values.append(value_ms)
 
-    def set(self, metric: Metric, value: float) -> None:
+    def set_gauge(self, metric: Metric, value: float) -> None:
         """Sets the value of a gauge, which is sent in each interval."""
         self._gauges[metric.value] = value
 
--- a/src/lovagestage/wiring.py
+++ b/src/lovagestage/wiring.py
@@ -190,8 +190,8 @@
 def _record_control_metrics(control: ControlReader, metrics: Metrics) -> None:
     def set_gauges() -> None:
         state = control.folded
-        metrics.set(Metric.CONTROL_OFFSET, state.next_offset)
-        metrics.set(Metric.RECORDS_REFUSED, state.undecodable)
+        metrics.set_gauge(Metric.CONTROL_OFFSET, state.next_offset)
+        metrics.set_gauge(Metric.RECORDS_REFUSED, state.undecodable)
 
     control.subscribe(set_gauges)
 
--- a/tests/test_billing.py
+++ b/tests/test_billing.py
@@ -167,10 +167,10 @@
         self.check_log()
 
     def check_log(self):
-        totals = usage.Totals()
-        counter = usage.UsageCounter(usage.Filter(), 1, totals)
+        totals = usage.UsageTotals()
+        counter = usage.UsageCounter(usage.BillFilter(), 1, totals)
         for record in self.log:
-            counter.add(record)
+            counter.add_batch(record)
         in_log = {
             bill.request_id
             for record in self.log
@@ -322,8 +322,8 @@
     ledger = make_ledger()
     for bill in (*bills, *bills[:4], make_bill("x", workspace="trial")):
         ledger.add(bill)
-    totals = usage.Totals()
-    counter = usage.UsageCounter(usage.Filter("audit"), passes, totals)
+    totals = usage.UsageTotals()
+    counter = usage.UsageCounter(usage.BillFilter("audit"), passes, totals)
     records = [b"\x07junk"]
     while batch := ledger.make_batch():
         records.append(billing.encode_batch(batch))
@@ -331,7 +331,7 @@
     for share in range(passes):
         counter.start_pass(share)
         for record in records:
-            counter.add(record)
+            counter.add_batch(record)
     assert totals.sums == {
         usage.UsageKey(day, "audit", "large@1"): usage.UsageSum(5, 15, 50)
         for day in ("1970-01-01", "1970-01-02")
@@ -340,12 +340,14 @@
 
 
 def test_usage_of_one_day():
-    totals = usage.Totals()
-    counter = usage.UsageCounter(usage.Filter(None, "1970-01-02"), 1, totals)
+    totals = usage.UsageTotals()
+    counter = usage.UsageCounter(
+        usage.BillFilter(None, "1970-01-02"), 1, totals
+    )
     ledger = make_ledger()
     for at_s in (0, 24 * 3600, 48 * 3600):
         ledger.add(make_bill(f"r{at_s}", at_s))
-    counter.add(billing.encode_batch(ledger.make_batch()))
+    counter.add_batch(billing.encode_batch(ledger.make_batch()))
     assert [k.day for k in totals.sums] == ["1970-01-02"]
     assert dataclasses.asdict(next(iter(totals.sums.values())))["requests"] == 1
 
@@ -361,8 +363,8 @@
     ledger = make_ledger()
     for bill in [cancelled, complete, cancelled][::order]:
         ledger.add(bill)
-    totals = usage.Totals()
-    counter = usage.UsageCounter(usage.Filter(None, day), 1, totals)
-    counter.add(billing.encode_batch(ledger.make_batch()))
+    totals = usage.UsageTotals()
+    counter = usage.UsageCounter(usage.BillFilter(None, day), 1, totals)
+    counter.add_batch(billing.encode_batch(ledger.make_batch()))
     found = {k.day: s.completion_tokens for k, s in totals.sums.items()}
     assert found == ({} if day == "1970-01-01" else {"1970-01-02": 30})
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -112,7 +112,7 @@
     metrics = Metrics(StatsdSettings("statsd.invalid"), TimerService())
     with monkeypatch.context() as patch:
         patch.setattr(socket, "getaddrinfo", raise_error)
-        metrics.count(Metric.REQUESTS)
+        metrics.add_to_counter(Metric.REQUESTS)
         metrics.send()
         metrics._resolver.join()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
@@ -155,9 +155,9 @@
         port = server.getsockname()[1]
         metrics = Metrics(StatsdSettings(port=port, prefix="p"), TimerService())
         for _ in range(500):
-            metrics.count(Metric.REFUSALS, "no_capacity")
-            metrics.time(Metric.TOTAL, 2.5)
-        metrics.set(Metric.OPEN_REQUESTS, 7)
+            metrics.add_to_counter(Metric.REFUSALS, "no_capacity")
+            metrics.record_timing(Metric.TOTAL, 2.5)
+        metrics.set_gauge(Metric.OPEN_REQUESTS, 7)
         lines = send_and_receive(metrics, server)
         second_lines = send_and_receive(metrics, server)
     assert "p.refusals.no_capacity:500|c" in lines
--- a/tests/test_paused_sidecar.py
+++ b/tests/test_paused_sidecar.py
@@ -11,7 +11,7 @@
 from lab.demo import make_client
 from lab.fleet import Fleet
 from lab.shapes import EXAMPLES, SHAPES
-from lovagestage.operations.edits import make_withdrawal
+from lovagestage.operations.edits import make_withdrawal_edit
 from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 from tests.test_thin_path import MESSAGES
@@ -24,7 +24,7 @@
     # is withdrawn during the pause. When they resume, they handle the requests
     # before they have read of the withdrawal. The engines must receive none
     # of them, however long the pause was.
-    withdrawn = make_withdrawal("large@2")(DOCUMENT)
+    withdrawn = make_withdrawal_edit("large@2")(DOCUMENT)
     with Fleet(SHAPES["thin"]) as fleet:
         for index in (0, 1):
             fleet.suspend(f"sidecar-{index}")
