--- a/lab/answers.py
+++ b/lab/answers.py
@@ -20,7 +20,7 @@
 _LCG_MASK = (1 << 64) - 1
 
 
-def prompt_text(messages: list[dict[str, Any]]) -> str:
+def join_messages(messages: list[dict[str, Any]]) -> str:
     """Joins all messages of a conversation into one prompt."""
     return "".join(
         f"{message.get('role', '')}: {message.get('content', '')}\n"
@@ -39,7 +39,7 @@
     return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
 
-def answer_tokens(prompt: str, model: str, count: int) -> list[str]:
+def generate_answer_tokens(prompt: str, model: str, count: int) -> list[str]:
     """Generates the deterministic answer of a model version to a prompt.
 
     Args:
--- a/lab/audit.py
+++ b/lab/audit.py
@@ -5,7 +5,7 @@
 import dataclasses
 from collections import Counter, defaultdict
 
-from lab.fault_driver import Applied
+from lab.fault_driver import InjectedFault
 from lab.fault_plan import FaultKind
 from lab.recorded_runs import RecordedRun
 from lab.traffic import Kind, Send
@@ -41,7 +41,7 @@
     sends: list[Send]
     runs: list[RecordedRun]
     bills: list[Bill]
-    applied: list[Applied]
+    applied: list[InjectedFault]
     withdrawn: str
     withdrawn_s: float
 
@@ -115,7 +115,7 @@
 
 
 def _check_answer(
-    findings: Findings, send: Send, applied: list[Applied]
+    findings: Findings, send: Send, applied: list[InjectedFault]
 ) -> None:
     if send.is_wrong:
         findings.wrong_bytes.append(send.tag)
@@ -146,7 +146,7 @@
 
 
 def _has_overlapping_fault(
-    applied: list[Applied],
+    applied: list[InjectedFault],
     send: Send,
     kinds: tuple[FaultKind, ...],
     name: str = "",
@@ -195,8 +195,8 @@
             findings.doubled_bills.append(tag)
 
 
-def get_gaps_s(
-    served: list[tuple[float, float, bool]], applied: list[Applied]
+def get_interruptions_s(
+    served: list[tuple[float, float, bool]], applied: list[InjectedFault]
 ) -> tuple[list[float], list[float]]:
     """Measures the service interruption after each killed process, in seconds.
 
@@ -226,17 +226,17 @@
         ]
         if not nearby_s:
             continue
-        gap_s = max(0.0, max(nearby_s) - median_s)
+        interruption_s = max(0.0, max(nearby_s) - median_s)
         is_concurrent = any(
             other is not kill
             and other.fault.kind not in _LOG_FAULTS
             and other.overlaps(kill.began_s - 1.0, kill.began_s + 2.0)
             for other in applied
         )
-        (concurrent if is_concurrent else alone).append(gap_s)
+        (concurrent if is_concurrent else alone).append(interruption_s)
     return sorted(alone), sorted(concurrent)
 
 
-def is_plain(kind: Kind) -> bool:
+def counts_for_interruptions(kind: Kind) -> bool:
     """Returns whether a request's time counts for the service interruption."""
     return kind is Kind.PLAIN
--- a/lab/caller.py
+++ b/lab/caller.py
@@ -17,13 +17,13 @@
         status: HTTP status.
         headers: Header values by lower-case name.
         body: The received part of the body.
-        whole: Whether the body was received completely.
+        is_complete: Whether the body was received completely.
     """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
 def make_request(
--- a/lab/chat.py
+++ b/lab/chat.py
@@ -11,10 +11,10 @@
 
 from lab.answers import (
     EventEncoder,
-    answer_tokens,
     count_tokens,
     garbage_tokens,
-    prompt_text,
+    generate_answer_tokens,
+    join_messages,
 )
 from lab.batch import Sequence
 from lab.server import hang
@@ -49,12 +49,12 @@
     ):
         raise WrongRequestError("messages")
     model: str = body["model"]
-    prompt = prompt_text(messages)
+    prompt = join_messages(messages)
     count, finish_reason = _get_token_count(body)
     if garbage:
         tokens = garbage_tokens(count)
     else:
-        tokens = answer_tokens(prompt, model, count)
+        tokens = generate_answer_tokens(prompt, model, count)
     request_id = headers.get("X-Request-Id") or uuid.uuid4().hex
     options = body.get("stream_options") or {}
     encoder = EventEncoder(
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -12,9 +12,9 @@
 
 from lab.clients import CommandError
 from lab.clients import make_client as make_client
+from lab.demo_environment import DemoEnvironment, Row
 from lab.demo_operations import OPERATION_ROWS
 from lab.demo_requests import REQUEST_ROWS
-from lab.demo_stage import DemoEnvironment, Row
 from lab.fleet import Fleet
 from lab.shapes import SHAPES
 
--- a/lab/demo_operations.py
+++ b/lab/demo_operations.py
@@ -9,7 +9,13 @@
 import openai
 
 from lab.clients import edit_document, run_command
-from lab.demo_stage import DemoEnvironment, Row, ask, read_stream, wait_until
+from lab.demo_environment import (
+    DemoEnvironment,
+    Row,
+    ask,
+    read_stream,
+    wait_until,
+)
 from lovagestage.state.document import ClassSpec, ServiceDocument, VersionState
 
 APPLY_TIMEOUT_S = 8.0
--- a/lab/demo_requests.py
+++ b/lab/demo_requests.py
@@ -8,7 +8,7 @@
 import openai
 
 from lab.clients import call_plain, make_client
-from lab.demo_stage import MESSAGE, DemoEnvironment, Row, ask
+from lab.demo_environment import MESSAGE, DemoEnvironment, Row, ask
 from lab.fleet import Child
 
 
--- a/lab/experiments/capacity.py
+++ b/lab/experiments/capacity.py
@@ -337,7 +337,7 @@
         relay = _Relay(int(bus.bind.rpartition(":")[2]))
         port = await relay.start()
         relays.append(relay)
-        await asyncio.to_thread(_tell_vm, fleet, number, port)
+        await asyncio.to_thread(_set_vm, fleet, number, port)
     await asyncio.sleep(SETTLE_S)
     figures = await _read_figures(fleet, relays)
     for relay in relays:
@@ -363,9 +363,9 @@
     )
 
 
-def _tell_vm(fleet: Fleet, number: int, port: int) -> None:
+def _set_vm(fleet: Fleet, number: int, port: int) -> None:
     name = f"played-{number}"
-    fleet.tell_vm(
+    fleet.set_vm(
         name,
         {
             "vm": name,
--- a/lab/experiments/failover.py
+++ b/lab/experiments/failover.py
@@ -25,8 +25,8 @@
     Findings,
     audit,
     count_codes,
-    get_gaps_s,
-    is_plain,
+    counts_for_interruptions,
+    get_interruptions_s,
 )
 from lab.experiments import Result
 from lab.fault_driver import FaultDriver
@@ -149,9 +149,9 @@
     served = [
         (s.started_s, s.took_s, s.is_answered)
         for s in traffic.served
-        if is_plain(s.kind)
+        if counts_for_interruptions(s.kind)
     ]
-    alone, together = get_gaps_s(served, driver.applied)
+    alone, together = get_interruptions_s(served, driver.applied)
     gaps_s = sorted(alone + together)
     counts = {k: len(v) for k, v in dataclasses.asdict(findings).items()}
     forbidden = {
--- a/lab/fault_driver.py
+++ b/lab/fault_driver.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Applied:
+class InjectedFault:
     """A fault that was injected.
 
     Attributes:
@@ -50,7 +50,7 @@
     """
 
     def __init__(self, fleet: Fleet, relays: dict[str, Relay]) -> None:
-        self.applied: list[Applied] = []
+        self.applied: list[InjectedFault] = []
         self.failures: list[str] = []
         self._fleet = fleet
         self._relays = relays
@@ -88,7 +88,7 @@
             self._execute(fault)
         except Exception as error:  # Reported as a failure of the experiment.
             self.failures.append(f"{fault.kind.value} {fault.name}: {error!r}")
-        self.applied.append(Applied(fault, began_s, time.time()))
+        self.applied.append(InjectedFault(fault, began_s, time.time()))
         self._affected.discard(fault.name)
 
     def _execute(self, fault: Fault) -> None:
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -407,10 +407,10 @@
         process = self._spawn(name, command, False)
         self.children[name] = Child(name, process, bus=bus)
         entry = {"role": role, "zone": zone, "state": "live", "bus": bus}
-        self.tell_vm(name, {"vm": name, **entry})
+        self.set_vm(name, {"vm": name, **entry})
         return self.children[name]
 
-    def tell_vm(self, name: str, entry: dict[str, Any]) -> None:
+    def set_vm(self, name: str, entry: dict[str, Any]) -> None:
         """Sets the current entry of one VM in the VM list."""
         call(
             "PUT",
@@ -423,7 +423,7 @@
         index = int(name.rpartition("-")[2])
         zone = self.shape.zones[index % len(self.shape.zones)]
         entry = {"vm": name, "role": "sidecar", "zone": zone, "bus": bus}
-        self.tell_vm(name, {**entry, "state": "live"})
+        self.set_vm(name, {**entry, "state": "live"})
 
     def _deregister_vm(self, child: Child) -> None:
         if child.bus:
--- a/lab/history.py
+++ b/lab/history.py
@@ -117,7 +117,7 @@
         name = next(iter(get_runs(self._fleet) - self._initial_runs))
         return name.partition("/")[0]
 
-    def find_faults(self) -> list[str]:
+    def find_violations(self) -> list[str]:
         """Returns descriptions of all violations; empty if there are none.
 
         All requests of one history must be of a class that may not be
--- a/lab/metadata_store.py
+++ b/lab/metadata_store.py
@@ -85,7 +85,7 @@
         """Returns the records from `offset` up to, but not including, `end`."""
         return self._records[offset - self.first : end - self.first]
 
-    def forget(self) -> None:
+    def delete_records(self) -> None:
         """Deletes all records, but keeps the newest value of each key."""
         self.first = self.end
         self._records.clear()
@@ -124,7 +124,7 @@
         """Returns a topic, which is created on its first use."""
         return self.topics.setdefault(name, Topic(name))
 
-    def put(self, topic: str, key: str, value: bytes) -> int:
+    def append_keyed(self, topic: str, key: str, value: bytes) -> int:
         """Appends a keyed record, as operators and upstreams do.
 
         Returns:
--- a/lab/soak/checks.py
+++ b/lab/soak/checks.py
@@ -47,7 +47,7 @@
 
 def _is_served(request: Sent) -> bool:
     reply = request.reply
-    return reply is not None and reply.status == 200 and reply.whole
+    return reply is not None and reply.status == 200 and reply.is_complete
 
 
 def _check(world: World, request: Sent) -> Iterator[str]:
@@ -90,7 +90,7 @@
     ids = [int(line[4:]) for line in lines if line.startswith("id: ")]
     if ids != list(range(1, len(ids) + 1)):
         yield f"events out of order: {request.id} {ids}"
-    if reply.whole and len(ids) != EVENTS:
+    if reply.is_complete and len(ids) != EVENTS:
         yield f"looks complete: {request.id} {ids}"
 
 
--- a/lab/soak/troubles.py
+++ b/lab/soak/troubles.py
@@ -52,7 +52,7 @@
     """The store drops its records but for the newest of each key."""
     for topic in list(world.store.topics.values()):
         if topic.is_keyed:
-            topic.forget()
+            topic.delete_records()
 
 
 async def spoil_link(world: World) -> None:
@@ -76,7 +76,7 @@
         await world.workers[name].stop()
         world.links[name].stop()
         await asyncio.sleep(world.rng.uniform(0.1, 1.0))
-        world.store.put("keyed.servers", name, b"")
+        world.store.append_keyed("keyed.servers", name, b"")
     await world.add_worker()
 
 
@@ -90,7 +90,7 @@
     if world.rng.random() < 0.7:
         world.put_entry(name, "draining")
     else:
-        world.store.put("keyed.servers", name, b"")
+        world.store.append_keyed("keyed.servers", name, b"")
     await asyncio.sleep(1.0)
     await world.add_worker()
 
--- a/lab/soak/world.py
+++ b/lab/soak/world.py
@@ -241,7 +241,7 @@
             "Tenants": [{"Name": "clinic", "ApiKeys": valid}],
         }
         data = json.dumps(configuration).encode()
-        self.store.put("keyed.op", "config", data)
+        self.store.append_keyed("keyed.op", "config", data)
 
     async def add_worker(self) -> None:
         """Starts a worker behind a link of its own and registers it."""
@@ -267,7 +267,7 @@
             "Sequence": 1,
         }
         data = json.dumps(entry).encode()
-        self.store.put("keyed.servers", name, data)
+        self.store.append_keyed("keyed.servers", name, data)
 
     def get_live_workers(self) -> list[str]:
         """Workers that neither left nor crashed."""
--- a/lab/stages.py
+++ b/lab/stages.py
@@ -40,7 +40,7 @@
     requests: int = 0
 
 
-def collect(lines: Iterable[LogLine]) -> dict[str, RouteTimes]:
+def collect_times(lines: Iterable[LogLine]) -> dict[str, RouteTimes]:
     """Collects times and counts of the requests in log lines, by route."""
     routes: dict[str, RouteTimes] = {}
     for line in lines:
@@ -101,7 +101,7 @@
         be read.
     """
     try:
-        routes = collect(read_logs(arguments.logs))
+        routes = collect_times(read_logs(arguments.logs))
     except LogFileError as error:
         print(error.message, file=sys.stderr)
         return 2
--- a/lab/traffic.py
+++ b/lab/traffic.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from lab.answers import answer_tokens, prompt_text
+from lab.answers import generate_answer_tokens, join_messages
 from lovagestage.decisions.sessions import HEADER_MOVED_FROM, HEADER_SESSION
 
 RETRY_TIMEOUT_S = 3.0
@@ -322,7 +322,7 @@
         except aiohttp.ClientError:
             send.is_cut = send.status != 0
         send.ended_s = time.time()
-        text = prompt_text(messages)
+        text = join_messages(messages)
         _check_answer(
             send, data, text, tokens, response_headers.get("Retry-After")
         )
@@ -352,7 +352,7 @@
         return
     if not data:
         return
-    expected = answer_tokens(prompt, send.version, tokens)
+    expected = generate_answer_tokens(prompt, send.version, tokens)
     if send.kind.is_stream:
         _check_stream(send, data, expected)
     elif not send.has_timed_out and not send.is_cut:
--- a/tests/gateway_stage.py
+++ b/tests/gateway_stage.py
@@ -102,7 +102,7 @@
 
     def put_configuration(self, **fields):
         data = json.dumps(make_configuration(**fields)).encode()
-        return self.store.put("keyed.op", "config", data)
+        return self.store.append_keyed("keyed.op", "config", data)
 
     async def add_worker(self, name, script=None, **fields):
         worker = Worker(name, script)
@@ -124,7 +124,7 @@
             **fields,
         }
         data = json.dumps(entry).encode()
-        return self.store.put("keyed.servers", name, data)
+        return self.store.append_keyed("keyed.servers", name, data)
 
     async def call(self, path, **fields):
         reader, writer = await self.connect()
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lab.audit import Evidence, audit, get_gaps_s
-from lab.fault_driver import Applied
+from lab.audit import Evidence, audit, get_interruptions_s
+from lab.fault_driver import InjectedFault
 from lab.fault_plan import Fault, FaultKind, make_plan
 from lab.recorded_runs import RecordedRun
 from lab.traffic import Kind, Send
@@ -31,12 +31,12 @@
     return Bill(request_id, "audit", "vault", "large@1", 11, 3, 6, outcome)
 
 
-def make_applied(kind, name):
-    return Applied(Fault(0.0, kind, name, 1.0), 9.0, 11.0)
+def make_injected_fault(kind, name):
+    return InjectedFault(Fault(0.0, kind, name, 1.0), 9.0, 11.0)
 
 
-KILL = make_applied(FaultKind.KILL, "entry-0")
-STOP = make_applied(FaultKind.REPLACE, "entry-0")
+KILL = make_injected_fault(FaultKind.KILL, "entry-0")
+STOP = make_injected_fault(FaultKind.REPLACE, "entry-0")
 
 
 @pytest.mark.parametrize(
@@ -86,9 +86,9 @@
 def test_gap_is_the_slowest_request_near_a_kill_less_the_median():
     served = [(8.0 + n / 10, 0.1, True) for n in range(30)]
     served[12] = (9.2, 0.9, True)
-    assert get_gaps_s(served, [KILL]) == ([0.8], [])
-    pause = make_applied(FaultKind.PAUSE, "engine-0")
-    assert get_gaps_s(served, [KILL, pause]) == ([], [0.8])
+    assert get_interruptions_s(served, [KILL]) == ([0.8], [])
+    pause = make_injected_fault(FaultKind.PAUSE, "engine-0")
+    assert get_interruptions_s(served, [KILL, pause]) == ([], [0.8])
 
 
 def test_plan_is_the_same_for_a_seed():
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -9,7 +9,7 @@
 
 from lab import demo
 from lab.clients import CommandError
-from lab.demo_stage import Row
+from lab.demo_environment import Row
 
 
 def fail(harness):
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -73,7 +73,7 @@
 
 
 def put_evacuation(stage, zone, body=b"{}"):
-    stage.store.put("keyed.op", f"evacuate/{zone}", body)
+    stage.store.append_keyed("keyed.op", f"evacuate/{zone}", body)
 
 
 async def send_calls(stage, count=12):
@@ -139,14 +139,14 @@
             await wait_evacuated(stage, "b", True)
             stage.store.faults.outage = "503"
             stage.put_configuration(version=2)
-            stage.store.get_topic("keyed.op").forget()
+            stage.store.get_topic("keyed.op").delete_records()
             stage.store.faults.outage = ""
             deployment = stage.gateway.deployment
             await stage.wait_until(lambda: deployment.configuration.version > 1)
             assert "b" in deployment.evacuations
             stage.store.faults.outage = "503"
             put_evacuation(stage, "b", b"")
-            stage.store.get_topic("keyed.op").forget()
+            stage.store.get_topic("keyed.op").delete_records()
             stage.store.faults.outage = ""
             await wait_evacuated(stage, "b", False)
 
--- a/tests/test_gateway_feeds.py
+++ b/tests/test_gateway_feeds.py
@@ -89,7 +89,7 @@
     # gateway refuses every caller until it has read the store, so it must
     # detect the store's recovery soon.
     async with run_store() as (store, client):
-        store.put(TOPIC, "config", b"x")
+        store.append_keyed(TOPIC, "config", b"x")
         store.faults.outage = "503"
         async with run_feed(client) as (_, listener):
             await asyncio.sleep(2.0)
@@ -125,7 +125,7 @@
     # not count as a freshness confirmation.
     async with run_store() as (store, client):
         for number in range(3):
-            store.put(TOPIC, "config", b"%d" % number)
+            store.append_keyed(TOPIC, "config", b"%d" % number)
         async with run_feed(client) as (_, listener):
             await wait_until(lambda: len(listener.proofs) >= 2)
             store.faults.stale_by = 2
@@ -142,7 +142,7 @@
             await wait_until(lambda: listener.proofs)
             before = len(store.calls)
             for number in range(20):
-                store.put(TOPIC, f"k{number}", b"x")
+                store.append_keyed(TOPIC, f"k{number}", b"x")
                 await asyncio.sleep(0.02)
             await wait_until(lambda: len(listener.records) == 20)
             assert len(store.calls) - before <= 4
@@ -170,8 +170,8 @@
 async def test_client_reads_all_pages_and_removals():
     async with run_store() as (store, client):
         for number in range(120):
-            store.put("keyed.status", f"k{number:03}", b"%d" % number)
-        store.put("keyed.status", "k000", b"")
+            store.append_keyed("keyed.status", f"k{number:03}", b"%d" % number)
+        store.append_keyed("keyed.status", "k000", b"")
         page = await client.read_newest("keyed.status", 1.0)
         assert (len(page.records), page.end) == (119, 121)
         tail = await client.read("keyed.status", 119, 0.0, 1.0)
@@ -184,8 +184,8 @@
 async def test_client_tells_where_a_shortened_topic_starts():
     async with run_store() as (store, client):
         for _ in range(4):
-            store.put("keyed.status", "k", b"x")
-        store.get_topic("keyed.status").forget()
+            store.append_keyed("keyed.status", "k", b"x")
+        store.get_topic("keyed.status").delete_records()
         with pytest.raises(StoreHistoryLostError) as raised:
             await client.read("keyed.status", 1, 0.0, 1.0)
         assert raised.value.first_offset == 4
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -196,8 +196,8 @@
             ("x3", json.dumps({**FIELDS, "Address": 5}).encode()),
             ("w1", b"[]"),
         ):
-            harness.store.put("keyed.servers", name, data)
-            harness.store.put("keyed.servers", name, data)
+            harness.store.append_keyed("keyed.servers", name, data)
+            harness.store.append_keyed("keyed.servers", name, data)
         rotation = harness.gateway.deployment.rotation
         await harness.wait_until(lambda: len(rotation.get_ready("pool")) == 2)
         replies = await asyncio.gather(
--- a/tests/test_gateway_lag.py
+++ b/tests/test_gateway_lag.py
@@ -45,7 +45,7 @@
             await wait_until(lambda: listener.proofs)
             with caplog.at_level(logging.WARNING):
                 store.faults.break_after_bytes = 5000
-                store.put(TOPIC, "config", b"x" * 9000)
+                store.append_keyed(TOPIC, "config", b"x" * 9000)
                 await wait_until(
                     lambda: len(get_lost_records(caplog)) >= 3, 6.0
                 )
--- a/tests/test_gateway_narrow_links.py
+++ b/tests/test_gateway_narrow_links.py
@@ -32,7 +32,7 @@
         async with run_feed(client) as (_, listener):
             await wait_until(lambda: listener.proofs)
             store.faults.bytes_per_s = LINK_BYTES_PER_S
-            store.put(TOPIC, "config", LARGE)
+            store.append_keyed(TOPIC, "config", LARGE)
             loop = asyncio.get_running_loop()
             put_s = loop.time()
             await wait_until(lambda: listener.records, 4 * TRANSFER_S)
@@ -43,7 +43,7 @@
     # Guards against a gateway that never becomes ready after a start, because
     # its first read is aborted each time.
     async with run_store() as (store, client):
-        store.put(TOPIC, "config", LARGE)
+        store.append_keyed(TOPIC, "config", LARGE)
         store.faults.bytes_per_s = LINK_BYTES_PER_S
         async with run_feed(client) as (feed, listener):
             # The first answer encodes the record as text, which is longer by a
@@ -65,7 +65,7 @@
             store.faults.outage = "503"
             await wait_until(lambda: feed.get_lost_age_s(0.0) is not None)
             store.faults.bytes_per_s = LINK_BYTES_PER_S
-            store.put(TOPIC, "config", LARGE)
+            store.append_keyed(TOPIC, "config", LARGE)
             store.faults.outage = ""
             await wait_until(lambda: client.is_receiving)
             await asyncio.sleep(TRANSFER_S / 2)
@@ -77,7 +77,7 @@
 async def test_answer_that_stops_midway_is_given_up_soon():
     # Guards against waiting indefinitely on a connection that stopped sending.
     async with run_store() as (store, client):
-        store.put(TOPIC, "config", LARGE)
+        store.append_keyed(TOPIC, "config", LARGE)
         store.faults.bytes_per_s = LINK_BYTES_PER_S
         read = asyncio.ensure_future(client.read(TOPIC, 0, 0.0, 0.3))
         await asyncio.sleep(0.5)
@@ -98,12 +98,12 @@
         async with run_feed(client) as (_, listener):
             await wait_until(lambda: listener.proofs)
             store.faults.break_after_bytes = 150
-            store.put(TOPIC, "config", b"first" * 20)
+            store.append_keyed(TOPIC, "config", b"first" * 20)
             await wait_until(lambda: listener.records)
             store.faults.break_after_bytes = 250
             store.faults.outage = "503"
-            store.put(TOPIC, "config", b"other" * 20)
-            store.put(TOPIC, "config", b"third" * 50)
+            store.append_keyed(TOPIC, "config", b"other" * 20)
+            store.append_keyed(TOPIC, "config", b"third" * 50)
             store.faults.outage = ""
             await wait_until(lambda: len(listener.records) >= 2)
             assert listener.records[1] == ("config", b"other" * 20)
@@ -118,7 +118,7 @@
         await wait_until(
             lambda: len(watcher.listener.proofs) > confirmation_count
         )
-        store.put(TOPIC, "config", LARGE)
+        store.append_keyed(TOPIC, "config", LARGE)
         await wait_until(lambda: follower.calls > calls, 0.4)
         await wait_until(lambda: follower.listener.records, 4 * TRANSFER_S)
 
@@ -146,12 +146,12 @@
     # Guards against accepting an old configuration as current while the store
     # answers from an outdated copy.
     async with run_store() as (store, client):
-        store.put(TOPIC, "config", b"old")
+        store.append_keyed(TOPIC, "config", b"old")
         relay = FakeRelay(1)
         async with run_feed(client, relay=relay) as (_, listener):
             await wait_until(lambda: listener.proofs)
             store.faults.stale_by = 1
-            store.put(TOPIC, "config", b"new")
+            store.append_keyed(TOPIC, "config", b"new")
             relay.end = 2
             await asyncio.sleep(0.2)
             confirmation_count = len(listener.proofs)
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -109,7 +109,7 @@
             "/stream/x", body=b"p", request_id="late"
         )
         assert late_reply.status == 200
-        assert late_reply.whole
+        assert late_reply.is_complete
         assert late_reply.headers["connection"] == "close"
         rest = await reader.readuntil(b"0\r\n\r\n")
         assert rest.count(b"id: ") == 18
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -148,7 +148,7 @@
 async def test_change_reaches_a_follower_at_once():
     async with run_gateways() as (store, _, follower):
         for number in range(3):
-            store.put(TOPIC, "config", b"%d" % number)
+            store.append_keyed(TOPIC, "config", b"%d" % number)
             await wait_until(
                 lambda value=b"%d" % number: (
                     ("config", value) in follower.listener.records
@@ -169,7 +169,7 @@
                 send(message, peer)
 
         watcher.relay._send = send_all_but_updates
-        store.put(TOPIC, "config", b"new")
+        store.append_keyed(TOPIC, "config", b"new")
         await wait_until(lambda: follower.listener.records, ROUND_S + 0.5)
 
 
@@ -179,7 +179,7 @@
     # becomes a watcher itself.
     async with run_gateways() as (store, watcher, follower):
         await watcher.stop()
-        store.put(TOPIC, "config", b"new")
+        store.append_keyed(TOPIC, "config", b"new")
         await wait_until(lambda: follower.listener.records, ROUND_S + 0.5)
         await wait_until(
             lambda: follower.relay.get_mode() is RelayMode.WATCHER, 2.0
@@ -206,7 +206,7 @@
     async with run_gateways() as (store, watcher, follower):
         watcher.client._address = "127.0.0.1:1"
         watcher.client.close()
-        store.put(TOPIC, "config", b"new")
+        store.append_keyed(TOPIC, "config", b"new")
         limit_s = (
             relay_module.WATCH_RATIO * BOUND_S + relay_module.SLACK_S + ROUND_S
         )
@@ -336,7 +336,7 @@
         await asyncio.sleep(0.5)
         connection = follower.client._connection
         assert connection is not None
-        store.put(TOPIC, "config", b"new")
+        store.append_keyed(TOPIC, "config", b"new")
         await wait_until(lambda: follower.listener.records)
         assert follower.client._connection is not connection
 
@@ -408,8 +408,8 @@
         enable_relayed_records((watcher, follower))
         calls = follower.calls
         for number in range(8):
-            store.put(TOPIC, f"u{number}", b"x" * 400)
-            store.put(TOPIC, f"v{number}", b"y" * 400)
+            store.append_keyed(TOPIC, f"u{number}", b"x" * 400)
+            store.append_keyed(TOPIC, f"v{number}", b"y" * 400)
             await asyncio.sleep(0.2)
         await wait_until(lambda: len(follower.listener.records) == 16)
         assert follower.listener.records == watcher.listener.records
@@ -443,7 +443,7 @@
     async with run_gateways() as (store, watcher, follower):
         enable_relayed_records((watcher, follower))
         watcher.relay._send_records = lambda *_: None
-        store.put(TOPIC, "config", b"new")
+        store.append_keyed(TOPIC, "config", b"new")
         await wait_until(lambda: follower.listener.records, 0.5)
         assert follower.listener.records == [("config", b"new")]
 
@@ -453,7 +453,7 @@
     async with run_gateways() as (store, watcher, follower):
         calls = follower.calls
         assert watcher.feed.get_recent_records(0) == ()
-        store.put(TOPIC, "config", b"new")
+        store.append_keyed(TOPIC, "config", b"new")
         await wait_until(lambda: follower.listener.records, 0.5)
         assert follower.calls > calls
 
@@ -468,7 +468,7 @@
         change_options(watcher.feed, pause_s=1.0)
         calls = follower.calls
         for number in range(10):
-            store.put(TOPIC, f"u{number}", b"new")
+            store.append_keyed(TOPIC, f"u{number}", b"new")
             await asyncio.sleep(0.3)
         assert follower.calls == calls
 
--- a/tests/test_gateway_repeats.py
+++ b/tests/test_gateway_repeats.py
@@ -139,7 +139,7 @@
         for name in ("w1", "w2"):
             await harness.workers[name].stop()
         replies = await asyncio.gather(*calls)
-        assert all(reply.whole for reply in replies)
+        assert all(reply.is_complete for reply in replies)
         assert all(get_ids(r) == list(range(1, EVENTS + 1)) for r in replies)
         denied = [r for r in caplog.records if r.msg == "repeat_denied"]
         assert not denied
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -293,7 +293,9 @@
 
 async def put_order(harness, version="v2", duration_s=4.0):
     data = {"Service": "pool", "Target": version, "DurationS": duration_s}
-    harness.store.put("keyed.op", "rollout/pool", json.dumps(data).encode())
+    harness.store.append_keyed(
+        "keyed.op", "rollout/pool", json.dumps(data).encode()
+    )
     await harness.wait_until(lambda: harness.gateway.deployment.rollouts)
 
 
@@ -357,7 +359,7 @@
         await harness.add_worker("n1", Version="v2")
         offset = harness.store.get_topic("keyed.op").end
         record = {"State": "reverted", "Target": "v2", "Order": offset}
-        harness.store.put(
+        harness.store.append_keyed(
             "keyed.status", "rollout/pool", json.dumps(record).encode()
         )
         await put_order(harness, duration_s=2.0)
@@ -378,7 +380,7 @@
             "Order": offset,
             "Share": 0.42,
         }
-        harness.store.put(
+        harness.store.append_keyed(
             "keyed.status", "rollout/pool", json.dumps(record).encode()
         )
         await put_order(harness, duration_s=30.0)
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -21,7 +21,7 @@
 async def test_passes_all_events_on():
     async with run_stage(script=lab.make_stream(6)) as harness:
         reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert get_ids(reply) == [1, 2, 3, 4, 5, 6]
         assert reply.headers["response-signature"] == lab.SIGNATURE
 
@@ -44,7 +44,7 @@
         )
         reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
         assert get_ids(reply) == [1, 2, 3, 4, 5, 6]
-        assert reply.whole
+        assert reply.is_complete
         resume_ids = [
             arrival.headers.get("last-event-id")
             for worker in harness.workers.values()
@@ -59,7 +59,7 @@
     async with run_stage(script=script) as harness:
         reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
         assert get_ids(reply) == [1, 2]
-        assert not reply.whole
+        assert not reply.is_complete
 
 
 async def test_a_stream_that_may_not_be_resumed_is_not_repeated():
@@ -71,7 +71,7 @@
     script = lab.make_stream(6, break_after=2)
     async with run_stage(script=script, routes=routes) as harness:
         reply = await harness.call("/once/x", body=b"p")
-        assert not reply.whole
+        assert not reply.is_complete
         assert sum(len(w.started) for w in harness.workers.values()) == 1
 
 
--- a/tests/test_gateway_trust.py
+++ b/tests/test_gateway_trust.py
@@ -74,9 +74,9 @@
     # each key is read again, and a change made between the two reads is found.
     async with run_stage() as harness:
         for topic in harness.store.topics.values():
-            topic.forget()
+            topic.delete_records()
         harness.put_configuration(version=9)
-        harness.store.topics["keyed.op"].forget()
+        harness.store.topics["keyed.op"].delete_records()
         gateway = harness.gateway
         await harness.wait_until(
             lambda: gateway.deployment.configuration.version == 9, 6.0
@@ -90,7 +90,7 @@
     async with run_stage() as harness:
         harness.store.faults.deaf = True
         await asyncio.sleep(0.1)
-        harness.store.put("keyed.servers", "w1", b"")
+        harness.store.append_keyed("keyed.servers", "w1", b"")
         rotation = harness.gateway.deployment.rotation
         await harness.wait_until(
             lambda: len(rotation.get_ready("pool")) == 1, 1.8
@@ -99,8 +99,8 @@
 
 async def test_a_configuration_that_cannot_be_read_changes_nothing():
     async with run_stage() as harness:
-        harness.store.put("keyed.op", "config", b"{")
-        harness.store.put("keyed.op", "config", b'{"Version": "x"}')
+        harness.store.append_keyed("keyed.op", "config", b"{")
+        harness.store.append_keyed("keyed.op", "config", b'{"Version": "x"}')
         harness.put_configuration(version=4)
         gateway = harness.gateway
         await harness.wait_until(
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -57,7 +57,7 @@
             assert stage.workers["w1"].arrivals == []
             await stage.workers["w2"].stop()
             await stage.call("/safe/x")
-            stage.store.put("keyed.op", "evacuate/b", b"{}")
+            stage.store.append_keyed("keyed.op", "evacuate/b", b"{}")
             deployment = stage.gateway.deployment
             await stage.wait_until(lambda: "b" in deployment.evacuations)
             reply = await stage.call("/safe/x")
@@ -86,7 +86,7 @@
                 ],
             }
             data = json.dumps(configuration).encode()
-            stage.store.put("keyed.op", "config", data)
+            stage.store.append_keyed("keyed.op", "config", data)
             deployment = stage.gateway.deployment
             await stage.wait_until(lambda: deployment.configuration.version > 1)
             for _ in range(8):
--- a/tests/test_lab_engine.py
+++ b/tests/test_lab_engine.py
@@ -12,7 +12,7 @@
 import aiohttp
 from aiohttp.test_utils import TestClient, TestServer
 
-from lab.answers import answer_tokens, prompt_text
+from lab.answers import generate_answer_tokens, join_messages
 from lab.batch import Timing
 from lab.engine import Engine, EngineOptions
 
@@ -79,7 +79,9 @@
 
 
 async def test_both_forms_give_the_deterministic_text():
-    expected = "".join(answer_tokens(prompt_text(MESSAGES), MODEL, 5))
+    expected = "".join(
+        generate_answer_tokens(join_messages(MESSAGES), MODEL, 5)
+    )
     async with serve_engine() as (_, client):
         plain = await (
             await send_chat_request(client, "p", max_tokens=5)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -103,7 +103,7 @@
     # list, which is a second late, says so.
     bus = fleet.children["sidecar-0"].bus
     entry = {"vm": "sidecar-0", "role": "sidecar", "zone": "lhe-a"}
-    fleet.tell_vm("sidecar-0", {**entry, "bus": bus, "state": "leaving"})
+    fleet.set_vm("sidecar-0", {**entry, "bus": bus, "state": "leaving"})
     time.sleep(LISTED_S)
     runs_before = count_runs(fleet, "engine-0")
     client = make_client(fleet)
--- a/tests/test_request_keys.py
+++ b/tests/test_request_keys.py
@@ -81,7 +81,7 @@
 
 
 def check_history(history, runs=1):
-    assert history.find_faults() == []
+    assert history.find_violations() == []
     assert history.get_new_runs() == runs
 
 
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -4,7 +4,7 @@
 
 import argparse
 
-from lab.stages import add_arguments, collect, format_table, run
+from lab.stages import add_arguments, collect_times, format_table, run
 from lovagestage.telemetry.loglines import parse_lines
 
 LINE = (
@@ -26,7 +26,7 @@
         make_line(3, outcome="silent", upstreams='""'),
         "time=01.0 event=process_started vm=edge-1",
     ]
-    kind = collect(parse_lines(lines))["r-chat"]
+    kind = collect_times(parse_lines(lines))["r-chat"]
     assert (kind.requests, kind.attempts) == (3, 3)
     assert kind.times_s["begun_s"] == [0.001, 0.003]
     assert "3.0 / 3.0" in format_table({"r-chat": kind})
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -9,14 +9,16 @@
 import openai
 import pytest
 
-from lab.answers import answer_tokens, prompt_text
+from lab.answers import generate_answer_tokens, join_messages
 from lab.demo import make_client
 
 MESSAGES = [{"role": "user", "content": "Explain the failed snapshot"}]
 
 
 def get_expected_text(version: str, tokens: int) -> str:
-    return "".join(answer_tokens(prompt_text(MESSAGES), version, tokens))
+    return "".join(
+        generate_answer_tokens(join_messages(MESSAGES), version, tokens)
+    )
 
 
 def post(
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -202,9 +202,9 @@
     async def run():
         async with run_stage(1, services=SERVICES, routes=ROUTES) as stage:
             deployment = stage.gateway.deployment
-            stage.store.put("keyed.op", "evacuate/a", b"{}")
+            stage.store.append_keyed("keyed.op", "evacuate/a", b"{}")
             await stage.wait_until(lambda: "a" in deployment.evacuations)
-            stage.store.put("keyed.op", "evacuate/a", b"")
+            stage.store.append_keyed("keyed.op", "evacuate/a", b"")
             await stage.wait_until(lambda: "a" not in deployment.evacuations)
             statuses, took_s = await send_burst(stage, 0.8, 60)
             assert len(stage.workers["w1"].started) <= 6 * took_s
