--- a/src/lovagestage/telemetry/measurement.py
+++ b/src/lovagestage/telemetry/measurement.py
@@ -63,8 +63,7 @@
 
 
 def get_measurement(request: web.Request) -> Measurement:
-    """Returns the measurement that `RequestMeter.measure` attached to a
-    request."""
+    """Returns the measurement attached to a request by `RequestMeter`."""
     return request[_MEASUREMENT]
 
 
