--- a/src/lovagestage/adapters/http1.py
+++ b/src/lovagestage/adapters/http1.py
@@ -15,7 +15,7 @@
 
 import h11
 
-from lovagestage.exceptions import ConnectionLostError, InvalidHttpMessageError
+from lovagestage.exceptions import ConnectionLostError, WrongMessageError
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -250,7 +250,7 @@
         """Sends a complete request.
 
         Raises:
-            InvalidHttpMessageError: The request is not valid HTTP/1.1.
+            WrongMessageError: The request is not valid HTTP/1.1.
         """
         self.requests_sent += 1
         parser = self._parser
@@ -263,7 +263,7 @@
                 data += parser.send(h11.Data(data=body)) or b""
             data += parser.send(h11.EndOfMessage()) or b""
         except h11.LocalProtocolError as error:
-            raise InvalidHttpMessageError(str(error)) from error
+            raise WrongMessageError(str(error)) from error
         self.channel.write(data)
 
     async def receive_head(self) -> h11.Response:
@@ -272,8 +272,7 @@
         Raises:
             ConnectionLostError: The connection ended before the head was
                 complete.
-            InvalidHttpMessageError: The received bytes are not a valid
-                response.
+            WrongMessageError: The received bytes are not a valid response.
         """
         while True:
             event = await self._receive()
@@ -291,8 +290,7 @@
         Raises:
             ConnectionLostError: The connection ended before the body was
                 complete.
-            InvalidHttpMessageError: The received bytes are not a valid
-                response.
+            WrongMessageError: The received bytes are not a valid response.
         """
         event = await self._receive()
         if isinstance(event, h11.Data):
@@ -360,7 +358,7 @@
                     not self.channel.is_open
                 ):
                     raise ConnectionLostError(str(error)) from error
-                raise InvalidHttpMessageError(str(error)) from error
+                raise WrongMessageError(str(error)) from error
 
 
 def remove_hop_by_hop(headers: Sequence[tuple[bytes, bytes]]) -> Headers:
--- a/src/lovagestage/exceptions.py
+++ b/src/lovagestage/exceptions.py
@@ -532,7 +532,7 @@
     exit_code = EXIT_UNAVAILABLE
 
 
-class InvalidHttpMessageError(LovagestageError):
+class WrongMessageError(LovagestageError):
     """Bytes on a connection are no valid HTTP/1.1, or a limit was exceeded.
 
     Attributes:
--- a/src/lovagestage/gateway/exchange.py
+++ b/src/lovagestage/gateway/exchange.py
@@ -11,7 +11,7 @@
 from lovagestage.exceptions import (
     AttemptFailedError,
     ConnectionLostError,
-    InvalidHttpMessageError,
+    WrongMessageError,
 )
 from lovagestage.gateway.clocks import get_elapsed_s
 from lovagestage.gateway.connections import ConnectionPool
@@ -154,7 +154,7 @@
                 raise AttemptFailedError(
                     "connection_lost", RunState.UNKNOWN
                 ) from error
-            except InvalidHttpMessageError as error:
+            except WrongMessageError as error:
                 raise AttemptFailedError(
                     "wrong_bytes", RunState.UNKNOWN
                 ) from error
@@ -178,7 +178,7 @@
         assert self._connection is not None
         try:
             chunk = await self._connection.receive_body_part()
-        except (ConnectionLostError, InvalidHttpMessageError) as error:
+        except (ConnectionLostError, WrongMessageError) as error:
             raise AttemptFailedError("answer_broken", RunState.RAN) from error
         self.upstream.performance.silence.note_heard(get_elapsed_s())
         self.is_complete = chunk is None
@@ -257,7 +257,7 @@
             while await connection.receive_body_part() is not None:
                 await asyncio.sleep(0)
             connection.discard_response()
-        raise InvalidHttpMessageError("Got only answers to other requests.")
+        raise WrongMessageError("Got only answers to other requests.")
 
     def _check_head(self, head: AnswerHead) -> None:
         if head.is_other_instance:
--- a/src/lovagestage/gateway/server.py
+++ b/src/lovagestage/gateway/server.py
@@ -18,7 +18,7 @@
     AttemptFailedError,
     ConnectionLostError,
     GatewayRefusalError,
-    InvalidHttpMessageError,
+    WrongMessageError,
 )
 from lovagestage.gateway.configuration import ClientLimits
 from lovagestage.gateway.listeners import BACKLOG
@@ -70,7 +70,7 @@
             for too long.
 
         Raises:
-            InvalidHttpMessageError: The request must not be forwarded.
+            WrongMessageError: The request must not be forwarded.
             ConnectionLostError: The caller reset the connection.
         """
         limits = self._limits()
@@ -99,7 +99,7 @@
             async with asyncio.timeout(body_s):
                 body = await self._read_body(limits.body_bytes)
         except TimeoutError:
-            raise InvalidHttpMessageError(
+            raise WrongMessageError(
                 "The request was not received in time.", 408
             ) from None
         return dataclasses.replace(request, body=body, arrived_s=arrived_s)
@@ -214,9 +214,7 @@
             chunks.append(bytes(event.data))
             size += len(event.data)
             if size > limit_bytes:
-                raise InvalidHttpMessageError(
-                    f"Body over {limit_bytes} bytes.", 413
-                )
+                raise WrongMessageError(f"Body over {limit_bytes} bytes.", 413)
 
     async def _receive(self) -> object:
         while True:
@@ -229,7 +227,7 @@
             except h11.RemoteProtocolError as error:
                 if not self.channel.is_open:
                     raise ConnectionLostError(str(error)) from error
-                raise InvalidHttpMessageError(
+                raise WrongMessageError(
                     str(error), error.error_status_hint
                 ) from error
 
@@ -245,7 +243,7 @@
         for name, value in event.headers
     )
     if size > limit_bytes:
-        raise InvalidHttpMessageError(f"Head over {limit_bytes} bytes.", 431)
+        raise WrongMessageError(f"Head over {limit_bytes} bytes.", 431)
 
 
 _HEADER_OVERHEAD_BYTES = 4
@@ -325,7 +323,7 @@
     async def _serve_request(self, connection: CallerConnection) -> bool:
         try:
             request = await connection.read_request()
-        except InvalidHttpMessageError as error:
+        except WrongMessageError as error:
             _log.warning(
                 "message_refused",
                 extra={
--- a/src/lovagestage/platform/headers.py
+++ b/src/lovagestage/platform/headers.py
@@ -9,7 +9,7 @@
     get_raw_headers,
     remove_hop_by_hop,
 )
-from lovagestage.exceptions import InvalidHttpMessageError
+from lovagestage.exceptions import WrongMessageError
 from lovagestage.gateway.messages import (
     AnswerHead,
     CallerRequest,
@@ -68,19 +68,17 @@
         event: The request line and headers as received.
 
     Raises:
-        InvalidHttpMessageError: The request can't be forwarded: its length is
+        WrongMessageError: The request can't be forwarded: its length is
             ambiguous or a header that must be unique is repeated.
     """
     raw = get_raw_headers(event)
     fields = {name.lower(): value for name, value in raw}
     names = [name.lower() for name, _ in raw]
     if b"transfer-encoding" in fields and b"content-length" in fields:
-        raise InvalidHttpMessageError("Both a length and a transfer coding.")
+        raise WrongMessageError("Both a length and a transfer coding.")
     for name in (b"host", _REQUEST_ID, _API_KEY, _DEADLINE):
         if names.count(name) > 1:
-            raise InvalidHttpMessageError(
-                f"Header {name.decode()} stands twice."
-            )
+            raise WrongMessageError(f"Header {name.decode()} stands twice.")
     target = event.target.decode("ascii")
     usage = _get_text(fields, _TOKEN_USAGE).split(",")
     return CallerRequest(
--- a/src/lovagestage/platform/store.py
+++ b/src/lovagestage/platform/store.py
@@ -17,12 +17,12 @@
 from lovagestage.adapters.http1 import ClientConnection, open_channel
 from lovagestage.exceptions import (
     ConnectionLostError,
-    InvalidHttpMessageError,
     StoreAnswerLostError,
     StoreConflictError,
     StoreHistoryLostError,
     StoreUnavailableError,
     TransferProgress,
+    WrongMessageError,
 )
 from lovagestage.platform.records import (
     Page,
@@ -303,7 +303,7 @@
             return status, answer
         except (
             ConnectionLostError,
-            InvalidHttpMessageError,
+            WrongMessageError,
             TimeoutError,
         ) as error:
             was_sent = self._connection is not None
@@ -362,9 +362,7 @@
             received_bytes = self._transfer.received_bytes + len(part)
             self._transfer = TransferProgress(received_bytes, expected_bytes)
             if received_bytes > _BODY_LIMIT_BYTES:
-                raise InvalidHttpMessageError(
-                    f"Body over {_BODY_LIMIT_BYTES} bytes."
-                )
+                raise WrongMessageError(f"Body over {_BODY_LIMIT_BYTES} bytes.")
         return b"".join(parts)
 
 
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -12,8 +12,8 @@
 from lovagestage.decisions.warmup import Warmup
 from lovagestage.exceptions import (
     CodecError,
-    InvalidHttpMessageError,
     SettingsError,
+    WrongMessageError,
 )
 from lovagestage.gateway.configuration import RouteKind
 from lovagestage.gateway.messages import OutgoingCall
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("name", [b"Attempt-Id", b"Deadline-Ms"])
 def test_headers_that_decide_may_stand_once(name):
-    with pytest.raises(InvalidHttpMessageError):
+    with pytest.raises(WrongMessageError):
         decode([*REQUEST, (name, b"1")])
 
 
