--- a/lab/experiments/capacity.py
+++ b/lab/experiments/capacity.py
@@ -383,7 +383,7 @@
 
 def _publish_vm(fleet: Fleet, number: int, port: int) -> None:
     name = f"played-{number}"
-    fleet.tell_vm(
+    fleet.set_vm(
         name,
         {
             "vm": name,
--- a/lab/experiments/failover.py
+++ b/lab/experiments/failover.py
@@ -26,8 +26,8 @@
     Findings,
     audit,
     count_codes,
-    get_gaps_s,
-    is_plain,
+    counts_for_interruptions,
+    get_interruptions_s,
 )
 from lab.experiments import Result
 from lab.fault_driver import FaultDriver
@@ -40,8 +40,8 @@
 from lab.traffic import Traffic
 from lovagestage.adapters.http_log import HttpLog
 from lovagestage.decisions.billing import BILLING_STREAM, Bill, decode_batch
-from lovagestage.operations.edits import make_withdrawal
-from lovagestage.settings import parse_file
+from lovagestage.operations.edits import make_withdrawal_edit
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 from lovagestage.types import Offset
 
@@ -158,9 +158,9 @@
     served = [
         (s.started_s, s.took_s, s.is_answered)
         for s in traffic.served
-        if is_plain(s.kind)
+        if counts_for_interruptions(s.kind)
     ]
-    isolated_s, overlapping_s = get_gaps_s(served, driver.applied)
+    isolated_s, overlapping_s = get_interruptions_s(served, driver.applied)
     interruptions_s = sorted(isolated_s + overlapping_s)
     counts = {k: len(v) for k, v in dataclasses.asdict(findings).items()}
     violations = {
@@ -217,8 +217,8 @@
 
     def _withdraw(self) -> None:
         path = EXAMPLES / f"{SHAPE.service}.jsonc"
-        document = parse_file(path, ServiceDocument)
-        withdrawn = make_withdrawal(WITHDRAWN)(document)
+        document = parse_json_file(path, ServiceDocument)
+        withdrawn = make_withdrawal_edit(WITHDRAWN)(document)
         try:
             self._fleet.publish_document(withdrawn, 1)
         except urllib.error.HTTPError as error:
--- a/lab/experiments/log_outage.py
+++ b/lab/experiments/log_outage.py
@@ -26,11 +26,11 @@
 from lab.server import start_app
 from lovagestage.adapters.http_log import HttpLog
 from lovagestage.adapters.protocols import Log, LogPage
-from lovagestage.control.peerstate import choose_newest
+from lovagestage.control.peerstate import choose_newest_state
 from lovagestage.control.reader import ControlReader
 from lovagestage.control.snapshotting import SnapshotStream
 from lovagestage.control.writer import ControlWriter
-from lovagestage.exceptions import BelowHorizonError, LogUnavailableError
+from lovagestage.exceptions import LogUnavailableError, RecordsExpiredError
 from lovagestage.messages.envelope import StateAnswer
 from lovagestage.state.fold import Outcome
 from lovagestage.state.records import (
@@ -96,7 +96,7 @@
             page = await self._log.read(
                 CONTROL_STREAM, self.next_offset, 1000, 0.0
             )
-        except BelowHorizonError as error:
+        except RecordsExpiredError as error:
             self.next_offset = Offset(error.first_offset)
             return
         for offset, data in page.records:
@@ -288,9 +288,9 @@
         for reader in (scenario.product, scenario.reference)
     ]
     replacement = ControlReader(scenario.log)
-    state = choose_newest(answers)
+    state = choose_newest_state(answers)
     assert state is not None
-    replacement.install(state, whole=True)
+    replacement.install(state, is_complete=True)
     copy = dict(scenario.baseline.documents)
     return (
         _Figures(scenario.count_product_stale(replacement)),
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -26,7 +26,7 @@
 from lab.fleet_settings import OPERATOR, FleetSettings, StandInUrls
 from lab.ports import HOST, get_free_port
 from lab.shapes import EXAMPLES, Shape
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import ServiceDocument
 from lovagestage.state.operators import sign_change
 from lovagestage.state.records import (
@@ -250,7 +250,7 @@
             path: File with the service document as JSON with comments.
             base: Revision that the document replaces.
         """
-        self.publish_document(parse_file(path, ServiceDocument), base)
+        self.publish_document(parse_json_file(path, ServiceDocument), base)
 
     def publish_document(self, document: ServiceDocument, base: int) -> None:
         """Appends a service document to the log, signed by the lab's operator.
@@ -407,10 +407,10 @@
         process = self._spawn(name, command, False)
         self.children[name] = Child(name, process, bus=bus)
         entry = {"role": role, "zone": zone, "state": "live", "bus": bus}
-        self.tell_vm(name, {"vm": name, **entry})
+        self.set_vm(name, {"vm": name, **entry})
         return self.children[name]
 
-    def tell_vm(self, name: str, entry: dict[str, Any]) -> None:
+    def set_vm(self, name: str, entry: dict[str, Any]) -> None:
         """Sets the current entry of one VM in the VM list."""
         call(
             "PUT",
@@ -423,7 +423,7 @@
         index = int(name.rpartition("-")[2])
         zone = self.shape.zones[index % len(self.shape.zones)]
         entry = {"vm": name, "role": "sidecar", "zone": zone, "bus": bus}
-        self.tell_vm(name, {**entry, "state": "live"})
+        self.set_vm(name, {**entry, "state": "live"})
 
     def _deregister_vm(self, child: Child) -> None:
         if child.bus:
--- a/lab/soak/checks.py
+++ b/lab/soak/checks.py
@@ -64,7 +64,7 @@
 
 def _is_served(request: SentRequest) -> bool:
     reply = request.reply
-    return reply is not None and reply.status == 200 and reply.whole
+    return reply is not None and reply.status == 200 and reply.is_complete
 
 
 def _check_request(
@@ -113,7 +113,7 @@
     ids = [int(line[4:]) for line in lines if line.startswith("id: ")]
     if ids != list(range(1, len(ids) + 1)):
         yield f"events out of order: {request.id} {ids}"
-    if reply.whole and len(ids) != EVENTS:
+    if reply.is_complete and len(ids) != EVENTS:
         yield f"incomplete stream ended as complete: {request.id} {ids}"
 
 
--- a/lab/soak/troubles.py
+++ b/lab/soak/troubles.py
@@ -60,7 +60,7 @@
     """Drops all records of keyed topics but the newest of each key."""
     for topic in list(environment.store.topics.values()):
         if topic.is_keyed:
-            topic.forget()
+            topic.delete_records()
 
 
 async def spoil_link(environment: SoakEnvironment) -> None:
@@ -90,7 +90,7 @@
         await environment.workers[name].stop()
         environment.links[name].stop()
         await asyncio.sleep(environment.rng.uniform(0.1, 1.0))
-        environment.store.put("keyed.servers", name, b"")
+        environment.store.append_keyed("keyed.servers", name, b"")
     await environment.add_worker()
 
 
@@ -107,7 +107,7 @@
     if environment.rng.random() < 0.7:
         environment.write_worker_entry(name, "draining")
     else:
-        environment.store.put("keyed.servers", name, b"")
+        environment.store.append_keyed("keyed.servers", name, b"")
     await asyncio.sleep(1.0)
     await environment.add_worker()
 
--- a/lab/soak/world.py
+++ b/lab/soak/world.py
@@ -268,7 +268,7 @@
             "Tenants": [{"Name": "clinic", "ApiKeys": valid}],
         }
         data = json.dumps(configuration).encode()
-        self.store.put("keyed.op", "config", data)
+        self.store.append_keyed("keyed.op", "config", data)
 
     async def add_worker(self) -> None:
         """Starts a worker behind its own proxy and registers it."""
@@ -294,7 +294,7 @@
             "Sequence": 1,
         }
         data = json.dumps(entry).encode()
-        self.store.put("keyed.servers", name, data)
+        self.store.append_keyed("keyed.servers", name, data)
 
     def get_live_workers(self) -> list[str]:
         """Returns the names of workers that neither left nor crashed."""
--- a/src/lovagestage/adapters/protocols.py
+++ b/src/lovagestage/adapters/protocols.py
@@ -70,7 +70,7 @@
 
         Raises:
             LogUnavailableError: The log does not answer, or refused the read.
-            BelowHorizonError: The record at `start` has expired.
+            RecordsExpiredError: The record at `start` has expired.
         """
 
 
@@ -83,14 +83,14 @@
         role: Role of the system's process on the VM.
         zone: Availability zone of the VM.
         state: Whether the VM is live or leaving.
-        bus: `HOST:PORT` of the listener of the VM's process.
+        bus_address: `HOST:PORT` of the listener of the VM's process.
     """
 
     vm: VmId
     role: Role
     zone: ZoneId
     state: VmState
-    bus: str
+    bus_address: str
 
 
 class VmList(Protocol):
--- a/src/lovagestage/api/callers.py
+++ b/src/lovagestage/api/caller_api.py
@@ -20,11 +20,11 @@
     BodyTooLargeError,
     IncompleteBodyError,
     RequestRefusedError,
-    UnknownRouteError,
+    RouteNotFoundError,
 )
 from lovagestage.settings import EntrySettings
 from lovagestage.state.document import get_open_versions
-from lovagestage.telemetry.measurement import HEALTH_PATH, Meter
+from lovagestage.telemetry.measurement import HEALTH_PATH, RequestMeter
 
 MAX_START_S = 10.0
 """Time in seconds after the start from which an entry with a configuration is
@@ -56,7 +56,7 @@
         chat: ChatApi,
         plain: PlainApi,
         refusals: KeyedRefusals,
-        meter: Meter,
+        meter: RequestMeter,
     ) -> None:
         self._settings = settings
         self._control = control
@@ -170,7 +170,7 @@
         caller = self._authenticator.identify_caller(request)
         route = find_route(caller.document, request.raw_path)
         if route is None:
-            raise UnknownRouteError(f"There is nothing at {request.path!r}.")
+            raise RouteNotFoundError(f"There is nothing at {request.path!r}.")
         content = await self._read_body(request)
         return await self._plain.handle_call(
             request, content, caller.workspace, caller.document, route
--- a/src/lovagestage/api/entry.py
+++ b/src/lovagestage/api/entry.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from lovagestage.api.authentication import Authenticator
-from lovagestage.api.callers import CallerApi
+from lovagestage.api.caller_api import CallerApi
 from lovagestage.api.chat_admission import ChatAdmission
 from lovagestage.api.chat_answers import ChatAnswers
 from lovagestage.api.chat_api import ChatApi
@@ -37,7 +37,7 @@
     Message,
 )
 from lovagestage.settings import EntrySettings, Settings
-from lovagestage.telemetry.measurement import Meter
+from lovagestage.telemetry.measurement import RequestMeter
 from lovagestage.telemetry.metrics import Metrics
 from lovagestage.types import VmId
 
@@ -117,7 +117,7 @@
                 self._dispatcher, keyed, self._role_settings.default_deadline_s
             ),
             KeyedRefusals(self._keys),
-            Meter(self._metrics),
+            RequestMeter(self._metrics),
         )
 
     def _make_chat_api(self, keyed: KeyedRuns) -> ChatApi:
@@ -169,7 +169,7 @@
 
     def _on_hello(self, peer: PeerId, message: Message) -> None:
         assert isinstance(message, Hello)
-        answer = Hello(VmId(""), 0, heard_sequence=message.sequence)
+        answer = Hello(VmId(""), 0, answered_sequence=message.sequence)
         self._hub.send(peer, answer)
 
     def _on_dump_request(self, peer: PeerId, message: Message) -> None:
--- a/src/lovagestage/control/reader.py
+++ b/src/lovagestage/control/reader.py
@@ -11,7 +11,7 @@
 import mode
 
 from lovagestage.adapters.protocols import Log, LogPage
-from lovagestage.exceptions import BelowHorizonError, LogError
+from lovagestage.exceptions import LogError, RecordsExpiredError
 from lovagestage.state.fold import ControlState, ServiceInForce
 from lovagestage.state.records import CONTROL_STREAM
 from lovagestage.types import Offset, ServiceId
@@ -106,20 +106,20 @@
         """Registers a callback that is called after each batch of records."""
         self._subscribers.append(callback)
 
-    async def wait_changed(self, timeout_s: float) -> None:
+    async def wait_for_change(self, timeout_s: float) -> None:
         """Waits for the next batch of records, at most `timeout_s` seconds."""
         try:
             await asyncio.wait_for(self._changed.wait(), timeout_s)
         except TimeoutError:
             return
 
-    def install(self, state: ControlState, *, whole: bool) -> bool:
+    def install(self, state: ControlState, *, is_complete: bool) -> bool:
         """Replaces the folded state by a newer one.
 
         Args:
             state: The newer state; the caller has already verified it.
-            whole: Whether the state may be acted on before the log is read to
-                its end.
+            is_complete: Whether the state may be acted on before the log is
+                read to its end.
 
         Returns:
             False if `state` is not newer than the folded state.
@@ -131,7 +131,7 @@
             extra={"from": self.folded.next_offset, "to": state.next_offset},
         )
         self.folded = state
-        self._is_complete = self._is_complete or whole
+        self._is_complete = self._is_complete or is_complete
         self._notify_subscribers()
         return True
 
@@ -176,7 +176,7 @@
         while not self.should_stop:
             try:
                 await self._read_once()
-            except BelowHorizonError as error:
+            except RecordsExpiredError as error:
                 await self._recover(Offset(error.first_offset))
             except LogError as error:
                 self._on_read_failed(error)
@@ -195,7 +195,7 @@
                 state = await self._snapshots.find(first_offset)
         except LogError as error:
             _log.warning("snapshot_read_failed", extra={"code": error.code})
-        if state is None or not self.install(state, whole=False):
+        if state is None or not self.install(state, is_complete=False):
             _log.error(
                 "control_below_horizon",
                 extra={
--- a/src/lovagestage/control/rollout_driver.py
+++ b/src/lovagestage/control/rollout_driver.py
@@ -54,7 +54,7 @@
 _FINAL_PHASES = (RolloutPhase.DONE, RolloutPhase.ROLLED_BACK)
 
 
-class Evidence(Protocol):
+class EvidenceSource(Protocol):
     """Evidence for and against the new version of a roll-out."""
 
     def may_step(self, rollout: Rollout) -> bool:
@@ -78,7 +78,7 @@
         lease: LeaseKeeper,
         writer: RecordWriter,
         upstreams: UpstreamTable,
-        evidence: Evidence,
+        evidence: EvidenceSource,
     ) -> None:
         super().__init__()
         self._control = control
@@ -103,7 +103,7 @@
                 rollout.progress.phase not in _FINAL_PHASES
                 for rollout in rollouts
             )
-            if self._upstreams.follow_all(is_driver and has_unfinished):
+            if self._upstreams.keep_all_connected(is_driver and has_unfinished):
                 for rollout in rollouts:
                     await self._drive_rollout(rollout)
             await self.sleep(DRIVE_INTERVAL_S)
--- a/src/lovagestage/decisions/request_keys.py
+++ b/src/lovagestage/decisions/request_keys.py
@@ -26,7 +26,7 @@
     Pull,
     PullAnswer,
 )
-from lovagestage.state.members import SLOTS, MemberId, MemberView, Period
+from lovagestage.state.members import SLOTS, HolderPeriod, MemberId, MemberView
 from lovagestage.types import Offset, WorkspaceId
 
 NEVER_COMPLETE = Offset(-1)
@@ -195,7 +195,7 @@
         if view.epoch != copy.epoch:
             return ClaimAnswer(ClaimOutcome.STALE_VIEW)
         is_only_holder = len(view.get_holders(copy.slot)) == 1
-        if not is_only_holder and (answer is None or not answer.taken):
+        if not is_only_holder and (answer is None or not answer.accepted):
             return ClaimAnswer(ClaimOutcome.BUSY)
         entry = copy.entry
         if entry is None:
@@ -222,7 +222,7 @@
             return CopyAnswer(False)
         if existing is None and self.size >= self._max_entries:
             return CopyAnswer(False)
-        self._store_entry(slot, entry.at(now_s))
+        self._store_entry(slot, entry.with_put_at(now_s))
         return CopyAnswer(True)
 
     def answer_pull(
@@ -237,7 +237,7 @@
             slot.complete_start,
             slot.lost_at_ms,
             slot.lost_holders,
-            [e.at(now_s - e.put_at_s) for e in slot.entries.values()],
+            [e.with_put_at(now_s - e.put_at_s) for e in slot.entries.values()],
         )
 
     def plan_pull(
@@ -278,7 +278,9 @@
         for entry in answer.entries:
             existing = slot.entries.get((entry.workspace, entry.key))
             if existing is None or existing.stamp < entry.stamp:
-                self._store_entry(slot, entry.at(now_s - entry.put_at_s))
+                self._store_entry(
+                    slot, entry.with_put_at(now_s - entry.put_at_s)
+                )
         if answer.lost_at_ms > slot.lost_at_ms:
             slot.lost_at_ms = answer.lost_at_ms
             slot.lost_holders = answer.lost_holders
@@ -304,7 +306,7 @@
                 slot.lost_at_ms = 0
                 slot.lost_holders = ()
 
-    def _enter_period(self, slot: Slot, period: Period) -> None:
+    def _enter_period(self, slot: Slot, period: HolderPeriod) -> None:
         was_complete = slot.complete_start == slot.processed_start
         slot.processed_start = period.start
         if self.own not in period.holders:
@@ -316,7 +318,7 @@
         self,
         view: MemberView,
         index: int,
-        period: Period,
+        period: HolderPeriod,
         answers: dict[MemberId, Offset],
     ) -> PullStep | None:
         """Returns the step for one period of a slot.
@@ -333,7 +335,7 @@
         other_holders = tuple(
             m
             for m in period.holders
-            if m != self.own and m not in answers and view.has(m)
+            if m != self.own and m not in answers and view.is_member(m)
         )
         # One holder with an incomplete history is enough to prove that nothing
         # was granted in the period. This process nevertheless asks the other
@@ -357,14 +359,17 @@
             return self._find_new_key_refusal(view, slot, claim, now_ms)
         if existing.fingerprint != claim.fingerprint:
             return ClaimOutcome.OTHER_BODY
-        if claim.run is not None and existing.run in (claim.run, claim.after):
+        if claim.run is not None and existing.run in (
+            claim.run,
+            claim.replaces,
+        ):
             return None
         return ClaimOutcome.HELD
 
     def _find_new_key_refusal(
         self, view: MemberView, slot: Slot, claim: Claim, now_ms: int
     ) -> ClaimOutcome | None:
-        if claim.after is not None:
+        if claim.replaces is not None:
             return ClaimOutcome.BUSY
         if self.size >= self._max_entries:
             return ClaimOutcome.FULL
--- a/src/lovagestage/execution/runs.py
+++ b/src/lovagestage/execution/runs.py
@@ -23,7 +23,7 @@
 from lovagestage.execution.plain_stream import open_stream
 from lovagestage.execution.readers import Run, get_read_interval_s
 from lovagestage.messages.envelope import Message
-from lovagestage.messages.keys import Inquiry, InquiryAnswer, RunKnown
+from lovagestage.messages.keys import Inquiry, InquiryAnswer, RunKnowledge
 from lovagestage.messages.runs import (
     Accepted,
     Ack,
@@ -85,7 +85,7 @@
         self._ended_keys: collections.deque[RunKey] = collections.deque()
         self._ended_bytes = 0
         self._tombstones = TombstoneTable(MAX_TOMBSTONES, TOMBSTONE_KEEP_S)
-        hub.register_answer(Inquiry, self.answer_inquiry)
+        hub.register_query_handler(Inquiry, self.answer_inquiry)
 
     def get_clock_ms(self) -> int:
         """Returns the milliseconds since the start of the process."""
@@ -97,15 +97,15 @@
         run = message.run
         key = (run.request_id, run.attempt)
         if key in self._runs and run.incarnation == self.gate.incarnation:
-            return InquiryAnswer(RunKnown.HERE)
-        known = self.gate.query_run(
+            return InquiryAnswer(RunKnowledge.RECORDED)
+        knowledge = self.gate.query_run(
             key,
             run.incarnation,
             run.permit_ms,
             message.forbid,
             self.get_clock_ms(),
         )
-        return InquiryAnswer(known)
+        return InquiryAnswer(knowledge)
 
     def forbid(self, dispatch: Dispatch) -> None:
         """Prevents a refused keyed run from starting later."""
--- a/src/lovagestage/gateway/exchange.py
+++ b/src/lovagestage/gateway/exchange.py
@@ -143,7 +143,7 @@
             connection = await self._connect()
             sent_s = get_elapsed_s()
             self.connect_s = sent_s - started_s
-            was_reused = connection.uses > 0
+            was_reused = connection.requests_sent > 0
             try:
                 head = await self._send_call(connection)
             except ConnectionLostError as error:
@@ -181,7 +181,7 @@
         """
         assert self._connection is not None
         try:
-            chunk = await self._connection.receive_part()
+            chunk = await self._connection.receive_body_part()
         except (ConnectionLostError, WrongMessageError) as error:
             raise AttemptFailedError("answer_broken", RunState.RAN) from error
         self.upstream.performance.stall_detector.record_data(get_elapsed_s())
@@ -237,7 +237,7 @@
             raise AttemptFailedError(
                 "unreachable",
                 RunState.UNKNOWN if self._has_sent else RunState.NOT_RUN,
-                has_arrived=self._has_sent,
+                may_have_arrived=self._has_sent,
             ) from error
         finally:
             performance.record_connect_end(begun_s)
@@ -260,9 +260,9 @@
             if head.request_id in (None, request.id):
                 return head
             # This is a second answer to an earlier request on the connection.
-            while await connection.receive_part() is not None:
+            while await connection.receive_body_part() is not None:
                 await asyncio.sleep(0)
-            connection.skip_answer()
+            connection.discard_response()
         raise WrongMessageError("Got only answers to other requests.")
 
     def _check_head(self, head: AnswerHead) -> None:
@@ -270,7 +270,7 @@
             raise AttemptFailedError("other_instance", RunState.NOT_RUN)
         if head.is_not_run:
             raise AttemptFailedError(
-                "refused", RunState.NOT_RUN, at_fault=False
+                "refused", RunState.NOT_RUN, is_upstream_at_fault=False
             )
         if not head.is_signed and head.status in _BAD_GATEWAY_CODES:
             raise AttemptFailedError("unsigned_failure", RunState.UNKNOWN)
--- a/src/lovagestage/gateway/runs.py
+++ b/src/lovagestage/gateway/runs.py
@@ -249,9 +249,9 @@
     """
     attempts.record_failure(upstream, error)
     performance, now_s = upstream.performance, get_elapsed_s()
-    if error.at_fault and error.run is RunState.RAN:
+    if error.is_upstream_at_fault and error.run is RunState.RAN:
         performance.record_answer(True)
-    elif error.at_fault:
+    elif error.is_upstream_at_fault:
         performance.record_unreachable(now_s)
     _log.warning(
         "attempt_failed",
@@ -265,7 +265,7 @@
             "left_out_s": round(performance.get_exclusion_left_s(now_s), 2),
         },
     )
-    if error.at_fault and error.reason in CRASH_LIKE_REASONS:
+    if error.is_upstream_at_fault and error.reason in CRASH_LIKE_REASONS:
         context.suspects.check_for_crash(
             attempts.fingerprint, attempts.run_name, upstream
         )
--- a/src/lovagestage/messages/peers.py
+++ b/src/lovagestage/messages/peers.py
@@ -7,7 +7,7 @@
 from lovagestage.types import (
     ServiceId,
     VmId,
-    WorkspaceTag,
+    WorkspaceHash,
 )
 
 
@@ -100,7 +100,7 @@
     versions: list[str]
 
 
-class VersionPlace(msgspec.Struct, frozen=True, array_like=True):
+class VersionLocation(msgspec.Struct, frozen=True, array_like=True):
     """A sidecar that has a version loaded."""
 
     vm: VmId
@@ -112,7 +112,7 @@
 ):
     """Answers `VersionQuestion` with some of the sidecars that have them."""
 
-    places: list[VersionPlace]
+    locations: list[VersionLocation]
 
 
 class UsageRow(msgspec.Struct, frozen=True, array_like=True):
@@ -126,7 +126,7 @@
             request through the entry.
     """
 
-    tag: WorkspaceTag
+    tag: WorkspaceHash
     used_tokens: int
     demand_per_s: int
 
--- a/src/lovagestage/wiring.py
+++ b/src/lovagestage/wiring.py
@@ -31,7 +31,7 @@
 from lovagestage.control.orders import OrderService
 from lovagestage.control.peerstate import PeerState, StateResponder
 from lovagestage.control.reader import ControlReader
-from lovagestage.control.rollout_driver import Evidence, RolloutDriver
+from lovagestage.control.rollout_driver import EvidenceSource, RolloutDriver
 from lovagestage.control.snapshotting import (
     SNAPSHOT_LEASE,
     SnapshotStream,
@@ -190,8 +190,8 @@
 def _record_control_metrics(control: ControlReader, metrics: Metrics) -> None:
     def set_gauges() -> None:
         state = control.folded
-        metrics.set(Metric.CONTROL_OFFSET, state.next_offset)
-        metrics.set(Metric.RECORDS_REFUSED, state.undecodable)
+        metrics.set_gauge(Metric.CONTROL_OFFSET, state.next_offset)
+        metrics.set_gauge(Metric.RECORDS_REFUSED, state.undecodable)
 
     control.subscribe(set_gauges)
 
@@ -344,7 +344,7 @@
     components: _Components,
     role_settings: EntrySettings,
     upstreams: UpstreamTable,
-    evidence: Evidence,
+    evidence: EvidenceSource,
 ) -> list[mode.Service]:
     lease = LeaseKeeper(
         ROLLOUT_LEASE,
--- a/tests/test_allowed_regions.py
+++ b/tests/test_allowed_regions.py
@@ -62,7 +62,7 @@
             assert harness.workers["w1"].arrivals == []
             await harness.workers["w2"].stop()
             await harness.call("/safe/x")
-            harness.store.put("keyed.op", "evacuate/b", b"{}")
+            harness.store.append_keyed("keyed.op", "evacuate/b", b"{}")
             deployment = harness.gateway.deployment
             await harness.wait_until(lambda: "b" in deployment.evacuations)
             reply = await harness.call("/safe/x")
@@ -91,7 +91,7 @@
                 ],
             }
             data = json.dumps(configuration).encode()
-            harness.store.put("keyed.op", "config", data)
+            harness.store.append_keyed("keyed.op", "config", data)
             deployment = harness.gateway.deployment
             await harness.wait_until(
                 lambda: deployment.configuration.version > 1
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -73,7 +73,7 @@
 
 
 def put_evacuation(harness, zone, body=b"{}"):
-    harness.store.put("keyed.op", f"evacuate/{zone}", body)
+    harness.store.append_keyed("keyed.op", f"evacuate/{zone}", body)
 
 
 async def send_calls(harness, count=12):
@@ -139,7 +139,7 @@
             await wait_evacuated(harness, "b", True)
             harness.store.faults.outage = "503"
             harness.put_configuration(version=2)
-            harness.store.get_topic("keyed.op").forget()
+            harness.store.get_topic("keyed.op").delete_records()
             harness.store.faults.outage = ""
             deployment = harness.gateway.deployment
             await harness.wait_until(
@@ -148,7 +148,7 @@
             assert "b" in deployment.evacuations
             harness.store.faults.outage = "503"
             put_evacuation(harness, "b", b"")
-            harness.store.get_topic("keyed.op").forget()
+            harness.store.get_topic("keyed.op").delete_records()
             harness.store.faults.outage = ""
             await wait_evacuated(harness, "b", False)
 
--- a/tests/test_gateway_feeds.py
+++ b/tests/test_gateway_feeds.py
@@ -89,7 +89,7 @@
     # gateway refuses every caller until it has read the store, so it must
     # detect the store's recovery soon.
     async with run_store() as (store, client):
-        store.put(TOPIC, "config", b"x")
+        store.append_keyed(TOPIC, "config", b"x")
         store.faults.outage = "503"
         async with run_feed(client) as (_, listener):
             await asyncio.sleep(2.0)
@@ -127,7 +127,7 @@
     # not count as a freshness confirmation.
     async with run_store() as (store, client):
         for number in range(3):
-            store.put(TOPIC, "config", b"%d" % number)
+            store.append_keyed(TOPIC, "config", b"%d" % number)
         async with run_feed(client) as (_, listener):
             await wait_until(lambda: len(listener.confirmations) >= 2)
             store.faults.stale_by = 2
@@ -144,7 +144,7 @@
             await wait_until(lambda: listener.confirmations)
             before = len(store.calls)
             for number in range(20):
-                store.put(TOPIC, f"k{number}", b"x")
+                store.append_keyed(TOPIC, f"k{number}", b"x")
                 await asyncio.sleep(0.02)
             await wait_until(lambda: len(listener.records) == 20)
             assert len(store.calls) - before <= 4
@@ -166,14 +166,14 @@
             await client.append("keyed.status", record, 1.0)
         with pytest.raises(StoreConflictError) as raised:
             await client.append("keyed.status", record, 1.0, expected_end=1)
-        assert raised.value.end == 2
+        assert raised.value.end_offset == 2
 
 
 async def test_client_reads_all_pages_and_removals():
     async with run_store() as (store, client):
         for number in range(120):
-            store.put("keyed.status", f"k{number:03}", b"%d" % number)
-        store.put("keyed.status", "k000", b"")
+            store.append_keyed("keyed.status", f"k{number:03}", b"%d" % number)
+        store.append_keyed("keyed.status", "k000", b"")
         page = await client.read_newest("keyed.status", 1.0)
         assert (len(page.records), page.end) == (119, 121)
         tail = await client.read("keyed.status", 119, 0.0, 1.0)
@@ -186,11 +186,11 @@
 async def test_client_reports_where_a_shortened_topic_starts():
     async with run_store() as (store, client):
         for _ in range(4):
-            store.put("keyed.status", "k", b"x")
-        store.get_topic("keyed.status").forget()
+            store.append_keyed("keyed.status", "k", b"x")
+        store.get_topic("keyed.status").delete_records()
         with pytest.raises(StoreHistoryLostError) as raised:
             await client.read("keyed.status", 1, 0.0, 1.0)
-        assert raised.value.first == 4
+        assert raised.value.first_offset == 4
 
 
 async def test_client_aborts_an_inactive_connection_and_opens_another():
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -196,8 +196,8 @@
             ("x3", json.dumps({**FIELDS, "Address": 5}).encode()),
             ("w1", b"[]"),
         ):
-            harness.store.put("keyed.servers", name, data)
-            harness.store.put("keyed.servers", name, data)
+            harness.store.append_keyed("keyed.servers", name, data)
+            harness.store.append_keyed("keyed.servers", name, data)
         rotation = harness.gateway.deployment.rotation
         await harness.wait_until(lambda: len(rotation.get_ready("pool")) == 2)
         replies = await asyncio.gather(
--- a/tests/test_gateway_lag.py
+++ b/tests/test_gateway_lag.py
@@ -45,7 +45,7 @@
             await wait_until(lambda: listener.confirmations)
             with caplog.at_level(logging.WARNING):
                 store.faults.break_after_bytes = 5000
-                store.put(TOPIC, "config", b"x" * 9000)
+                store.append_keyed(TOPIC, "config", b"x" * 9000)
                 await wait_until(
                     lambda: len(get_lost_records(caplog)) >= 3, 6.0
                 )
--- a/tests/test_gateway_narrow_links.py
+++ b/tests/test_gateway_narrow_links.py
@@ -32,7 +32,7 @@
         async with run_feed(client) as (_, listener):
             await wait_until(lambda: listener.confirmations)
             store.faults.bytes_per_s = LINK_BYTES_PER_S
-            store.put(TOPIC, "config", LARGE)
+            store.append_keyed(TOPIC, "config", LARGE)
             loop = asyncio.get_running_loop()
             put_s = loop.time()
             await wait_until(lambda: listener.records, 4 * TRANSFER_S)
@@ -43,7 +43,7 @@
     # Guards against a gateway that never becomes ready after a start, because
     # its first read is aborted each time.
     async with run_store() as (store, client):
-        store.put(TOPIC, "config", LARGE)
+        store.append_keyed(TOPIC, "config", LARGE)
         store.faults.bytes_per_s = LINK_BYTES_PER_S
         async with run_feed(client) as (feed, listener):
             # The first answer encodes the record as text, which is longer by a
@@ -67,7 +67,7 @@
                 lambda: feed.get_last_failure_age_s(0.0) is not None
             )
             store.faults.bytes_per_s = LINK_BYTES_PER_S
-            store.put(TOPIC, "config", LARGE)
+            store.append_keyed(TOPIC, "config", LARGE)
             store.faults.outage = ""
             await wait_until(lambda: client.is_receiving)
             await asyncio.sleep(TRANSFER_S / 2)
@@ -79,7 +79,7 @@
 async def test_answer_that_stops_midway_is_aborted_soon():
     # Guards against waiting indefinitely on a connection that stopped sending.
     async with run_store() as (store, client):
-        store.put(TOPIC, "config", LARGE)
+        store.append_keyed(TOPIC, "config", LARGE)
         store.faults.bytes_per_s = LINK_BYTES_PER_S
         read = asyncio.ensure_future(client.read(TOPIC, 0, 0.0, 0.3))
         await asyncio.sleep(0.5)
@@ -100,12 +100,12 @@
         async with run_feed(client) as (_, listener):
             await wait_until(lambda: listener.confirmations)
             store.faults.break_after_bytes = 150
-            store.put(TOPIC, "config", b"first" * 20)
+            store.append_keyed(TOPIC, "config", b"first" * 20)
             await wait_until(lambda: listener.records)
             store.faults.break_after_bytes = 250
             store.faults.outage = "503"
-            store.put(TOPIC, "config", b"other" * 20)
-            store.put(TOPIC, "config", b"third" * 50)
+            store.append_keyed(TOPIC, "config", b"other" * 20)
+            store.append_keyed(TOPIC, "config", b"third" * 50)
             store.faults.outage = ""
             await wait_until(lambda: len(listener.records) >= 2)
             assert listener.records[1] == ("config", b"other" * 20)
@@ -123,7 +123,7 @@
         await wait_until(
             lambda: len(watcher.listener.confirmations) > confirmation_count
         )
-        store.put(TOPIC, "config", LARGE)
+        store.append_keyed(TOPIC, "config", LARGE)
         await wait_until(lambda: follower.calls > calls, 0.4)
         await wait_until(lambda: follower.listener.records, 4 * TRANSFER_S)
 
@@ -151,12 +151,12 @@
     # Guards against accepting an old configuration as current while the store
     # answers from an outdated copy.
     async with run_store() as (store, client):
-        store.put(TOPIC, "config", b"old")
+        store.append_keyed(TOPIC, "config", b"old")
         relay = FakeRelay(1)
         async with run_feed(client, relay=relay) as (_, listener):
             await wait_until(lambda: listener.confirmations)
             store.faults.stale_by = 1
-            store.put(TOPIC, "config", b"new")
+            store.append_keyed(TOPIC, "config", b"new")
             relay.end = 2
             await asyncio.sleep(0.2)
             confirmation_count = len(listener.confirmations)
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -21,7 +21,7 @@
 async def test_forwards_all_events():
     async with run_gateway_harness(script=lab.make_stream(6)) as harness:
         reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert get_ids(reply) == [1, 2, 3, 4, 5, 6]
         assert reply.headers["response-signature"] == lab.SIGNATURE
 
@@ -44,7 +44,7 @@
         )
         reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
         assert get_ids(reply) == [1, 2, 3, 4, 5, 6]
-        assert reply.whole
+        assert reply.is_complete
         resume_ids = [
             arrival.headers.get("last-event-id")
             for worker in harness.workers.values()
@@ -59,7 +59,7 @@
     async with run_gateway_harness(script=script) as harness:
         reply = await harness.call("/stream/x", body=b"p", Model_Name="m")
         assert get_ids(reply) == [1, 2]
-        assert not reply.whole
+        assert not reply.is_complete
 
 
 async def test_stream_without_resumption_is_not_retried():
@@ -71,7 +71,7 @@
     script = lab.make_stream(6, break_after=2)
     async with run_gateway_harness(script=script, routes=routes) as harness:
         reply = await harness.call("/once/x", body=b"p")
-        assert not reply.whole
+        assert not reply.is_complete
         assert sum(len(w.started) for w in harness.workers.values()) == 1
 
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -12,8 +12,8 @@
 from lovagestage.decisions.routing import UpstreamView
 from lovagestage.entry.dispatcher import Dispatcher
 from lovagestage.exceptions import (
+    IsolatedRunPendingError,
     RequestRefusedError,
-    SuspectWaitingError,
     VersionWithdrawnError,
 )
 from lovagestage.execution.request import Request, Result
@@ -39,10 +39,10 @@
     def get_heartbeat(self, vm):
         return None
 
-    def note_sent(self, vm):
+    def record_sent(self, vm):
         pass
 
-    def may_return(self, version, excluded):
+    def may_recover(self, version, excluded):
         return False
 
     def send(self, vm, message):
@@ -71,7 +71,7 @@
     async def admit(self, fingerprint, label, deadline_at_s):
         self.count -= 1
         if self.count < 0:
-            raise SuspectWaitingError("waiting")
+            raise IsolatedRunPendingError("waiting")
         return False
 
     def get_strikes(self, fingerprint):
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -14,7 +14,7 @@
 from lab.fleet import Fleet
 from lab.shapes import EXAMPLES, SHAPES
 from lovagestage.cli import main
-from lovagestage.settings import parse_file
+from lovagestage.settings import parse_json_file
 from lovagestage.state.document import (
     RolloutSpec,
     RolloutState,
@@ -23,7 +23,7 @@
 from lovagestage.state.records import RolloutProgress, decode_record
 
 SHAPE = dataclasses.replace(SHAPES["thin"], models="small@1,large@1")
-DOCUMENT = parse_file(EXAMPLES / "vault.jsonc", ServiceDocument)
+DOCUMENT = parse_json_file(EXAMPLES / "vault.jsonc", ServiceDocument)
 SPEC = RolloutSpec("large@1", "large@2", [0.2, 1.0], step_min_s=1.0)
 TIMEOUT_S = 25.0
 
@@ -93,13 +93,15 @@
     path = fleet.make_operator_settings()
 
     async def read() -> str:
-        async with open_client(parse_file(path, OperatorSettings)) as client:
+        async with open_client(
+            parse_json_file(path, OperatorSettings)
+        ) as client:
             return client.control.folded.leases.by_id["rollout"].holder
 
     return asyncio.run(read())
 
 
-def test_rollout_outlives_the_kill_of_its_driver(rollout_fleet, capsys):
+def test_rollout_completes_after_its_driver_is_killed(rollout_fleet, capsys):
     # The entry that drives a roll-out is killed while engines load. Another
     # entry takes the lease, reads the progress from the log and continues.
     # Each engine loads the version exactly once, and the roll-out completes.
@@ -111,7 +113,7 @@
     assert get_accepted_loads(fleet) == {"engine-0": 1, "engine-1": 1}
 
 
-def test_rollout_waits_out_a_log_outage(rollout_fleet, capsys):
+def test_rollout_resumes_after_a_log_outage(rollout_fleet, capsys):
     # The log is unavailable during a roll-out, for longer than a step takes.
     # No move is recorded meanwhile, since the lease can't be renewed. After
     # the log recovers, the roll-out continues from the recorded step and
--- a/tests/test_version_search.py
+++ b/tests/test_version_search.py
@@ -16,7 +16,7 @@
 )
 from lovagestage.messages.peers import (
     VersionAnswer,
-    VersionPlace,
+    VersionLocation,
     VersionQuestion,
 )
 
@@ -26,7 +26,7 @@
 class FakeUpstreams:
     def __init__(self, versions) -> None:
         self.versions = versions
-        self.has_all = False
+        self.subset_has_all = False
         self.extra: frozenset[str] = frozenset()
 
     def get_versions(self):
@@ -34,7 +34,7 @@
 
     get_subset_versions = get_versions
 
-    def set_extra(self, vms) -> None:
+    def set_extra_vms(self, vms) -> None:
         self.extra = vms
 
 
@@ -93,5 +93,5 @@
     locations = find_locations([RARE], loaded)
     assert len(locations) == MIN_UPSTREAMS
     assert choose_extra_upstreams(locations, [RARE], loaded) == frozenset()
-    extra = choose_extra_upstreams([VersionPlace("far", RARE)], [RARE], {})
+    extra = choose_extra_upstreams([VersionLocation("far", RARE)], [RARE], {})
     assert extra == {"far"}
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -208,9 +208,9 @@
             1, services=SERVICES, routes=ROUTES
         ) as harness:
             deployment = harness.gateway.deployment
-            harness.store.put("keyed.op", "evacuate/a", b"{}")
+            harness.store.append_keyed("keyed.op", "evacuate/a", b"{}")
             await harness.wait_until(lambda: "a" in deployment.evacuations)
-            harness.store.put("keyed.op", "evacuate/a", b"")
+            harness.store.append_keyed("keyed.op", "evacuate/a", b"")
             await harness.wait_until(lambda: "a" not in deployment.evacuations)
             statuses, took_s = await send_burst(harness, 0.8, 60)
             assert len(harness.workers["w1"].started) <= 6 * took_s
