--- a/tests/test_billing_fleet.py
+++ b/tests/test_billing_fleet.py
@@ -120,7 +120,7 @@
         assert send_request(entry)[1]["X-Billed-Tokens"]
 
 
-def test_cancelled_stream_is_billed_for_what_came(small_fleet, capsys):
+def test_cancelled_stream_is_billed_for_received_tokens(small_fleet, capsys):
     # The caller disconnects in the middle of a stream. The stream is billed,
     # for fewer tokens than the caller asked for.
     fleet = small_fleet
--- a/tests/test_deadlines_fleet.py
+++ b/tests/test_deadlines_fleet.py
@@ -74,7 +74,7 @@
     assert len(fleet.get_stats("engine-0")["runs"]) == JOBS + 1
 
 
-def test_planned_stop_runs_what_waits(fleet):
+def test_planned_stop_runs_queued_requests(fleet):
     # The entry stops as planned while jobs wait for their slot. One after
     # another, the jobs would delay the stop for hours and be cut off in the
     # end. They are started in parallel, and all get complete answers.
--- a/tests/test_escalation.py
+++ b/tests/test_escalation.py
@@ -68,7 +68,7 @@
     return body["choices"][0]["message"]["content"], result
 
 
-def test_doubtful_answer_is_replaced_and_billed_once():
+def test_low_quality_answer_is_replaced_and_billed_once():
     # The cheap version returns an empty answer. The better version is asked
     # within the same request. The caller gets its answer and is billed for its
     # version and its tokens, in one record; the result keeps the tokens of
@@ -96,7 +96,9 @@
         ("", "stop", {"plan": Plan("small@1")}),
     ],
 )
-def test_no_second_answer_without_doubt_time_or_plan(small, reason, changes):
+def test_no_second_answer_without_low_quality_time_or_plan(
+    small, reason, changes
+):
     dispatcher = FakeDispatcher(small, reason, "Better.")
     text, _ = run(dispatcher, make_request(**changes))
     assert text == small
--- a/tests/test_keyed_refusals.py
+++ b/tests/test_keyed_refusals.py
@@ -83,7 +83,7 @@
         ("k" * 300, {}, "model_not_allowed", "not_run"),
     ],
 )
-def test_refusal_before_the_claim_tells_of_an_earlier_run(
+def test_refusal_before_the_claim_reports_an_earlier_run(
     fleet, key, more, code, run
 ):
     # The caller's first request ran, but the caller lost its answer. Before
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -122,7 +122,7 @@
     assert top_level_names.isdisjoint(IMPURE_MODULES)
 
 
-def test_no_module_imports_itself_through_others():
+def test_no_import_cycles():
     modules = dict(get_modules())
     sorter = graphlib.TopologicalSorter(
         {
@@ -134,7 +134,7 @@
     sorter.prepare()
 
 
-def test_an_import_upwards_is_found():
+def test_import_of_higher_layer_is_found():
     imports = ["lovagestage.entry.dispatcher", "lovagestage.types", "time"]
     assert find_upward("lovagestage.state.fold", imports) == imports[:1]
     assert find_upward("lovagestage.api.entry", imports) == []
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -69,7 +69,9 @@
     assert exit_codes == [0]
 
 
-def test_stopping_sidecar_gets_nothing_new_and_cuts_nothing(fleet):
+def test_stopping_sidecar_gets_no_new_requests_and_completes_open_streams(
+    fleet,
+):
     # Callers get no refusal. A sidecar with an open stream receives SIGTERM:
     # two seconds later no new request runs there, and the stream is complete.
     readers = [StreamReader(fleet, 400) for _ in range(6)]
@@ -98,7 +100,7 @@
     assert exit_codes == [0]
 
 
-def test_upstream_listed_as_leaving_gets_nothing_new(fleet):
+def test_upstream_listed_as_leaving_gets_no_new_requests(fleet):
     # The sidecar does not know yet that its VM is leaving. Only the platform's
     # list, which is a second late, says so.
     bus = fleet.children["sidecar-0"].bus
--- a/tests/test_plain_services.py
+++ b/tests/test_plain_services.py
@@ -168,7 +168,7 @@
     assert sum_stats(fleet, "runs_by_path", "/echo") == before + 1
 
 
-def test_lookup_is_sent_again(fleet):
+def test_get_request_is_retried_at_another_upstream(fleet):
     # One plain service drops an answer. A GET has no effect, so that the entry
     # retries it at the other service; the caller only sees a second attempt.
     fleet.set_fault(NEAREST, drop_after_run=1)
@@ -268,7 +268,7 @@
     assert sum_stats(fleet, "runs_by_path", "/charge") == before + 1
 
 
-def test_planned_stop_of_a_sidecar_cuts_off_no_charge(fleet):
+def test_planned_stop_of_a_sidecar_completes_open_charges(fleet):
     # A charge is slow, and its sidecar is told to stop meanwhile. The charge
     # is answered, later charges go to the other sidecar, and the process exits
     # with status 0.
--- a/tests/test_quality_fleet.py
+++ b/tests/test_quality_fleet.py
@@ -182,7 +182,7 @@
     harness.wait_for_gates(lambda gate: gate["is_recorded"], "recorded")
 
 
-def test_restarted_entry_keeps_to_a_stop_that_the_log_has_not(harness):
+def test_restarted_entry_applies_a_stop_missing_from_the_log(harness):
     # The log is down, an entry has stopped a version, and the other entry is
     # replaced. The new process starts with a gate that knows of no stop, and
     # receives the stop with the first report of its peer.
@@ -230,7 +230,7 @@
     assert not any(g["stop_reason"] for g in harness.get_gates())
 
 
-def test_cascade_follows_the_ratings_of_the_cheap_version():
+def test_cascade_adapts_to_ratings_of_the_cheap_version():
     # A class starts with its best version. The ratings of a few explored
     # answers prove at both entries that the cheap version is good enough, and
     # most requests then go to it. When the cheap version becomes bad, the
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -93,7 +93,9 @@
         (["not_run"], 1, "not_run"),
     ],
 )
-async def test_refusal_speaks_for_all_attempts(states, admitted, told):
+async def test_refusal_reports_run_state_of_all_attempts(
+    states, admitted, told
+):
     # A first attempt may have run. A later attempt is proved not to have run,
     # finds no upstream or is not admitted. If the refusal described the later
     # attempt alone, the caller would send a request again that has run.
--- a/tests/test_request_keys.py
+++ b/tests/test_request_keys.py
@@ -162,7 +162,7 @@
     check_history(history)
 
 
-def test_key_is_unknown_when_all_that_held_it_are_gone(own_fleet):
+def test_key_is_unknown_when_all_its_holders_are_gone(own_fleet):
     # A request has run, and both entries that held its key are killed at the
     # same time. The retry through the third entry must not run again, because
     # no process knows whether the request has run.
@@ -209,7 +209,7 @@
     check_history(history)
 
 
-def test_key_outlives_a_pause_of_both_that_held_it(fleet):
+def test_key_outlives_a_pause_of_both_its_holders(fleet):
     # A request has run. Both entries that held its key are paused for longer
     # than the silence after which a member is removed, as when their host
     # stalls. One entry is removed. If the other entry were removed too, the
@@ -249,7 +249,9 @@
     check_history(history)
 
 
-def test_paused_sidecar_is_unknown_at_once_and_answers_later(fleet):
+def test_paused_sidecar_is_reported_unknown_immediately_and_answers_later(
+    fleet,
+):
     # The sidecar that runs the request is paused. A retry is refused
     # immediately as unknown, with a retry time; after the pause a retry gets
     # the answer.
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -120,7 +120,7 @@
     assert answer.index(b"id: 2999\n") > answer.index(b"id: 2998\n")
 
 
-async def test_reader_that_is_gone_does_not_hold_up_the_run():
+async def test_removed_reader_does_not_block_the_run():
     # A second entry reads the complete answer. The first entry's connection
     # stopped working while its window was full, and the sidecar removes it
     # when its heartbeats stay away.
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("stream", [False, True])
-async def test_engine_gone_in_the_middle_is_never_called_not_run(stream):
+async def test_engine_crash_mid_answer_is_never_reported_not_run(stream):
     # The caller may retry a request that may run once only where it was not
     # run. The engine dies after some tokens, and its port refuses the
     # resumption. That proves nothing about the earlier tokens, even if none
@@ -179,7 +179,7 @@
         max_size=60,
     )
 )
-def test_barred_is_only_said_of_runs_that_never_were_nor_will_be(steps):
+def test_barred_state_implies_that_the_run_never_executes(steps):
     # The test models a sidecar: a run may start unless it is barred, and is
     # forgotten later. `REFUSED` must stay true whatever was dropped at the
     # table's limit.
@@ -204,7 +204,7 @@
         assert len(table) <= 3
 
 
-def test_attempt_takes_chunks_in_any_order_once():
+def test_attempt_accepts_chunks_in_any_order_once():
     attempt = Attempt(KEY, "sidecar", 0)
     for seq, data, count in [(2, b"c", 1), (0, b"ab", 2), (1, b"b", 1)]:
         attempt.add(Chunk(*KEY, seq, data, count))
--- a/tests/test_sessions_fleet.py
+++ b/tests/test_sessions_fleet.py
@@ -126,7 +126,9 @@
         call("POST", f"{engine.url}/orders", json.dumps(body).encode())
 
 
-def test_session_waits_while_its_version_has_no_capacity(publisher):
+def test_session_request_is_refused_while_its_version_has_no_capacity(
+    publisher,
+):
     # For a while no engine has loaded large@1, and all have capacity for
     # large@2. The session's request is refused as not run, with a retry time,
     # instead of moved; no new session is opened on large@1 either. Once the
@@ -195,7 +197,7 @@
     assert codes["refused"] <= len(fleet.entries), codes
 
 
-def test_session_moves_visibly_where_the_document_says_so(publisher):
+def test_session_move_is_reported_where_the_document_allows_it(publisher):
     fleet = publisher.fleet
     publisher.publish({})
     for entry in fleet.entries:
--- a/tests/test_version_search.py
+++ b/tests/test_version_search.py
@@ -74,7 +74,7 @@
     assert upstreams.extra == {"far"}
 
 
-async def test_search_in_vain_grows_rare():
+async def test_search_pauses_grow_while_nothing_is_found():
     upstreams = FakeUpstreams({"near": ["common@1"]})
     peers = FakePeers({"e-1": {}})
     search = make_search(upstreams, peers)
@@ -83,7 +83,7 @@
     assert 300 / MAX_PAUSE_S < peers.question_count < 300 / MAX_PAUSE_S + 6
 
 
-def test_enough_upstreams_are_wanted_of_each_version():
+def test_search_covers_versions_with_too_few_upstreams():
     loaded = {f"vm-{n}": [RARE] for n in range(MIN_UPSTREAMS + 2)}
     assert find_scarce_versions([RARE], loaded) == []
     assert find_scarce_versions([RARE, "b@1"], {"vm-0": [RARE]}) == [
