--- a/lab/experiments/capacity.py
+++ b/lab/experiments/capacity.py
@@ -32,7 +32,7 @@
 from lab.usage import get_usage
 from lovagestage.bus.transport import Listener, PeerId
 from lovagestage.decisions.routing import UpstreamView, choose_upstream
-from lovagestage.execution.sidecar import get_state_hash, shorten
+from lovagestage.execution.sidecar import get_state_hash, omit_known_state
 from lovagestage.messages.envelope import Heartbeat, Hello, Message
 from lovagestage.settings import BusSettings
 from lovagestage.state.document import (
@@ -323,7 +323,7 @@
     def _on_message(self, peer: PeerId, message: Message) -> None:
         if isinstance(message, Hello):
             heartbeat = self._make_heartbeat(message.sequence)
-            self.listener.send(peer, shorten(heartbeat, message))
+            self.listener.send(peer, omit_known_state(heartbeat, message))
 
     def _make_heartbeat(self, received_sequence: int) -> Heartbeat:
         self._sequence += 1
--- a/lab/experiments/limits.py
+++ b/lab/experiments/limits.py
@@ -22,7 +22,7 @@
 from lab.experiments import Result
 from lovagestage.decisions.limits import Charge, Limit, LimitTable
 from lovagestage.entry.limit_service import (
-    FRAME_BYTES,
+    MESSAGE_OVERHEAD_BYTES,
     REPORT_INTERVAL_S,
     get_report_count,
 )
@@ -266,7 +266,7 @@
         start = self._next_peer[vm] % len(live)
         self._next_peer[vm] = start + count
         receivers = (live[start:] + live[:start])[:count]
-        size_bytes = (size_bytes + FRAME_BYTES) * len(receivers)
+        size_bytes = (size_bytes + MESSAGE_OVERHEAD_BYTES) * len(receivers)
         self._trace.sent_bytes[int(now_s)] += size_bytes
         for peer in receivers:
             self._schedule(now_s + REPORT_DELAY_S, _Delivery(peer, report))
--- a/src/lovagestage/api/authentication.py
+++ b/src/lovagestage/api/authentication.py
@@ -8,8 +8,8 @@
 from aiohttp import web
 
 from lovagestage.control.reader import ControlReader
+from lovagestage.entry.answer_tracking import AnswerTracker
 from lovagestage.entry.keyed_refusals import get_progress
-from lovagestage.entry.trials import Trials
 from lovagestage.exceptions import InvalidApiKeyError, NotReadyError
 from lovagestage.state.document import ServiceDocument, get_key_digest
 from lovagestage.state.documents import ServiceInForce
@@ -40,7 +40,7 @@
         trials: Roll-outs, which remove stopped versions from documents.
     """
 
-    def __init__(self, control: ControlReader, trials: Trials) -> None:
+    def __init__(self, control: ControlReader, trials: AnswerTracker) -> None:
         self._control = control
         self._trials = trials
         self._index: dict[str, Caller] = {}
--- a/src/lovagestage/api/caller_api.py
+++ b/src/lovagestage/api/caller_api.py
@@ -15,7 +15,7 @@
 from lovagestage.bus.upstreams import UpstreamTable
 from lovagestage.control.reader import ControlReader
 from lovagestage.decisions.plain_calls import find_route
-from lovagestage.entry.keyed_refusals import KeyedRefusals
+from lovagestage.entry.keyed_refusals import KeyedRefusalCorrector
 from lovagestage.exceptions import (
     BodyTooLargeError,
     IncompleteBodyError,
@@ -55,7 +55,7 @@
         authenticator: Authenticator,
         chat: ChatApi,
         plain: PlainApi,
-        refusals: KeyedRefusals,
+        refusals: KeyedRefusalCorrector,
         meter: RequestMeter,
     ) -> None:
         self._settings = settings
@@ -122,7 +122,7 @@
     async def _answer_refusal(
         self, request: web.Request, error: RequestRefusedError
     ) -> web.Response:
-        await self._refusals.correct(request, error)
+        await self._refusals.correct_run_state(request, error)
         return make_error_response(error)
 
     async def _get_health(self, request: web.Request) -> web.Response:
--- a/src/lovagestage/api/chat_admission.py
+++ b/src/lovagestage/api/chat_admission.py
@@ -18,11 +18,11 @@
     is_pinned,
     resolve_model,
 )
+from lovagestage.entry.answer_tracking import AnswerTracker
 from lovagestage.entry.deferral_service import (
     HEADER_DEADLINE,
     resolve_deadline_s,
 )
-from lovagestage.entry.trials import Trials
 from lovagestage.exceptions import (
     MalformedRequestError,
     ModelNotAllowedError,
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        trials: Trials,
+        trials: AnswerTracker,
         signer: SessionSigner,
         default_deadline_s: float,
     ) -> None:
@@ -125,7 +125,7 @@
         resolved_version = resolve_session_version(session, name, caller, spec)
         if is_pinned(session, resolved_version):
             return Choice(resolved_version)
-        return self._trials.choose(
+        return self._trials.choose_version(
             name, resolved_version, caller.document, caller.workspace
         )
 
--- a/src/lovagestage/api/chat_answers.py
+++ b/src/lovagestage/api/chat_answers.py
@@ -20,7 +20,7 @@
     is_pinned,
     make_next_session,
 )
-from lovagestage.entry.billed import BilledStream, make_bill
+from lovagestage.entry.answer_billing import BilledStream, make_bill
 from lovagestage.entry.billing_service import BillingService
 from lovagestage.exceptions import RequestRefusedError
 from lovagestage.execution.request import Request, Result
@@ -74,7 +74,9 @@
         """Sends the answer in one body, and bills it."""
         body = b"".join([chunk async for chunk in chunks])
         billed_request = _make_billed_request(admitted, result)
-        await self._billing.add(make_bill(billed_request, result, time.time()))
+        await self._billing.add_bill(
+            make_bill(billed_request, result, time.time())
+        )
         return web.Response(
             body=body,
             content_type="application/json",
@@ -122,16 +124,16 @@
     measurement: Measurement,
 ) -> None:
     try:
-        await response.write(stream.add(first_chunk))
+        await response.write(stream.add_chunk(first_chunk))
         async for chunk in chunks:
-            await response.write(stream.add(chunk))
-        await response.write(await stream.end(time.time()))
+            await response.write(stream.add_chunk(chunk))
+        await response.write(await stream.finish(time.time()))
     except RequestRefusedError as error:
         measurement.record_refusal(error.code)
         body = msgspec.json.encode(make_error_body(error))
         await response.write(b"data: " + body + b"\n\n")
     except (ConnectionError, asyncio.CancelledError):
-        stream.cancel(time.time())
+        stream.bill_partial(time.time())
         raise
 
 
--- a/src/lovagestage/api/chat_api.py
+++ b/src/lovagestage/api/chat_api.py
@@ -10,14 +10,14 @@
 from lovagestage.api.chat_admission import ChatAdmission
 from lovagestage.api.chat_answers import ChatAnswers
 from lovagestage.api.chat_fields import parse_fields
+from lovagestage.entry.answer_tracking import AnswerTracker
 from lovagestage.entry.billing_service import BillingService
 from lovagestage.entry.deferral_service import DeferralService
 from lovagestage.entry.dispatcher import Dispatcher
-from lovagestage.entry.escalation import Escalation, may_run_twice
+from lovagestage.entry.escalation import Escalation, may_escalate_request
 from lovagestage.entry.keyed_refusals import get_progress
 from lovagestage.entry.keyed_runs import HEADER_KEY, KeyedRuns
 from lovagestage.entry.limit_service import LimitService
-from lovagestage.entry.trials import Trials
 from lovagestage.execution.request import Request, Result
 from lovagestage.telemetry.measurement import get_measurement
 
@@ -45,7 +45,7 @@
         dispatcher: Dispatcher,
         keyed: KeyedRuns,
         escalation: Escalation,
-        trials: Trials,
+        trials: AnswerTracker,
         billing: BillingService,
         limits: LimitService,
         deferrals: DeferralService,
@@ -82,7 +82,7 @@
         )
         charge = self._limits.charge(admitted, result, max_tokens, keyed)
         try:
-            with self._billing.reserve(), charge:
+            with self._billing.reserve_space(), charge:
                 get_progress(request).is_claiming = True
                 if fields.stream:
                     return await self._answers.answer_stream(
@@ -100,8 +100,8 @@
         key = request.headers.get(HEADER_KEY)
         if key is not None:
             chunks = self._keyed.run(admitted, key, result)
-        elif may_run_twice(admitted):
+        elif may_escalate_request(admitted):
             chunks = self._escalation.run(admitted, result)
         else:
             chunks = self._dispatcher.run(admitted, result)
-        return self._trials.watch(admitted, result, chunks)
+        return self._trials.track_answer(admitted, result, chunks)
--- a/src/lovagestage/api/entry.py
+++ b/src/lovagestage/api/entry.py
@@ -21,15 +21,15 @@
 from lovagestage.bus.upstreams import UpstreamTable
 from lovagestage.control.reader import ControlReader
 from lovagestage.decisions.sessions import SessionSigner
+from lovagestage.entry.answer_tracking import AnswerTracker
 from lovagestage.entry.billing_service import BillingService
 from lovagestage.entry.deferral_service import DeferralService
 from lovagestage.entry.dispatcher import Dispatcher
 from lovagestage.entry.escalation import Escalation
 from lovagestage.entry.key_service import KeyService
-from lovagestage.entry.keyed_refusals import KeyedRefusals
+from lovagestage.entry.keyed_refusals import KeyedRefusalCorrector
 from lovagestage.entry.keyed_runs import KeyedRuns
 from lovagestage.entry.limit_service import LimitService
-from lovagestage.entry.trials import Trials
 from lovagestage.messages.envelope import (
     DumpAnswer,
     DumpRequest,
@@ -78,7 +78,7 @@
         hub: Hub,
         billing: BillingService,
         keys: KeyService,
-        trials: Trials,
+        trials: AnswerTracker,
         limits: LimitService,
         deferrals: DeferralService,
         metrics: Metrics,
@@ -116,7 +116,7 @@
             PlainApi(
                 self._dispatcher, keyed, self._role_settings.default_deadline_s
             ),
-            KeyedRefusals(self._keys),
+            KeyedRefusalCorrector(self._keys),
             RequestMeter(self._metrics),
         )
 
@@ -157,7 +157,7 @@
         """Reports to the balancer as leaving and waits for open requests."""
         self._api.leaving = True
         _log.info("drain_started", extra={"open": self._api.open_requests})
-        self._deferrals.release()
+        self._deferrals.start_all()
         await asyncio.sleep(BALANCER_NOTICE_S)
         try:
             await asyncio.wait_for(
--- a/src/lovagestage/entry/billed.py
+++ b/src/lovagestage/entry/answer_billing.py
@@ -67,7 +67,7 @@
         self._received_tokens = 0
         self._is_billed = False
 
-    def add(self, chunk: bytes) -> bytes:
+    def add_chunk(self, chunk: bytes) -> bytes:
         """Adds a chunk of the answer.
 
         Args:
@@ -84,7 +84,7 @@
         sendable, self._held_back = self._held_back, b""
         return sendable
 
-    async def end(self, now_s: float) -> bytes:
+    async def finish(self, now_s: float) -> bytes:
         """Bills the complete answer.
 
         Args:
@@ -94,10 +94,12 @@
             The chunk that was held back, to be sent to the caller.
         """
         self._is_billed = True
-        await self._billing.add(make_bill(self._request, self._result, now_s))
+        await self._billing.add_bill(
+            make_bill(self._request, self._result, now_s)
+        )
         return self._held_back
 
-    def cancel(self, now_s: float) -> None:
+    def bill_partial(self, now_s: float) -> None:
         """Bills the tokens that had arrived when the caller disconnected.
 
         Nothing is billed if no token had arrived, or if the answer is billed
--- a/src/lovagestage/entry/trials.py
+++ b/src/lovagestage/entry/answer_tracking.py
@@ -66,7 +66,7 @@
         return parse_answer(b"".join(self.chunks), stream)
 
 
-class Trials:
+class AnswerTracker:
     """Assigns requests to plans and roll-outs, and reports their outcomes.
 
     Args:
@@ -89,15 +89,17 @@
         """Returns the document; see `ExposureService.get_document`."""
         return self._exposure.get_document(document)
 
-    def choose(
+    def choose_version(
         self,
         name: str,
         resolved: ModelVersion,
         document: ServiceDocument,
         workspace: WorkspaceId,
     ) -> Choice:
-        """Chooses a version; see `ExposureService.choose`."""
-        return self._exposure.choose(name, resolved, document, workspace)
+        """Chooses a version; see `ExposureService.choose_version`."""
+        return self._exposure.choose_version(
+            name, resolved, document, workspace
+        )
 
     def choose_plan(
         self,
@@ -123,13 +125,15 @@
         Returns:
             The version of the request; None where no plan applies.
         """
-        arm = self._cascades.choose(
+        arm = self._cascades.choose_plan(
             document, workspace, class_name, spec, prompt_bytes
         )
         version = parse_model_version(arm.plan.first) if arm else None
         if arm is None or version is None:
             return None
-        choice = self.choose(document.service, version, document, workspace)
+        choice = self.choose_version(
+            document.service, version, document, workspace
+        )
         if choice.version != version:
             return choice
         return dataclasses.replace(choice, arm=arm)
@@ -142,7 +146,7 @@
             "ratings": self._quality.get_sizes() if self._quality else None,
         }
 
-    async def watch(
+    async def track_answer(
         self, request: Request, result: Result, chunks: AsyncIterator[bytes]
     ) -> AsyncIterator[bytes]:
         """Forwards an answer and reports its outcome once it has ended.
--- a/src/lovagestage/entry/billing_service.py
+++ b/src/lovagestage/entry/billing_service.py
@@ -81,7 +81,7 @@
         self._timers.subscribe(RENEW_INTERVAL_S, self._on_renew_due)
 
     @contextlib.contextmanager
-    def reserve(self) -> Iterator[None]:
+    def reserve_space(self) -> Iterator[None]:
         """Reserves space for the bill of a request while the request is open.
 
         Raises:
@@ -99,7 +99,7 @@
         finally:
             self._ledger.release()
 
-    async def add(self, bill: Bill) -> None:
+    async def add_bill(self, bill: Bill) -> None:
         """Adds a bill and copies it to a peer.
 
         The call returns once the peer has confirmed its copy, and after
@@ -124,7 +124,7 @@
         Args:
             bill: The bill.
         """
-        self._start_task(self.add(bill))
+        self._start_task(self.add_bill(bill))
 
     async def flush(self) -> None:
         """Appends all bills immediately, before a planned stop.
--- a/src/lovagestage/entry/cascade_service.py
+++ b/src/lovagestage/entry/cascade_service.py
@@ -106,7 +106,7 @@
         hub.register(LearnedDelta, self._on_delta)
         timers.subscribe(PUBLISH_INTERVAL_S, self._on_publish_due)
 
-    def choose(
+    def choose_plan(
         self,
         document: ServiceDocument,
         workspace: WorkspaceId,
--- a/src/lovagestage/entry/deferral_service.py
+++ b/src/lovagestage/entry/deferral_service.py
@@ -24,7 +24,7 @@
 
 HEADER_DEADLINE = "X-Deadline-S"
 DEADLINE_FIELD = "deadline_s"
-FIRST_TOKEN_S = 1.0
+FIRST_TOKEN_ESTIMATE_S = 1.0
 DEFAULT_MAX_TOKENS = 1024
 """Completion tokens that are planned for a request without a maximum."""
 RETRY_INTERVAL_S = 0.5
@@ -87,7 +87,7 @@
             self._start_events.pop(request.request_id, None)
             self._start_next()
 
-    def release(self) -> None:
+    def start_all(self) -> None:
         """Starts all queued requests, so that a planned stop drops none.
 
         The engines still run them with lower priority than urgent requests.
--- a/src/lovagestage/entry/escalation.py
+++ b/src/lovagestage/entry/escalation.py
@@ -112,7 +112,7 @@
     return dataclasses.replace(request, version=version)
 
 
-def may_run_twice(request: Request) -> bool:
+def may_escalate_request(request: Request) -> bool:
     """Returns whether a second version may be asked to answer the request."""
     return request.arm is not None and request.repeatable and not request.stream
 
--- a/src/lovagestage/entry/exposure_service.py
+++ b/src/lovagestage/entry/exposure_service.py
@@ -104,7 +104,7 @@
         ]
         return withdraw_stopped(document, stopped)
 
-    def choose(
+    def choose_version(
         self,
         name: str,
         resolved: ModelVersion,
--- a/src/lovagestage/entry/keyed_refusals.py
+++ b/src/lovagestage/entry/keyed_refusals.py
@@ -66,7 +66,7 @@
     return request[_PROGRESS]
 
 
-class KeyedRefusals:
+class KeyedRefusalCorrector:
     """Asks the holders of a key before a refusal may say `not_run`.
 
     Args:
@@ -76,7 +76,7 @@
     def __init__(self, keys: KeyService) -> None:
         self._keys = keys
 
-    async def correct(
+    async def correct_run_state(
         self, request: web.Request, error: RequestRefusedError
     ) -> None:
         """Changes `not_run` to `unknown` where the key may have run.
--- a/src/lovagestage/entry/limit_service.py
+++ b/src/lovagestage/entry/limit_service.py
@@ -31,7 +31,7 @@
 REPORT_BUDGET_BYTES_PER_S = 2500
 """Bytes per second for usage reports, out of the 3 KB/s that control traffic
 may use on each VM."""
-FRAME_BYTES = 100
+MESSAGE_OVERHEAD_BYTES = 100
 """Size in bytes of the IP, TCP, ZMTP and CURVE headers of one message."""
 
 
@@ -169,7 +169,9 @@
         The number of peers, at least 1.
     """
     budget_bytes = REPORT_BUDGET_BYTES_PER_S * REPORT_INTERVAL_S
-    affordable_reports = int(budget_bytes // (size_bytes + FRAME_BYTES))
+    affordable_reports = int(
+        budget_bytes // (size_bytes + MESSAGE_OVERHEAD_BYTES)
+    )
     return max(1, min(peers, affordable_reports))
 
 
--- a/src/lovagestage/execution/rights.py
+++ b/src/lovagestage/execution/permissions.py
@@ -30,7 +30,7 @@
 then."""
 
 
-class RequestRights:
+class RequestPermissions:
     """The entry's check of a request that it is about to send.
 
     A request may have been held after its admission, for instance while the
--- a/src/lovagestage/execution/runs.py
+++ b/src/lovagestage/execution/runs.py
@@ -218,7 +218,7 @@
         run.task.cancel()
         await self._engine.cancel(message.request_id)
 
-    def is_barred_beside(self, dispatch: Dispatch) -> bool:
+    def conflicts_with_probe(self, dispatch: Dispatch) -> bool:
         """Returns whether a suspect must not run beside the runs in progress.
 
         A crash during a probe convicts the probed request. If another request
--- a/src/lovagestage/execution/sidecar.py
+++ b/src/lovagestage/execution/sidecar.py
@@ -23,7 +23,7 @@
     RequestRefusedError,
     RouteNotAllowedError,
 )
-from lovagestage.execution.rights import check_pool, check_version
+from lovagestage.execution.permissions import check_pool, check_version
 from lovagestage.execution.runs import RunTable
 from lovagestage.messages.envelope import (
     DumpAnswer,
@@ -48,7 +48,7 @@
 _log = logging.getLogger(__name__)
 
 EXPIRY_INTERVAL_S = 1.0
-ENGINE_LOST_S = 2.0
+ENGINE_TIMEOUT_S = 2.0
 """Time in seconds after which an engine whose state can't be read is reported
 to have no versions; it equals the time that an entry waits for a sidecar that
 sends nothing. A single read may fail on a connection that the engine has just
@@ -88,7 +88,7 @@
     return int(xxhash.xxh32_intdigest(text.encode())) or 1
 
 
-def shorten(heartbeat: Heartbeat, hello: Hello) -> Heartbeat:
+def omit_known_state(heartbeat: Heartbeat, hello: Hello) -> Heartbeat:
     """Omits the state that the asking entry already knows.
 
     Args:
@@ -175,7 +175,7 @@
         assert isinstance(message, Hello)
         self._peers[peer] = time.monotonic()
         heartbeat = self._make_heartbeat(message.sequence)
-        self._hub.send(peer, shorten(heartbeat, message))
+        self._hub.send(peer, omit_known_state(heartbeat, message))
 
     def _on_attach(self, peer: PeerId, message: Message) -> None:
         assert isinstance(message, Attach)
@@ -236,7 +236,7 @@
             return "no_capacity", "The upstream is leaving."
         if self._runs.running >= self._role.max_running:
             return "no_capacity", "The upstream is full."
-        if self._runs.is_barred_beside(dispatch):
+        if self._runs.conflicts_with_probe(dispatch):
             return "suspect_waiting", "A request is being probed here."
         service = self._control.services.get(ServiceId(dispatch.service))
         if service is None:
@@ -274,7 +274,7 @@
             self._engine_last_read_s = time.monotonic()
         except EngineError as error:
             age_s = time.monotonic() - self._engine_last_read_s
-            if age_s > ENGINE_LOST_S:
+            if age_s > ENGINE_TIMEOUT_S:
                 self._versions = []
             _log.warning(
                 "engine_load_failed",
--- a/src/lovagestage/wiring.py
+++ b/src/lovagestage/wiring.py
@@ -42,18 +42,21 @@
 from lovagestage.decisions.deadlines import DeferralQueue, SlotSpec
 from lovagestage.decisions.learned_counters import LearnedCounters
 from lovagestage.decisions.limits import LimitTable
+from lovagestage.entry.answer_tracking import AnswerTracker
 from lovagestage.entry.billing_service import BillingService
 from lovagestage.entry.cascade_service import CascadeService
 from lovagestage.entry.crash_watch import CrashWatch
-from lovagestage.entry.deferral_service import FIRST_TOKEN_S, DeferralService
+from lovagestage.entry.deferral_service import (
+    FIRST_TOKEN_ESTIMATE_S,
+    DeferralService,
+)
 from lovagestage.entry.dispatcher import Dispatcher
 from lovagestage.entry.exposure_service import ExposureService
 from lovagestage.entry.key_service import KeyService
 from lovagestage.entry.limit_service import LimitService
 from lovagestage.entry.quality import QualityService
-from lovagestage.entry.trials import Trials
 from lovagestage.entry.version_search import VersionSearch
-from lovagestage.execution.rights import RequestRights
+from lovagestage.execution.permissions import RequestPermissions
 from lovagestage.execution.runs import RunTable
 from lovagestage.execution.sidecar import Sidecar
 from lovagestage.messages.envelope import Hello
@@ -234,7 +237,7 @@
         random.Random(),
         components.timers,
         CrashWatch(peers, components.hub),
-        RequestRights(components.control),
+        RequestPermissions(components.control),
     )
     billing = _make_billing(components, role_settings, peers)
     exposure = _make_exposure(components, peers)
@@ -257,7 +260,7 @@
         components.hub,
         billing,
         keys,
-        Trials(exposure, cascades, quality),
+        AnswerTracker(exposure, cascades, quality),
         limits,
         _make_deferrals(role_settings),
         components.metrics,
@@ -295,7 +298,7 @@
     spec = SlotSpec(
         role_settings.deferred_slots,
         role_settings.deferred_tokens_per_s,
-        FIRST_TOKEN_S,
+        FIRST_TOKEN_ESTIMATE_S,
     )
     return DeferralService(DeferralQueue(spec, role_settings.deferred_limit))
 
--- a/tests/test_billing.py
+++ b/tests/test_billing.py
@@ -17,7 +17,7 @@
 )
 
 from lovagestage.decisions import billing
-from lovagestage.entry import billed
+from lovagestage.entry import answer_billing
 from lovagestage.messages.peers import BillCopy, BillRelease
 from lovagestage.operations import usage
 
@@ -218,9 +218,9 @@
     )
     result = types.SimpleNamespace(version="large@1", finished=None)
     stream = billed.BilledStream(request, result, Service())
-    steps.append(stream.add(b'data: {"content":"a"}'))
-    steps.append(stream.add(b"data: [DONE]"))
-    steps.append(await stream.end(0.0))
+    steps.append(stream.add_chunk(b'data: {"content":"a"}'))
+    steps.append(stream.add_chunk(b"data: [DONE]"))
+    steps.append(await stream.finish(0.0))
     assert steps == [b'data: {"content":"a"}', b"", "r1", b"data: [DONE]"]
 
 
--- a/tests/test_escalation.py
+++ b/tests/test_escalation.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from lovagestage.entry.billed import make_bill
-from lovagestage.entry.escalation import Escalation, may_run_twice
+from lovagestage.entry.answer_billing import make_bill
+from lovagestage.entry.escalation import Escalation, may_escalate_request
 from lovagestage.exceptions import NoCapacityError
 from lovagestage.execution.request import Request, Result
 from lovagestage.messages.counters import Arm, Plan
@@ -109,5 +109,7 @@
     "changes", [{"repeatable": False}, {"stream": True}, {"arm": None}]
 )
 def test_request_that_may_run_once_or_streams_gets_no_second_answer(changes):
-    assert may_run_twice(make_request())
-    assert not may_run_twice(dataclasses.replace(make_request(), **changes))
+    assert may_escalate_request(make_request())
+    assert not may_escalate_request(
+        dataclasses.replace(make_request(), **changes)
+    )
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,7 +7,7 @@
 from lab.experiments import limits as experiment
 from lovagestage.decisions.limits import Limit, LimitTable, get_workspace_tag
 from lovagestage.entry.limit_service import (
-    FRAME_BYTES,
+    MESSAGE_OVERHEAD_BYTES,
     REPORT_INTERVAL_S,
     get_report_count,
     get_used_tokens,
@@ -156,7 +156,7 @@
 @pytest.mark.parametrize("size_bytes", [60, 500, 2000])
 def test_reports_keep_the_budget_at_390_entries(size_bytes):
     count = get_report_count(size_bytes, 389)
-    sent = count * (size_bytes + FRAME_BYTES) / REPORT_INTERVAL_S
+    sent = count * (size_bytes + MESSAGE_OVERHEAD_BYTES) / REPORT_INTERVAL_S
     assert sent <= 3000 or count == 1
 
 
--- a/tests/test_sidecar_check.py
+++ b/tests/test_sidecar_check.py
@@ -31,7 +31,7 @@
     def start(self, peer, dispatch) -> None:
         self.seen.append("started")
 
-    def is_barred_beside(self, dispatch) -> bool:
+    def conflicts_with_probe(self, dispatch) -> bool:
         return False
 
     def send(self, peer, message) -> bool:
