--- a/lab/soak/command.py
+++ b/lab/soak/command.py
@@ -40,7 +40,9 @@
     """Runs all seeds; returns exit status 1 if a guarantee was broken."""
     failed = 0
     for seed in range(args.seed, args.seed + args.seeds):
-        breaches, summary = play(seed, args.seconds, args.logs, args.gateways)
+        breaches, summary = run_seed(
+            seed, args.seconds, args.logs, args.gateways
+        )
         failed += bool(breaches)
         print(f"seed {seed}: {summary}", flush=True)
         for text in breaches[:10]:
@@ -49,7 +51,7 @@
     return 1 if failed else 0
 
 
-def play(
+def run_seed(
     seed: int,
     seconds: float,
     logs: pathlib.Path | None = None,
