--- a/src/lovagestage/platform/store.py
+++ b/src/lovagestage/platform/store.py
@@ -301,11 +301,7 @@
             is_ok = status == 200
             outcome = CallOutcome.ANSWERED if is_ok else CallOutcome.REFUSED
             return status, answer
-        except (
-            ConnectionLostError,
-            WrongMessageError,
-            TimeoutError,
-        ) as error:
+        except (ConnectionLostError, WrongMessageError, TimeoutError) as error:
             was_sent = self._connection is not None
             self.close()
             error_type = (
