--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -10,11 +10,7 @@
 from hypothesis import strategies as st
 
 from lovagestage.decisions.warmup import Warmup
-from lovagestage.exceptions import (
-    CodecError,
-    SettingsError,
-    WrongMessageError,
-)
+from lovagestage.exceptions import CodecError, SettingsError, WrongMessageError
 from lovagestage.gateway.configuration import RouteKind
 from lovagestage.gateway.messages import OutgoingCall
 from lovagestage.gateway.rollouts import OutcomeRecord, RolloutOutcome
