--- a/tests/test_billing.py
+++ b/tests/test_billing.py
@@ -210,14 +210,14 @@
     steps: list[object] = []
 
     class Service:
-        async def add(self, bill):
+        async def add_bill(self, bill):
             steps.append(bill.request_id)
 
     request = types.SimpleNamespace(
         request_id="r1", workspace="audit", service="vault"
     )
     result = types.SimpleNamespace(version="large@1", finished=None)
-    stream = billed.BilledStream(request, result, Service())
+    stream = answer_billing.BilledStream(request, result, Service())
     steps.append(stream.add_chunk(b'data: {"content":"a"}'))
     steps.append(stream.add_chunk(b"data: [DONE]"))
     steps.append(await stream.finish(0.0))
--- a/tests/test_sidecar_check.py
+++ b/tests/test_sidecar_check.py
@@ -99,7 +99,7 @@
     # the engine still serves requests. If the sidecar dropped the versions
     # immediately, entries would answer 503 until the next successful read
     # when the other upstream is leaving.
-    monkeypatch.setattr("lovagestage.execution.sidecar.ENGINE_LOST_S", 0.2)
+    monkeypatch.setattr("lovagestage.execution.sidecar.ENGINE_TIMEOUT_S", 0.2)
     engine, hub = FlakyEngine(), Hub()
     hub.set_listener(Recorder())
     sidecar_settings = SidecarSettings("http://unused", max_running=1)
