--- a/src/lovagestage/decisions/billing.py
+++ b/src/lovagestage/decisions/billing.py
@@ -241,7 +241,7 @@
             self._held_bytes -= len(held.bills.pop(number))
 
     def take_over_bills(self, now_s: float) -> int:
-        """Turns copies of an owner that is gone into bills of this entry.
+        """Turns copies without renewal by their owner into bills of this entry.
 
         Returns:
             Number of bills that were taken over.
--- a/src/lovagestage/decisions/deadlines.py
+++ b/src/lovagestage/decisions/deadlines.py
@@ -107,7 +107,7 @@
     def remove(self, request_id: RequestId) -> None:
         """Frees the slot or queue position of a request.
 
-        The request has ended, or its caller has given it up.
+        The request has ended, or its caller has abandoned it.
         """
         self._running.pop(request_id, None)
         self._waiting = [
--- a/src/lovagestage/decisions/exposure.py
+++ b/src/lovagestage/decisions/exposure.py
@@ -6,7 +6,7 @@
 the old one. Before that evidence exists, the new version answers no more
 requests at each step than the exposure budget allows. A stop is local and
 monotone and needs no log: no later evidence revokes it. Only another epoch of
-the roll-out, which an edit of the document starts, does.
+the roll-out, which an edit of the document starts, revokes it.
 """
 
 from __future__ import annotations
--- a/src/lovagestage/decisions/limits.py
+++ b/src/lovagestage/decisions/limits.py
@@ -2,8 +2,8 @@
 
 Each entry has a token bucket for each workspace. The bucket is refilled with
 the entry's share of the limit, which follows the entry's part of the demand. It
-is also refilled with a part of the balance of the whole fleet, which is the
-number of tokens that the limit has granted less the number that all entries
+is also refilled with a part of the balance of all entries together, which is
+the number of tokens that the limit has granted less the number that all entries
 have used. The shares may be wrong for some time after a change; the balance
 compensates for this. The use and the demand at other entries arrive in
 `UsageReport` messages. These contain cumulative counters of one process, so
@@ -34,7 +34,7 @@
 SHARE_TIME_CYCLES = 2.0
 """Time constant, in report cycles, with which the share of an entry moves to
 its target. Without it, an entry that has not yet received a report of other
-demand would use the whole limit immediately, and all entries would do so until
+demand would use the full limit immediately, and all entries would do so until
 the first reports arrive."""
 BALANCE_TIME_CYCLES = 5.0
 """Time, in report cycles, over which the balance is corrected. It is longer
@@ -54,15 +54,16 @@
 """Minimum demand that is assumed of each entry, as a fraction of its even
 share."""
 MIN_BURST_S = 1.0
-"""Minimum depth of the fleet's bucket, in seconds of the limit."""
+"""Minimum depth of the bucket of all entries together, in seconds of the
+limit."""
 CLASS_RESERVE_RATIO = 0.15
 """Fraction of the bucket that a class leaves to each class that is more
 urgent."""
 MAX_CLASS_STEPS = 3
 """Maximum number of more urgent classes for which a class leaves a reserve."""
 BORROW_THRESHOLD_RATIO = 0.1
-"""Minimum balance, as a fraction of the fleet's bucket, at which an entry may
-borrow."""
+"""Balance above which an entry may borrow, as a fraction of the depth of the
+bucket of all entries together, beyond the reserve of the request's class."""
 MAX_BORROWED_PARTS = 4.0
 """Maximum number of tokens that an entry may borrow, in even parts of the
 bucket."""
@@ -70,7 +71,7 @@
 """Demand below this fraction of an even share is not reported: if the demand at
 all entries were as low, the workspace would be far below its limit."""
 MAX_RETRY_AFTER_S = 60
-"""Maximum number of seconds after which a refused caller is told to retry."""
+"""Maximum number of seconds after which a refused caller is asked to retry."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -87,7 +88,7 @@
 
     @property
     def depth_tokens(self) -> float:
-        """Depth in tokens of the bucket of the whole fleet."""
+        """Depth in tokens of the bucket of all entries together."""
         return max(self.burst_tokens, self.tokens_per_s * MIN_BURST_S)
 
 
--- a/src/lovagestage/decisions/retries.py
+++ b/src/lovagestage/decisions/retries.py
@@ -30,7 +30,7 @@
 """Maximum number of retries that may accumulate. The loss of one upstream fails
 all of its running requests simultaneously, and these are to be retried."""
 RETRY_AFTER_S = 1
-"""Seconds after which a caller is told to retry a failed request."""
+"""Seconds after which a caller is asked to retry a failed request."""
 PROBE_WAIT_S = 0.1
 """Mean wait in seconds before a request that waits for a probe is tried
 again."""
--- a/src/lovagestage/decisions/routing.py
+++ b/src/lovagestage/decisions/routing.py
@@ -1,4 +1,4 @@
-"""Chooses an upstream for a version: pure decisions, no clock or socket."""
+"""Chooses an upstream for a version (no clock and no I/O)."""
 
 from __future__ import annotations
 
--- a/src/lovagestage/decisions/sequential_tests.py
+++ b/src/lovagestage/decisions/sequential_tests.py
@@ -85,7 +85,7 @@
     sa/p)^p (1 - sa/k)^k <= exp(sa - sa) = 1, where a is the error of the
     estimate: a wrong estimate reduces the power of the test, never its
     validity. Unlike a bet on the plain difference, this lets the stake grow
-    until a single perfect score would lose the whole capital, which is a far
+    until a single perfect score would lose all of the capital, which is a far
     larger stake if scores are high.
 
     The number of observations in a bet depends on the order of their arrival
@@ -155,7 +155,7 @@
             self._update_old_mean(value)
 
     def _get_max_stake(self, old_size: int, new_size: int) -> float:
-        """Returns the largest stake that loses at most the whole capital."""
+        """Returns the largest stake that loses no more than the capital."""
         expected_new = self._old_mean - self._margin
         if self._direction is Direction.ABOVE:
             new_loss, old_loss = 1.0 - expected_new, self._old_mean
--- a/src/lovagestage/decisions/tombstones.py
+++ b/src/lovagestage/decisions/tombstones.py
@@ -24,7 +24,7 @@
     FORGOTTEN = "forgotten"
     """The run ran on this sidecar; its answer is no longer retained."""
     UNKNOWN = "unknown"
-    """The table was full, so it can't be told whether the run ran."""
+    """The table was full, so it is not known whether the run ran."""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/lovagestage/decisions/warmup.py
+++ b/src/lovagestage/decisions/warmup.py
@@ -143,7 +143,7 @@
 
 
 def make_rate_limit(per_s: float) -> RateLimit:
-    """Converts a rate in requests per second to a limit in whole requests."""
+    """Converts a rate in requests per second to a number per time span."""
     if per_s <= 0.0:
         return NO_REQUESTS
     if per_s < 1.0:
--- a/src/lovagestage/gateway/attempts.py
+++ b/src/lovagestage/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one request: which may follow, and how the request is refused."""
+"""Decides which attempts of a request are made, and how it is refused."""
 
 from __future__ import annotations
 
@@ -253,8 +253,8 @@
 
         An attempt that reached no upstream counts neither as a retry nor as a
         sign that upstreams are full: after the crash of several upstreams,
-        each request may find a few of them gone before it reaches a running
-        one.
+        each request may be sent to a few stopped upstreams before it reaches
+        a running one.
 
         Args:
             upstream: The upstream of the attempt; it gets no further attempt
--- a/src/lovagestage/gateway/configuration.py
+++ b/src/lovagestage/gateway/configuration.py
@@ -110,7 +110,7 @@
 
 
 class Configuration:
-    """One version of the operators' whole configuration.
+    """One version of the operators' complete configuration.
 
     Args:
         version: Version number; it grows with each change.
--- a/src/lovagestage/gateway/connections.py
+++ b/src/lovagestage/gateway/connections.py
@@ -98,7 +98,7 @@
         idle.append(connection)
 
     def close_expired(self) -> None:
-        """Closes connections that have been idle for too long to be reused."""
+        """Closes connections that have been idle for over `IDLE_LIMIT_S`."""
         now_s = asyncio.get_running_loop().time()
         for upstream, idle in list(self._idle.items()):
             expired = [c for c in idle if now_s - c.idle_since_s > IDLE_LIMIT_S]
--- a/src/lovagestage/gateway/crash_detection.py
+++ b/src/lovagestage/gateway/crash_detection.py
@@ -95,7 +95,7 @@
         self, fingerprint: Fingerprint, run: str, upstream: Upstream
     ) -> None:
         now_s = get_elapsed_s()
-        # With so many strikes before this one, the run was the request's
+        # With this number of strikes before this one, the run was the request's
         # probe, or it began in the moment before the last strike was
         # confirmed.
         strikes = self._table.get_strikes(fingerprint, now_s)
--- a/src/lovagestage/gateway/datagram_authentication.py
+++ b/src/lovagestage/gateway/datagram_authentication.py
@@ -55,6 +55,9 @@
     def verify(self, datagram: bytes) -> tuple[int, bytes]:
         """Verifies a datagram's authentication tag.
 
+        Until a configuration is known here, a tag with an empty key is accepted
+        for any version.
+
         Args:
             datagram: The datagram as received.
 
--- a/src/lovagestage/gateway/deployment.py
+++ b/src/lovagestage/gateway/deployment.py
@@ -243,8 +243,8 @@
         """Returns upstreams for a request that its own version cannot answer.
 
         While a roll-out runs, upstreams of the other version still serve
-        requests; once it is decided, the version that was given up may be gone
-        or faulty.
+        requests; once it is decided, the version that is no longer used may
+        have no upstreams left or be faulty.
         """
         rollout = self.rollouts.get(service)
         if rollout is None or assignment.version is None:
--- a/src/lovagestage/gateway/escalation.py
+++ b/src/lovagestage/gateway/escalation.py
@@ -1,4 +1,4 @@
-"""Which model answers, and when a larger one is asked: pure decisions.
+"""Decides which model answers and when a larger one is asked (no I/O).
 
 The choice of a model follows the confidence that a model reports for its own
 answer: the smallest model answers first, and where its confidence is low the
--- a/src/lovagestage/gateway/exchange.py
+++ b/src/lovagestage/gateway/exchange.py
@@ -76,8 +76,8 @@
         # It may have run on the first connection, even if the second one cannot
         # be opened.
         self._has_sent = False
-        # Key under which the upstream's inactivity tracker holds this request;
-        # None once the request no longer counts as waiting.
+        # Key of this request in the upstream's stall detector; None once the
+        # request no longer counts as waiting.
         self._inactivity_key: int | None = None
         self._has_warmup_slot = False
 
--- a/src/lovagestage/gateway/failure_rates.py
+++ b/src/lovagestage/gateway/failure_rates.py
@@ -9,14 +9,14 @@
 
 FAILURE_RATE_GAIN = 0.04
 """Weight of the newest answer in a route's failure rate. About the last 25
-answers count, so that a fault of both versions is known before it is taken for
-a fault of the new one."""
+answers count, so that a fault of both versions raises the rate before it is
+mistaken for a fault of the new one."""
 RATE_SPAN_S = 8.0
 """Time constant in seconds of the decaying request count; bursts last a few
 seconds."""
 MIN_AGE_S = 1.0
 """Minimum age in seconds that is assumed for a service's request count. A
-service's first request alone says nothing of its rate; after a second a few
+service's first request alone says nothing about its rate; after a second a few
 requests have arrived."""
 
 
--- a/src/lovagestage/gateway/feeds.py
+++ b/src/lovagestage/gateway/feeds.py
@@ -37,8 +37,8 @@
 """Inactivity timeout of a read in seconds: the time without a received byte,
 beyond the wait that the read asked for, after which the read is aborted. It is
 over ten times the response time of a slow store, and short enough for two
-attempts within the shortest time limit for applying a configuration. The whole
-answer may take longer: a large configuration over a slow link does."""
+attempts within the shortest time limit for applying a configuration. The
+complete answer may take longer: a large configuration over a slow link does."""
 BACKOFF_BASE_S = 0.1
 """Backoff in seconds after the first failed read; doubled with each failure."""
 BACKOFF_LIMIT_S = 0.8
@@ -261,7 +261,7 @@
     def _record_end(self, end: int) -> None:
         """Records the end of the topic, whether or not it is read so far.
 
-        Tells the listener that there are records beyond the known ones, and
+        Notifies the listener that there are records beyond the known ones, and
         logs the lag where that is due.
         """
         now_s, known_end = get_elapsed_s(), self._topic_log.end
--- a/src/lovagestage/gateway/latency.py
+++ b/src/lovagestage/gateway/latency.py
@@ -1,4 +1,4 @@
-"""How long answers take, and what their times show of load and versions."""
+"""Records answer times; detects slow answers and the load by them."""
 
 from __future__ import annotations
 
@@ -69,8 +69,8 @@
             extra_s: Time in seconds that the answer's upstream needed before,
                 for its queue and the prefill. A good new version on trial is
                 fully loaded and has no prompt prefix cached yet: compared with
-                the old version's mean alone, it would be taken for slow and
-                reverted.
+                the old version's mean alone, it would be considered slow
+                and reverted.
         """
         mean_s = self.get(kind)
         if mean_s is None:
@@ -82,9 +82,9 @@
 class LoadGauge:
     """Load of the upstreams, from the time that first events take.
 
-    A gateway's own requests tell little of the load, since other gateways send
-    to the same upstreams; the time until an answer begins shows the load from
-    all gateways.
+    A gateway's own requests say little about the load, since other gateways
+    send to the same upstreams; the time until an answer begins shows the load
+    from all gateways.
     """
 
     def __init__(self) -> None:
--- a/src/lovagestage/gateway/peers.py
+++ b/src/lovagestage/gateway/peers.py
@@ -209,6 +209,6 @@
         self._owner.receive(data, address)
 
     def error_received(self, error: Exception) -> None:
-        # The peer's process or VM is gone; nothing is sent to it any more once
-        # it has expired.
+        # The peer's process or VM has stopped; nothing is sent to it any more
+        # once it has expired.
         _log.debug("datagram_error", extra={"error": str(error)})
--- a/src/lovagestage/gateway/performance.py
+++ b/src/lovagestage/gateway/performance.py
@@ -13,7 +13,7 @@
 PROBE_S = 0.5
 """Time in seconds for which an upstream gets no other requests while one
 request probes it: long enough for an attempt to open a connection to fail. A
-probe that hangs later, in a long queue or since its answer was lost, excludes
+probe that hangs later, in a long queue or because its answer was lost, excludes
 the upstream no longer than this."""
 SLOW_CONNECT_S = 0.1
 """Time in seconds after which a connection that is still not open is a sign
@@ -109,9 +109,9 @@
         self._connect_started_s.remove(begun_s)
 
     def record_sent(self, now_s: float) -> None:
-        """Records a request; the first one after a failure is a probe.
+        """Records a request; the first one after an exclusion is a probe.
 
-        An upstream that is gone has an empty queue and looks like the best
+        An upstream that has stopped has an empty queue and looks like the best
         one. Without the probe, all requests that arrive while one of them
         fails would be sent there, each time that the upstream's exclusion
         ends.
@@ -153,7 +153,7 @@
         self.slowness += SLOWNESS_GAIN * (ratio - self.slowness)
 
     def record_answer(self, failed: bool) -> None:
-        """Records whether an answer failed; a good one ends the exclusion."""
+        """Records whether an answer failed; a good one resets the backoff."""
         self.failure_ratio += FAILURE_GAIN * (failed - self.failure_ratio)
         if not failed:
             self._is_probing = False
--- a/src/lovagestage/gateway/prefill.py
+++ b/src/lovagestage/gateway/prefill.py
@@ -20,7 +20,7 @@
 trip and the first steps of an engine, 3 to 9 ms each."""
 MIN_TOKENS = 500
 """Shortest prompt in tokens whose time is used: in shorter ones the overhead
-takes longer than the prefill, so they tell nothing of its speed."""
+takes longer than the prefill, so they say nothing about its speed."""
 QUANTILE = 0.25
 """Share of the answers that are assumed not to have waited in a queue: under
 high load most answers have waited, and under low load the quantile is as good
@@ -52,17 +52,17 @@
 def count_prefill_tokens(
     parts: Sequence[PromptSegment],
 ) -> PrefillTokens | None:
-    """Counts the tokens to prefill of a prompt with these parts.
+    """Counts the tokens to prefill of a prompt with these segments.
 
-    The last part is the request's own text, and the part before it is the
-    shared prompt prefix. Earlier parts are shared by so many requests that
-    every upstream has cached them.
+    The last segment is the request's own text, and the segment before it is
+    the shared prompt prefix. Earlier segments are shared by so many requests
+    that every upstream has cached them.
 
     Args:
-        parts: Parts of the prompt in their order.
+        parts: Segments of the prompt in their order.
 
     Returns:
-        The tokens; None for a prompt without parts.
+        The tokens; None for a prompt without segments.
     """
     if not parts:
         return None
--- a/src/lovagestage/gateway/process.py
+++ b/src/lovagestage/gateway/process.py
@@ -24,7 +24,7 @@
 
 EXPIRE_INTERVAL_S = 0.2
 """Interval in seconds for removing expired upstreams and sessions and closing
-idle connections. An expired upstream is given up at most this late."""
+idle connections. An expired upstream is used at most this much longer."""
 SETTINGS_CHECK_INTERVAL_S = 1.0
 STARTUP_WAIT_S = 0.25
 """Time in seconds for which a starting gateway delays accepting callers until
@@ -49,7 +49,7 @@
     metrics_port: int,
     listener: socket.socket,
 ) -> int:
-    """Runs a gateway until it is told to stop.
+    """Runs a gateway until it receives a signal to stop.
 
     Args:
         settings: Settings of the process.
--- a/src/lovagestage/gateway/relay.py
+++ b/src/lovagestage/gateway/relay.py
@@ -317,7 +317,7 @@
         """Sends the records that a follower lacks.
 
         Nothing is sent if one of these records is no longer stored here, and
-        only the first of them if they exceed the size limits.
+        only the first ones if they exceed the size limits.
         """
         records = self._sources[state.topic].get_recent_records(first)
         for part in split_records(records):
--- a/src/lovagestage/gateway/reported_waits.py
+++ b/src/lovagestage/gateway/reported_waits.py
@@ -14,7 +14,7 @@
     """Sums of reported queue times, by upstream, over the reporting gateways.
 
     Gateways and upstreams are identified by short numbers, and queue times are
-    whole units, so that a sum to which values are added and from which they
+    integers, so that a sum to which values are added and from which they
     are subtracted again returns exactly to its start.
     """
 
@@ -27,7 +27,7 @@
 
         Args:
             gateway: Number of the gateway.
-            waits: Queue time by upstream, in whole units.
+            waits: Queue time by upstream, in units of the reports (an integer).
 
         Returns:
             Upstreams whose sum may have changed.
--- a/src/lovagestage/gateway/retry_budget.py
+++ b/src/lovagestage/gateway/retry_budget.py
@@ -1,4 +1,4 @@
-"""How often requests may be retried at another upstream: pure decisions.
+"""Limits how often requests are retried at another upstream (no I/O).
 
 Several upstreams may crash at the same time, and each stream that ran there
 has to continue elsewhere at that moment. The deployment's limit on retries is
--- a/src/lovagestage/gateway/rollouts.py
+++ b/src/lovagestage/gateway/rollouts.py
@@ -1,4 +1,4 @@
-"""Moves a service's traffic to another version: pure decisions.
+"""Decides on moving a service's traffic to another version (no I/O).
 
 Each gateway follows the same steps and weighs the same evidence, so all of
 them send the same sessions to the new version without asking each other. The
@@ -125,7 +125,7 @@
 TRIAL_LOAD_FACTOR = 1.25
 """Load of an upstream of the new version on trial, as a multiple of its load
 once all traffic goes to the new version. Otherwise a version that fails only
-in a burst would be found out when the old version is gone."""
+in a burst would be detected only when the old version no longer runs."""
 MIN_TRIAL_UPSTREAMS = 2
 """Minimum number of upstreams on trial: a single upstream that fails is no
 evidence against its version."""
@@ -176,7 +176,7 @@
     """Chooses the upstreams on which a new version is tried.
 
     If the small share of the new version were spread over as many upstreams as
-    the whole traffic needs, a version that fails under load would not meet
+    the full traffic needs, a version that fails under load would not meet
     that load before its completion. The share therefore goes to so few
     upstreams that each is loaded as in a burst. All gateways choose the same
     upstreams.
@@ -298,7 +298,7 @@
         self._received_s = min(self._received_s, now_s - age_s)
 
     def record_answers(self, gateway: str, count: int) -> None:
-        """Records how many answers of the new version a gateway has had."""
+        """Records how many answers of the new version a gateway received."""
         known = self._answers.get(gateway, 0)
         self._answers[gateway] = max(known, count)
 
--- a/src/lovagestage/gateway/rotation.py
+++ b/src/lovagestage/gateway/rotation.py
@@ -20,19 +20,19 @@
 is shorter than the shortest time for which a leaving upstream still serves
 requests, so one that has really left is never sent a request too late."""
 GONE_RETENTION_S = 600.0
-"""Time in seconds for which upstreams that are gone are remembered, for stale
-reads of the store and for entries that are written late. Where 655 upstreams
-leave in a day, about five are held in memory."""
+"""Time in seconds for which upstreams in the state GONE are remembered, for
+stale reads of the store and for entries that are written late. Where 655
+upstreams leave in a day, about five are held in memory."""
 
 
 class Rotation:
     """All upstreams that this gateway knows of.
 
     A new process may reuse the id of an upstream. The order of the store's
-    records, and not the processes' clocks, tells which of two processes is the
+    records, and not the processes' clocks, shows which of two processes is the
     newer one: a start time that was not known before belongs to a new process
     even where it is an earlier time. A start time that was replaced belongs to
-    a process that is gone, and its record is a write that the store carried
+    a process that has stopped, and its record is a write that the store carried
     out late.
 
     Attributes:
@@ -68,7 +68,7 @@
             offset: Offset of the record; a record that is older than the known
                 one is ignored, since a read may be stale.
             now_s: Elapsed time in seconds.
-            was_store_unavailable: Whether the store was recently out of reach,
+            was_store_unavailable: Whether the store was recently unavailable,
                 so that a removal may only mean that the upstream could not
                 write.
         """
@@ -110,7 +110,7 @@
             entries: Id, entry and offset of each upstream.
             end: Offset up to which the list is complete; newer records stay.
             now_s: Elapsed time in seconds.
-            was_store_unavailable: Whether the store was recently out of reach.
+            was_store_unavailable: Whether the store was recently unavailable.
         """
         listed = set()
         for name, entry, offset in entries:
@@ -122,9 +122,9 @@
         self._ready.clear()
 
     def expire(self, now_s: float) -> None:
-        """Marks upstreams whose expired entries were not renewed as gone.
+        """Sets the state GONE where an expired entry was not renewed.
 
-        Upstreams that have been gone for `GONE_RETENTION_S` are forgotten.
+        Upstreams that have been GONE for `GONE_RETENTION_S` are forgotten.
         """
         for upstream in list(self._upstreams.values()):
             age_s = now_s - upstream.changed_s
@@ -162,7 +162,7 @@
         self.cold_until_s = max(self.cold_until_s, now_s + left_s)
 
     def get_all(self) -> list[Upstream]:
-        """Returns all upstreams, including those that are gone."""
+        """Returns all upstreams, including those in the state GONE."""
         return list(self._upstreams.values())
 
     def _get_process(
--- a/src/lovagestage/gateway/runs.py
+++ b/src/lovagestage/gateway/runs.py
@@ -45,7 +45,7 @@
 TIMEOUT_TARGET_RATIO = 1.0
 """Response timeout as a share of the route's target latency. It applies to an
 attempt that may be followed by another one: an upstream that has sent nothing
-by then is given up."""
+by then is abandoned."""
 TIMEOUT_MEANS = 4.0
 """Response timeout as a multiple of the mean latency of such answers, which
 applies if it is longer: under high load an upstream sends nothing because the
--- a/src/lovagestage/gateway/settings.py
+++ b/src/lovagestage/gateway/settings.py
@@ -20,8 +20,8 @@
             requests.
         evacuate_s: Time in seconds after which the upstreams of an evacuated
             zone must get no new requests.
-        stop_s: Time in seconds after which a process that was told to stop is
-            killed.
+        stop_s: Time in seconds after which a process that was signalled to stop
+            is killed.
         retry_ratio: Limit of retries within a window, as a ratio to a service's
             requests. A retry is any arrival of a request at an upstream after
             its first.
@@ -29,7 +29,7 @@
         retry_slack: Number of retries allowed beyond the ratio, over all
             gateways together.
         exposure_ratio: Share of a service's requests that an unproven version
-            may get over its whole roll-out.
+            may get over its complete roll-out.
         exposure_slack: Number of requests allowed beyond that share, over all
             gateways together.
         session_s: Longest time in seconds between two consecutive requests of a
--- a/src/lovagestage/gateway/startup_gate.py
+++ b/src/lovagestage/gateway/startup_gate.py
@@ -17,7 +17,7 @@
 first configuration."""
 MAX_WAIT_RATIO = 1 / 3
 """Share of a request's time budget for which the gateway holds it at most. The
-caller gives its attempt up after that and has enough time left to be served by
+caller abandons its attempt after that and has enough time left to be served by
 another gateway."""
 
 
--- a/src/lovagestage/gateway/state_view.py
+++ b/src/lovagestage/gateway/state_view.py
@@ -26,7 +26,7 @@
 
 STORE_OUTAGE_MEMORY_S = 2.0
 """Time in seconds after an outage of the store during which the removal of an
-entry is taken for an expiry: upstreams whose entries expired while the store
+entry is treated as an expiry: upstreams whose entries expired while the store
 was unavailable write them again within about this time."""
 
 MAX_REFUSED_KEYS = 256
@@ -154,9 +154,9 @@
     """The feed from which the upstreams' entries are read."""
 
     def get_last_failure_age_s(self, now_s: float) -> float | None:
-        """Returns the seconds since the store was last out of reach, or None.
+        """Returns the seconds since the store last failed to answer, or None.
 
-        None means that the store was never out of reach.
+        None means that the store has never failed.
         """
 
 
--- a/src/lovagestage/gateway/stream_runs.py
+++ b/src/lovagestage/gateway/stream_runs.py
@@ -49,10 +49,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class _NextRun:
-    """The run that follows one whose answer is not forwarded.
+    """Next run of a request, after a run whose answer is not forwarded.
 
     Attributes:
-        model: Model that is to answer it; None if none is named.
+        model: Model that is to answer; None if none is named.
     """
 
     model: str | None
--- a/src/lovagestage/gateway/topic_log.py
+++ b/src/lovagestage/gateway/topic_log.py
@@ -23,7 +23,8 @@
         end: Offset up to which the topic is known; None if nothing is known.
 
     Attributes:
-        end: Offset up to which the topic is known now; None as above.
+        end: Offset up to which the topic is known now; None if nothing
+            is known.
     """
 
     def __init__(self, end: int | None) -> None:
--- a/src/lovagestage/gateway/upstream.py
+++ b/src/lovagestage/gateway/upstream.py
@@ -33,7 +33,7 @@
         address: Address as `IP:PORT`.
         zone: The upstream's availability zone.
         version: Version of the upstream's software.
-        slots: Requests that the upstream works on at once.
+        slots: Number of requests that the upstream works on concurrently.
         is_draining: Whether the upstream will soon take no new requests.
         start_ms: Unix time of the process's start in milliseconds; None where
             the entry has none. Another value under the same id belongs to
@@ -72,8 +72,8 @@
         offset: Offset of the newest entry, or of its removal, in the store.
         state: Whether the upstream takes requests.
         has_left: Whether any entry of this process said that it is draining.
-            Such a process gets no more requests, whatever is written of it
-            later.
+            Such a process gets no more requests, whatever its later
+            entries say.
         changed_s: Elapsed time in seconds of the last change of the state.
         performance: Load, health and speed as this gateway observes them.
         warmup: Whether the upstream may be warming up, and which requests this
--- a/src/lovagestage/gateway/upstream_choice.py
+++ b/src/lovagestage/gateway/upstream_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream of an attempt: pure decisions."""
+"""Chooses the upstream of an attempt (no I/O)."""
 
 from __future__ import annotations
 
@@ -173,7 +173,7 @@
 ) -> tuple[float, bool, float]:
     """Ranks upstreams for requests without a shared prompt prefix.
 
-    Such an upstream works on as many requests at once as it has slots.
+    Such an upstream works on as many requests concurrently as it has slots.
     Requests of the other gateways count as well: where there are many
     gateways, each has no request running most of the time, and if each counted
     its own requests alone, all of them would send requests to an upstream that
--- a/src/lovagestage/platform/store.py
+++ b/src/lovagestage/platform/store.py
@@ -125,8 +125,8 @@
             wait_s: Time in seconds for which the store may hold the call
                 while there is no record (long polling).
             inactivity_timeout_s: Time in seconds without a received byte
-                after which the call is aborted. The whole answer may take
-                longer: its time depends on its size and on the link, and a
+                after which the call is aborted. The complete answer may
+                take longer: its time depends on its size and on the link, and a
                 call that is retried starts again from the first byte.
             on_page: Called with the records in parts while they arrive. These
                 records remain valid if the rest of the answer is lost.
@@ -275,11 +275,11 @@
             kind: Kind of the call.
             path: Path and query of the URL.
             body: Body of the request.
-            timeout_s: Time limit in seconds for the whole call, or for the
+            timeout_s: Time limit in seconds for the complete call, or for the
                 head of the answer where `inactivity_timeout_s` is set.
             inactivity_timeout_s: Time limit in seconds from one part of the
                 answer's body to the next; None where `timeout_s` limits the
-                whole call.
+                complete call.
             on_part: Called with each part of the body as it arrives; with
                 empty bytes in place of a part if the status is not 200.
         """
--- a/tests/test_allowed_regions.py
+++ b/tests/test_allowed_regions.py
@@ -47,7 +47,7 @@
 
 def test_a_request_runs_in_its_regions_or_not_at_all():
     # Guards against a request that runs outside its allowed regions because the
-    # upstreams in these regions have failed, are gone or are evacuated.
+    # upstreams in these regions have failed, have stopped or are evacuated.
     async def run():
         routes = [
             make_route("safe", AllowedRegions=["west"]),
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Zones that operators evacuate, whichever state of the store a read shows."""
+"""Tests evacuated zones, also where a read returns an old state."""
 
 from __future__ import annotations
 
--- a/tests/test_gateway_absence.py
+++ b/tests/test_gateway_absence.py
@@ -17,14 +17,14 @@
 """Time in seconds to the first event: long enough that an upstream without any
 request looks like the best one."""
 MAX_FAILED_ATTEMPTS = 10
-"""Limit on failed attempts: five of the first moment, one each after 0.5, 1
-and 2 s, and two more."""
+"""Limit on failed attempts: five before the first failure is detected, one
+probe each after 0.5, 1 and 2 s, and two more."""
 LONG_TARGET_ROUTE = make_route(
     "stream", "streaming", Resumable=True, TargetGapMs=300, TargetLatencyMs=2000
 )
 """Route with a long target latency. Callers, gateway and upstreams share a
 process in this test; with a shorter target, a stall of 0.35 s on a busy
-machine would be taken for the inactivity of all upstreams."""
+machine would be mistaken for the inactivity of all upstreams."""
 
 
 @contextlib.contextmanager
@@ -46,9 +46,9 @@
 async def test_few_requests_are_lost_when_a_vm_stops_responding(caplog):
     # A VM stops responding while the store still lists its upstream. Each
     # request that is sent there loses the time limit of a connection. One
-    # failure shows that the upstream is unreachable, and a single probe now
-    # and then checks whether it has recovered; the other requests, a hundred a
-    # second, must not follow a probe while its result is open.
+    # failure shows that the upstream is unreachable, and an occasional
+    # single probe checks whether it has recovered; the other requests, a
+    # hundred a second, must not follow a probe while its result is open.
     script = lab.make_stream(1, first_s=FIRST_EVENT_S)
     with open_unresponsive_address() as address:
         async with run_gateway_harness(workers=2, script=script) as harness:
--- a/tests/test_gateway_feeds.py
+++ b/tests/test_gateway_feeds.py
@@ -101,7 +101,7 @@
 
 
 async def test_an_empty_read_confirms_freshness_for_its_whole_wait():
-    # The store held the read for its whole wait and returned no record: no
+    # The store held the read for its full wait and returned no record: no
     # change was made before the end of the wait. A read without an answer
     # confirms nothing.
     async with run_store() as (store, client):
@@ -206,7 +206,7 @@
 async def test_first_read_after_a_failure_does_not_wait():
     # The store is unavailable for a moment. Callers' keys are accepted only
     # while the last freshness confirmation is recent. With a read that the
-    # store holds, the next confirmation would come a whole wait later and
+    # store holds, the next confirmation would come a full wait later and
     # callers would be refused until then.
     async with run_store() as (store, client):
         async with run_feed(client, wait_s=2.0) as (feed, listener):
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -220,7 +220,7 @@
 async def test_refuses_an_answer_without_length_that_is_reset():
     # The answer has no length, and its connection is reset before it is
     # complete. If the received part were forwarded, it would look like the
-    # whole answer.
+    # complete answer.
     async def respond(arrival, writer):
         writer.write(lab.make_head(200, arrival) + b"unfr")
         await writer.drain()
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -46,8 +46,8 @@
 def test_a_restarted_upstream_has_no_record_of_before():
     # An upstream crashes while it works on requests, is slow and fails some of
     # them, and starts again under its id. The gateway's record of its
-    # failures, its speed and its running requests belongs to a process that is
-    # gone.
+    # failures, its speed and its running requests belongs to a process that
+    # has stopped.
     rotation = make_rotation()
     before = get_single(rotation)
     before.performance.running = 9
@@ -81,9 +81,9 @@
 
 
 def test_an_upstream_that_left_is_back_once_it_starts_again():
-    # A draining process gets no more requests, whatever is written of it
-    # later. A new process under its id does, and a removal in between changes
-    # neither.
+    # A draining process gets no more requests, whatever its later entries
+    # say. A new process under its id gets requests, also if the old process's
+    # entry was removed in between.
     rotation = make_rotation()
     leaving = dataclasses.replace(ENTRY, is_draining=True)
     rotation.apply("w1", leaving, 2, 1.0, False)
--- a/tests/test_gateway_narrow_links.py
+++ b/tests/test_gateway_narrow_links.py
@@ -72,7 +72,7 @@
             await wait_until(lambda: client.is_receiving)
             await asyncio.sleep(TRANSFER_S / 2)
             recovery.notify_feeds()
-            # If started again, the transfer would take its whole time again.
+            # If started again, the transfer would take its full time again.
             await wait_until(lambda: listener.records, 0.8 * TRANSFER_S)
 
 
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -32,7 +32,7 @@
 
 def test_queue_times_do_not_count_as_prefill():
     # Most answers have waited behind others, by very different times. If these
-    # times were taken for the prompt's own prefill, a queue of ten requests
+    # times were counted as the prompt's own prefill, a queue of ten requests
     # would count each wait ten times over, and its upstream would seem to be
     # full.
     rng = random.Random(1)
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -261,8 +261,8 @@
 
 async def test_follower_learns_of_an_outage_from_its_watcher():
     # The store is unavailable for a moment in which the follower does not call
-    # it. Entries of upstreams expire meanwhile. Their removal must not be taken
-    # for a departure of the upstreams, so the follower must learn of the
+    # it. Entries of upstreams expire meanwhile. Their removal must not be
+    # treated as a departure of the upstreams, so the follower must learn of the
     # outage.
     async with run_gateways() as (store, watcher, follower):
         calls = follower.calls
--- a/tests/test_gateway_repeats.py
+++ b/tests/test_gateway_repeats.py
@@ -1,4 +1,4 @@
-"""How often requests are retried, and which retries count."""
+"""Tests how often requests are retried, and which retries count."""
 
 from __future__ import annotations
 
--- a/tests/test_gateway_risks.py
+++ b/tests/test_gateway_risks.py
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize("span_s", [2.0, RATE_SPAN_S, 10 * RATE_SPAN_S])
 def test_rate_is_right_from_the_second_second_on(span_s):
     # An order arrives two seconds after the first request. If the service were
-    # taken for a quarter of its size, the new version would get three times
+    # estimated at a quarter of its size, the new version would get three times
     # its share, and more requests than it may before a late fault shows.
     assert record_steady_answers(span_s).get_request_rate(
         "pool", span_s
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs: which requests go to the new version, and what stops it."""
+"""Tests which requests a roll-out sends to a new version and what stops it."""
 
 from __future__ import annotations
 
@@ -152,7 +152,7 @@
 
 
 def test_the_first_share_keeps_within_the_allowed_exposure():
-    # Over the whole roll-out, 15 in 100 requests and 30 more may reach a bad
+    # Over the complete roll-out, 15 in 100 requests and 30 more may reach a bad
     # version, also one whose fault never shows: the load step and the time
     # after the completion count as well.
     for ratio, expected in (
@@ -172,8 +172,8 @@
 
 def test_the_load_step_waits_for_answers():
     # The service has few requests: without answers of the new version nothing
-    # is known of it, and most traffic must not be sent to it only because time
-    # has passed.
+    # is known about it, and most traffic must not be sent to it only because
+    # time has passed.
     rollout = make_rollout()
     rollout.record_answers("edge-1", 10)
     first = rollout.get_share(100.0)
@@ -392,8 +392,8 @@
 class RolloutMachine(RuleBasedStateMachine):
     """Records failures, time and other gateways' messages in any order.
 
-    By the model an outcome is final; a stopped version gets no requests and is
-    never completed; otherwise the share never falls.
+    The model expects that an outcome is final, that a stopped version gets no
+    requests and is never completed, and that otherwise the share never falls.
     """
 
     def __init__(self):
@@ -461,7 +461,7 @@
     """Simulates a roll-out at 240 requests a second, 0.3 s each at an upstream.
 
     An upstream of the new version fails requests while it runs `fails_from` or
-    more at once.
+    more concurrently.
 
     Returns:
         The upstreams that answered, and the roll-out.
@@ -497,10 +497,10 @@
 
 
 def test_a_version_that_fails_in_bursts_is_found_out_before_it_has_all():
-    # On an average day an upstream runs 1.5 requests at once, in a burst 3.
+    # On an average day an upstream runs 1.5 concurrent requests, in a burst 3.
     # The new version fails from the fifth concurrent request on, which would
     # occur with the first burst after its completion: by then the old version
-    # is gone, and callers would get failures until the operators act.
+    # no longer runs, and callers would get failures until the operators act.
     for seed in range(6):
         _, rollout = simulate_trial(4, seed)
         assert rollout.is_stopped
--- a/tests/test_gateway_rotation.py
+++ b/tests/test_gateway_rotation.py
@@ -1,4 +1,4 @@
-"""Which upstreams are in rotation, also where reads of the store are stale."""
+"""Tests which upstreams are in rotation, also after stale reads."""
 
 from __future__ import annotations
 
@@ -102,8 +102,8 @@
 class RotationMachine(RuleBasedStateMachine):
     """Applies records late, twice and out of order; the store may be lost.
 
-    The naive model stores each upstream's whole history and evaluates it again
-    after each step.
+    The naive model stores each upstream's complete history and evaluates it
+    again after each step.
     """
 
     def __init__(self):
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -22,7 +22,7 @@
 REQUESTS = 150
 MAX_LOST = 30
 """Upper limit for failed requests. A third of the requests that arrive within
-the stall timeout of 0.25 s would be four. With the requests that test the
+the stall timeout of 0.25 s would be four. With the requests that probe the
 upstream again and those of a slow machine, the limit is far below fifty, which
 would be a third of all requests."""
 
@@ -56,7 +56,7 @@
 
 async def test_few_requests_fail_before_a_stall_is_detected():
     # One of three upstreams accepts each request and answers none during the
-    # whole test. A request that must not run twice waits there until its
+    # entire test. A request that must not run twice waits there until its
     # deadline, and no failure occurs before that. The further requests, fifty a
     # second, must not be sent to the same upstream.
     async def hang_unless_warm(arrival, writer):
@@ -91,7 +91,7 @@
 GOSSIP_S = 0.24
 MAX_FLEET_LOST = GATEWAYS
 """Upper limit for lost requests: one for each gateway on average, over the
-whole time in which the upstream hangs."""
+entire time in which the upstream hangs."""
 
 
 class Fleet:
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -1,4 +1,4 @@
-"""What callers observe while a gateway starts."""
+"""Tests what callers observe while a gateway starts."""
 
 from __future__ import annotations
 
--- a/tests/test_gateway_topic_log.py
+++ b/tests/test_gateway_topic_log.py
@@ -33,7 +33,7 @@
 
 
 def test_a_follower_gets_all_it_lacks_or_nothing():
-    # With a record missing, the follower would take the later records for the
+    # With a record missing, the follower would treat the later records as the
     # complete list.
     log = TopicLog(10)
     assert log.get_recent(10) == ()
--- a/tests/test_gateway_trust.py
+++ b/tests/test_gateway_trust.py
@@ -1,4 +1,4 @@
-"""How long API keys are accepted while the store is out of reach."""
+"""Tests how long API keys are accepted while the store is unavailable."""
 
 from __future__ import annotations
 
@@ -54,8 +54,8 @@
 
 async def test_an_unknown_route_is_not_denied_by_an_old_configuration():
     # The configuration may be out of date, and the newest one may have the
-    # route: the caller is asked to retry later, and is not told that there is
-    # no such route.
+    # route: the caller is asked to retry later, and gets no answer that denies
+    # the route.
     async with run_gateway_harness() as harness:
         assert (await harness.call("/nowhere/x")).status == 404
         harness.store.faults.outage = "503"
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams that are warming up stay within their capacity."""
+"""Tests that requests stay within the capacity of warming-up upstreams."""
 
 from __future__ import annotations
 
@@ -223,7 +223,7 @@
     monkeypatch,
 ):
     # Guards against a rule that holds only while all gateways agree on which
-    # gateways exist: a third of them have just started and some are gone.
+    # gateways exist: a third of them have just started and some have stopped.
     monkeypatch.setattr(experiment, "DAYS", {3: 5, 31: 5})
     result = experiment.run(3)
     assert result.ok
