--- a/lab/answers.py
+++ b/lab/answers.py
@@ -43,7 +43,7 @@
     """Generates the deterministic answer of a model version to a prompt.
 
     Args:
-        prompt: Text of the whole conversation.
+        prompt: Text of the complete conversation.
         model: `NAME@VERSION`.
         count: Number of tokens to generate.
     """
--- a/lab/batch.py
+++ b/lab/batch.py
@@ -52,7 +52,7 @@
     Args:
         request_id: Id of the request.
         model: Model version as `NAME@VERSION`.
-        prompt: Text of the whole conversation.
+        prompt: Text of the complete conversation.
         tokens: Tokens of the answer, which the batch releases one by one.
         encoder: Encoder of the answer's events.
         priority: Queue priority; a lower number is admitted earlier.
--- a/lab/engine.py
+++ b/lab/engine.py
@@ -40,7 +40,7 @@
 
     # Exits at the first token of a prompt that contains this text.
     crash_on: str | None = None
-    # Stops sending after so many tokens; the connection stays open.
+    # Stops sending after this number of tokens; the connection stays open.
     silent_after_tokens: int | None = None
     # Answers 500 to requests for this version.
     refuse_model: str | None = None
--- a/lab/experiments/config.py
+++ b/lab/experiments/config.py
@@ -1,7 +1,7 @@
 """Measures configuration delays, bytes and CPU time over many readers.
 
-The delay of a change is the time from its append until a reader has it in
-force. The product's readers receive each record once, by long polling. Each of
+The delay of a change is the time from its append until it is in force at a
+reader. The product's readers receive each record once, by long polling. Each of
 the baseline's readers polls all documents in full, at the interval that keeps
 the same bound on the delay.
 """
--- a/lab/experiments/cost.py
+++ b/lab/experiments/cost.py
@@ -63,7 +63,7 @@
         skills: Skill of each model version.
         slope: Loss of rating for each unit of difficulty above the skill.
         length_noise: Standard deviation of the prompt length, in doublings.
-        drift: Increase of the difficulty over the whole trace.
+        drift: Increase of the difficulty over the full trace.
     """
 
     difficulty: Callable[[np.random.Generator, int], Floats]
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -139,7 +139,7 @@
         self.kill_all()
         if self._owns_folder and error is None:
             # The folder has settings with secret keys and must not remain.
-            # After an error it is kept for its logs.
+            # After an error it is retained for its logs.
             shutil.rmtree(self._folder, ignore_errors=True)
 
     @property
--- a/lab/metadata_store.py
+++ b/lab/metadata_store.py
@@ -35,9 +35,9 @@
     slow_ms: float = 0.0
     # The next N appends take effect, but the connection is reset.
     lose_appends: int = 0
-    # Waiting reads are not woken by new records before their time is over.
+    # Reads return only after their full wait time, even if records exist.
     deaf: bool = False
-    # Resets the connection after so many bytes of the body of a read.
+    # Resets the connection after this number of bytes of a read's body.
     break_after_bytes: int = 0
     # Stops sending after the first bytes of the body of a read.
     stall: bool = False
--- a/src/lovagestage/adapters/http_calls.py
+++ b/src/lovagestage/adapters/http_calls.py
@@ -18,7 +18,7 @@
     sock_read=None,
 )
 """Timeout of streams, which limits only the connection set-up: the reader of a
-stream monitors its progress, see `runs`."""
+stream monitors its progress, see `execution.engine_stream`."""
 READ_ERRORS = (TimeoutError, aiohttp.ClientError, msgspec.MsgspecError)
 """Exceptions of a call whose response is missing or can't be parsed."""
 
@@ -26,7 +26,7 @@
 def make_read_timeout(delay_s: float = 0.0) -> aiohttp.ClientTimeout:
     """Builds the timeout of a call whose response may be large.
 
-    The timeout limits inactivity, not the whole transfer. A transfer that is
+    The timeout limits inactivity, not the total transfer. A transfer that is
     aborted is started again from the beginning, so a limit on its total time
     would abort it again and again, for ever.
 
--- a/src/lovagestage/adapters/http_engine.py
+++ b/src/lovagestage/adapters/http_engine.py
@@ -86,9 +86,9 @@
             ):
                 pass
         except (TimeoutError, aiohttp.ClientError):
-            # A lost cancellation is harmless: the engine ends the request
-            # itself when its batch gets to it. Only the tokens that it
-            # generates until then are wasted.
+            # A lost cancellation is harmless: the request ends by itself at
+            # the engine, and only the tokens that the engine generates until
+            # then are wasted.
             return
 
     async def get_load(self) -> EngineLoad:
--- a/src/lovagestage/adapters/http_plain_service.py
+++ b/src/lovagestage/adapters/http_plain_service.py
@@ -19,7 +19,7 @@
     total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=None
 )
 """Timeout of a call, which limits only the connection set-up: the deadline of
-the run ends the call, see `runs`."""
+the run ends the call, see `execution.runs`."""
 _AUTO_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 
--- a/src/lovagestage/bus/links.py
+++ b/src/lovagestage/bus/links.py
@@ -409,9 +409,9 @@
         self, link: Link, answered_sequence: int
     ) -> None:
         # Frames received from the peer prove only that the incoming direction
-        # works. A connection that loses everything this process sends would
-        # look healthy for ever while requests vanish on it. An answered
-        # heartbeat proves both directions.
+        # works. A connection that drops everything this process sends would
+        # appear usable without end although all requests on it are lost. An
+        # answered heartbeat proves that both directions work.
         if answered_sequence <= link.answered_sequence:
             return
         link.answered_sequence = answered_sequence
--- a/src/lovagestage/bus/questions.py
+++ b/src/lovagestage/bus/questions.py
@@ -48,7 +48,7 @@
             del self._waiting[call_id]
 
     def resolve(self, reply: Reply) -> None:
-        """Resolves the pending query; drops a reply without one."""
+        """Delivers a reply to its pending query; drops a reply without one."""
         answer = self._waiting.get(reply.call_id)
         if answer is None or answer.done():
             return
--- a/src/lovagestage/control/gate.py
+++ b/src/lovagestage/control/gate.py
@@ -45,7 +45,7 @@
 
         Raises:
             GateNotReadyError: The log can't be read, the read took longer
-                than `MAX_READ_S`, or for the reason given at `check`.
+                than `MAX_READ_S`, or `check` raised the error.
             StaleFencingError: See `check`.
         """
         # A process that resumes after a pause finds an order in its socket
--- a/src/lovagestage/control/leasing.py
+++ b/src/lovagestage/control/leasing.py
@@ -80,7 +80,7 @@
 
     Args:
         view: The view before the read.
-        current: The lease as the log has it.
+        current: The lease that was read from the log.
         now_s: Monotonic time in seconds.
     """
     if current == view.current:
--- a/src/lovagestage/control/membership.py
+++ b/src/lovagestage/control/membership.py
@@ -210,9 +210,9 @@
 
         An entry that has sent nothing since another member was removed may not
         have transferred the claims that the two held together. If both are
-        removed, each retried key that they held is refused for the whole
+        removed, each retried key that they held is refused for the full
         window, although a pause of a few seconds would have done no harm.
-        Until the inactive entry answers, callers are told to retry later.
+        Until the inactive entry answers, callers are asked to retry later.
         """
         link = self._peers.links.get(member.vm)
         if not self._is_listed(member.vm) or (
--- a/src/lovagestage/entry/answer_billing.py
+++ b/src/lovagestage/entry/answer_billing.py
@@ -48,7 +48,7 @@
     """Forwards a stream and holds its end back until the answer is billed.
 
     If the caller got the end first, an entry that failed at that moment would
-    leave a complete answer that nobody is billed for. Only the chunk with the
+    leave a complete answer that is never billed. Only the chunk with the
     last event is held back, so that no other chunk is delayed.
 
     Args:
--- a/src/lovagestage/entry/billing_service.py
+++ b/src/lovagestage/entry/billing_service.py
@@ -145,7 +145,7 @@
 
     @mode.Service.task
     async def _append_periodically(self) -> None:
-        # The first wait is spread over the whole interval: entries that start
+        # The first wait is spread over the full interval: entries that start
         # together would otherwise append together and exceed the log's rate
         # limit.
         await self.sleep(self._interval_s * self._rng.random())
--- a/src/lovagestage/entry/dispatcher.py
+++ b/src/lovagestage/entry/dispatcher.py
@@ -416,8 +416,9 @@
             ):
                 # The dispatch, or the next part of the answer, may have been
                 # lost on a connection that has stopped working since. Asking
-                # again is cheap: a sidecar that never received the run bars it
-                # from running later and reports that.
+                # again is cheap: a sidecar that never received the run prevents
+                # it from running later and reports that, or else reports that
+                # the state of the run is unknown.
                 attempt.last_event_s = now_s
                 self._upstreams.send(attempt.vm, attempt.make_attach())
 
--- a/src/lovagestage/entry/escalation.py
+++ b/src/lovagestage/entry/escalation.py
@@ -96,8 +96,8 @@
         started_s: Monotonic time at which the first run started, in seconds.
 
     Returns:
-        The request with the second version; None where no second version is
-        to be asked.
+        The request with the second version; None where the request is not
+        escalated.
     """
     if request.arm is None:
         return None
--- a/src/lovagestage/execution/readers.py
+++ b/src/lovagestage/execution/readers.py
@@ -135,7 +135,7 @@
         return reader
 
     def remove_reader(self, peer: PeerId) -> None:
-        """Removes a reader whose connection is gone."""
+        """Removes the reader that reads over a connection, if there is one."""
         if self.readers.pop(peer, None) is not None:
             self.readers_changed.set()
 
@@ -151,7 +151,7 @@
         return self.size_bytes - self.sizes[fastest] > MAX_READ_AHEAD_BYTES
 
     def is_delivered(self) -> bool:
-        """Returns whether the run has ended and each reader has all of it."""
+        """Returns whether the run's end was sent to all of its readers."""
         return self.end is not None and all(
             reader.ended for reader in self.readers.values()
         )
@@ -171,7 +171,7 @@
                 return
             chunk = self._join_chunks(reader.next_seq)
             if not send(reader.peer, chunk):
-                # The send queue is full or the connection is gone. The next
+                # The send queue is full or the connection is closed. The next
                 # timer, acknowledgement or attachment sends again.
                 return
             reader.next_seq += chunk.count
--- a/src/lovagestage/execution/request.py
+++ b/src/lovagestage/execution/request.py
@@ -149,7 +149,8 @@
 def combine_run_states(earlier: RunState, later: RunState) -> RunState:
     """Combines the run states of two attempts.
 
-    A proof that one of them has run is kept.
+    The result is `RAN` if either attempt ran, and otherwise `NOT_RUN` only if
+    both attempts were not run.
 
     Args:
         earlier: Run state of the earlier attempt.
--- a/src/lovagestage/execution/runs.py
+++ b/src/lovagestage/execution/runs.py
@@ -127,7 +127,8 @@
         trace = self._tombstones.get(key)
         if trace is not None:
             # The dispatch was delayed on a connection that had stopped
-            # working, and its entry has been told that it will not run.
+            # working, and the run was refused or cancelled before the dispatch
+            # arrived, or the run has ended and its answer is not retained.
             self._refuse(peer, key, trace)
             return
         if self._is_stale(dispatch):
@@ -207,7 +208,7 @@
             run.send_available(reader, self._hub.send)
 
     async def cancel(self, message: Cancel) -> None:
-        """Cancels a run, also at the engine; bars a run that never arrived."""
+        """Cancels a run, also at the engine; refuses one that arrives later."""
         key = (message.request_id, message.attempt)
         run = self._runs.get(key)
         if run is None:
@@ -237,12 +238,16 @@
         )
 
     def remove_peer(self, peer: PeerId) -> None:
-        """Removes a connection that no data was received from for too long."""
+        """Removes the readers on a connection from all runs.
+
+        A heartbeat could not be sent on the connection, or no data was received
+        from it for too long.
+        """
         for run in self._runs.values():
             run.remove_reader(peer)
 
     async def wait_until_delivered(self) -> None:
-        """Waits until all runs have ended and their readers have the end.
+        """Waits until all runs have ended and their readers were sent the end.
 
         A run may end at the engine while its reader's window is full. A
         process that stopped at that point would truncate the stream of a slow
--- a/src/lovagestage/execution/sidecar.py
+++ b/src/lovagestage/execution/sidecar.py
@@ -1,4 +1,4 @@
-"""The process beside an upstream, which makes the last check before a run."""
+"""The sidecar process, which makes the last check before a request runs."""
 
 from __future__ import annotations
 
--- a/src/lovagestage/messages/envelope.py
+++ b/src/lovagestage/messages/envelope.py
@@ -214,7 +214,7 @@
     THROTTLED = "throttled"
     """The weight store's rate limit was reached; no load was started."""
     REFUSED = "refused"
-    """The fencing gate or the engine rejected it; no load was started."""
+    """The fencing gate or the engine rejected the order; no load started."""
     UNKNOWN = "unknown"
 
 
--- a/src/lovagestage/messages/peers.py
+++ b/src/lovagestage/messages/peers.py
@@ -110,7 +110,7 @@
 class VersionAnswer(
     msgspec.Struct, frozen=True, array_like=True, tag="version_answer"
 ):
-    """Answers `VersionQuestion` with some of the sidecars that have them."""
+    """Answers `VersionQuestion` with some sidecars that loaded the versions."""
 
     locations: list[VersionLocation]
 
--- a/src/lovagestage/messages/runs.py
+++ b/src/lovagestage/messages/runs.py
@@ -70,7 +70,8 @@
     """Requests a run's chunks again, from `from_seq`.
 
     A sidecar that never received the run refuses the run for good and answers
-    `not_run`.
+    `not_run`. If its table of refused and forgotten runs is full, or lacks a
+    forgotten run because the table was full, it answers `unknown` instead.
 
     Attributes:
         request_id: Id of the request.
--- a/src/lovagestage/operations/edits.py
+++ b/src/lovagestage/operations/edits.py
@@ -49,7 +49,7 @@
 
     Args:
         model: Model whose roll-out is edited.
-        target: Whole roll-out, or the state that an existing one gets.
+        target: The complete roll-out, or the new state of an existing one.
 
     Returns:
         The edit. It raises `DocumentInvalidError` where only the state is
--- a/src/lovagestage/operations/operator_client.py
+++ b/src/lovagestage/operations/operator_client.py
@@ -76,7 +76,7 @@
         author: Operator who made the change.
         base: Revision that the change edited.
         outcome: Outcome of the change; `unknown` where the folded state no
-            longer has it.
+            longer contains it.
         revision: Revision in force after the change; 0 where the outcome is
             unknown.
     """
@@ -205,8 +205,8 @@
         """Edits the document in force; retries after a conflicting change.
 
         An edit sets only one part of a document, so it is also valid for a
-        later revision and is applied to it after a conflict. A whole document
-        is not valid for a later revision, so `put` never rebases it.
+        later revision and is applied to it after a conflict. A complete
+        document is not valid for a later revision, so `put` never rebases it.
 
         Returns:
             Result of the last attempt; there are at most
@@ -257,7 +257,7 @@
         )
 
     async def get_dump(self, address: str) -> bytes:
-        """Returns the whole state of one process as JSON.
+        """Returns the complete state of one process as JSON.
 
         Args:
             address: `HOST:PORT` of the process's listener.
--- a/src/lovagestage/operations/usage.py
+++ b/src/lovagestage/operations/usage.py
@@ -143,10 +143,10 @@
     def _count_bill(self, bill: Bill) -> None:
         # The request of a caller that disconnects is billed for the tokens
         # that had reached the entry. A retry with the same idempotency key
-        # gets the whole answer, which is billed under the same request id,
+        # gets the complete answer, which is billed under the same request id,
         # perhaps on another day and by another entry, so the two bills arrive
-        # in either order. The bill of the whole answer is the cost of the
-        # request.
+        # in either order. The bill of the complete answer is the cost of
+        # the request.
         name = bill.request_id
         earlier = self._cancelled.get(name)
         if name in self._finished:
--- a/tests/test_cascade.py
+++ b/tests/test_cascade.py
@@ -1,3 +1,5 @@
+"""Learned cascade plans: ratings, costs, escalation and merged counters."""
+
 from __future__ import annotations
 
 import itertools
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -166,7 +166,7 @@
 def test_stream_outlives_an_engine_connection_gone_silent(fleet):
     # The engine's connection stays open but sends no data after some tokens.
     # The sidecar detects the missing progress and resumes the stream on a new
-    # connection. The caller receives the whole stream with a short pause.
+    # connection. The caller receives the complete stream with a short pause.
     for engine in fleet.engines:
         fleet.set_fault(engine.name, silent_after_tokens=20)
     reader = StreamReader(fleet, 60)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""Exit code of the demo: 0 only if every row passed on each fleet."""
+"""Tests the exit code of the demo: 0 only if all rows pass on each fleet."""
 
 from __future__ import annotations
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -155,8 +155,8 @@
 
 
 def test_explanation_names_an_exhausted_retry_budget():
-    # An upstream crashed and restarted under its id. So many requests failed
-    # because of the crash that the retry budget was used up, and this request
+    # An upstream crashed and restarted under its id. Many requests failed
+    # because of the crash, which used up the retry budget, and this request
     # could not be sent to another upstream.
     log = (
         "time=01.0 event=upstream_restarted vm=a upstream=u1 born=2 before=1\n"
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -1,3 +1,5 @@
+"""Sequential tests and gates that stop roll-outs of bad versions."""
+
 from __future__ import annotations
 
 import itertools
@@ -84,7 +86,7 @@
     test = PairedTest(0.1, Direction.ABOVE, restarts=False)
     for _ in range(10):  # Initialises the old mean; no bets yet.
         test.add(False, 0.5)
-    # The naive product keeps its estimate of the old mean.
+    # The naive product holds its estimate of the old mean constant.
     test._update_old_mean = lambda value: None
     test._get_bet_sizes = lambda: (1, 1)
     for old, new in pairs:
@@ -124,7 +126,7 @@
 
 def test_version_that_turns_bad_late_is_stopped():
     # The new version is good for about a thousand ratings and bad after that.
-    # Its mean over the whole roll-out hardly changes, so a test that starts
+    # Its mean over the full roll-out hardly changes, so a test that starts
     # only once would first have to lose the wealth from the good ratings.
     gate = make_gate(exposure_budget=100_000)
     rng = random.Random(2)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -40,7 +40,7 @@
 
 def test_kept_alive_connection_of_a_leaving_entry_is_served_then_closed(fleet):
     # A request on a kept-alive connection is answered even after the entry
-    # was told to stop. The answer says that the connection closes, so that
+    # was ordered to stop. The answer says that the connection closes, so that
     # the next request goes to another entry. A caller with an idle connection
     # does not delay the stop.
     port = fleet.entries[0].port
@@ -118,9 +118,9 @@
 
 
 async def test_stop_waits_for_a_slow_reader_to_get_the_end():
-    # The engine has finished and the sidecar was told to stop, but the caller
-    # reads slowly and its window is full. A stop at this point would truncate
-    # the caller's stream.
+    # The engine has finished and the sidecar was ordered to stop, but the
+    # caller reads slowly and its window is full. A stop at this point would
+    # truncate the caller's stream.
     engine = FakeEngine(200)
     table, hub = make_table(engine)
     table.start(b"entry", make_dispatch())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -110,7 +110,7 @@
 
 def test_lost_entry_leaves_its_share_to_the_others():
     # Almost all demand arrives through a peer, which is killed. The callers
-    # switch to this entry, which has to grant the whole limit within seconds.
+    # switch to this entry, which has to grant the full limit within seconds.
     table = make_table(peers=[PEER])
     for tick in range(200):
         now_s = tick / 10
--- a/tests/test_plain_services.py
+++ b/tests/test_plain_services.py
@@ -156,7 +156,7 @@
 def test_dropped_answer_is_unknown_and_not_run_again(fleet, method):
     # The service executes a call, and its connection breaks before the answer.
     # The call must not be retried, so that no other upstream receives it, and
-    # the caller is told that it may have run. An HTTP client library would
+    # the caller is informed that it may have run. An HTTP client library would
     # retry PUT and DELETE by itself on a kept-alive connection.
     call(fleet, method, "/portal/echo")
     before = sum_stats(fleet, "runs_by_path", "/echo")
@@ -250,7 +250,7 @@
 
 def test_charge_whose_sidecar_is_killed_is_not_run_again(fleet):
     # The sidecar is killed while the charge runs. The entry detects that the
-    # process is gone, sends the charge to no other sidecar, and reports that
+    # process has ended, sends the charge to no other sidecar, and reports that
     # the charge may have run.
     set_fault(fleet, slow_ms=1500)
     before = sum_stats(fleet, "runs_by_path", "/charge")
@@ -269,7 +269,7 @@
 
 
 def test_planned_stop_of_a_sidecar_completes_open_charges(fleet):
-    # A charge is slow, and its sidecar is told to stop meanwhile. The charge
+    # A charge is slow, and its sidecar is ordered to stop meanwhile. The charge
     # is answered, later charges go to the other sidecar, and the process exits
     # with status 0.
     set_fault(fleet, slow_ms=1200)
--- a/tests/test_request_keys_rules.py
+++ b/tests/test_request_keys_rules.py
@@ -213,9 +213,9 @@
 
 
 def test_history_older_than_the_view_keeps_is_lost():
-    # An entry processes so many membership changes together that the view has
-    # dropped the periods before them. No process knows the grants of those
-    # periods.
+    # An entry processes more membership changes together than the view retains
+    # periods, so the view has dropped the periods before them. No process knows
+    # the grants of those periods.
     view, ledger = make_single_holder()
     offsets = itertools.count(10)
     for number in range(MAX_PERIODS):
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("barring", [Attach(*KEY, 0), Cancel(*KEY)])
 async def test_dispatch_that_comes_after_it_was_barred_never_runs(barring):
-    # The entry was told `not_run`, or it abandoned the attempt, and it sent
+    # The entry was sent `not_run`, or it abandoned the attempt, and it sent
     # the request elsewhere. Then the dispatch arrives, which was delayed on a
     # connection that had stopped working.
     engine = FakeEngine(3)
--- a/tests/test_slow_answers.py
+++ b/tests/test_slow_answers.py
@@ -70,7 +70,7 @@
 
 
 async def test_page_of_the_log_that_takes_long_is_read():
-    # Guards against a timeout on the whole transfer: a process would then
+    # Guards against a timeout on the total transfer: a process would then
     # never read one large page of the log and the records after it.
     async with serve_slowly(LOG_PAGE) as (session, url):
         page = await HttpLog(session, url).read("control", 0, 500, 0.0)
@@ -79,7 +79,7 @@
 
 async def test_ratings_that_take_long_are_read():
     # Guards against ratings that accumulate until their page is too large to
-    # be read within a timeout on the whole transfer.
+    # be read within a timeout on the total transfer.
     page = {"next": 0, "ratings": [], "padding": "x" * 4000}
     async with serve_slowly(page) as (session, url):
         await HttpRater(session, url).read(0)
@@ -87,7 +87,7 @@
 
 async def test_list_of_vms_that_takes_long_is_read():
     # Guards against a list of VMs that has grown until it can't be read
-    # within a timeout on the whole transfer.
+    # within a timeout on the total transfer.
     answer = {"vms": [], "padding": "x" * 4000}
     async with serve_slowly(answer) as (session, url):
         assert await HttpVmList(session, url).get_vms() == []
