--- a/src/lovagestage/control/membership.py
+++ b/src/lovagestage/control/membership.py
@@ -197,7 +197,8 @@
                 last_answer_s, answered_s
             )
         # The entries wait for different delays, ordered by name. The first
-        # entry appends the removal, and the others read it before they would.
+        # entry appends the removal, and the others read it in the log before
+        # their own delays end.
         rank = sorted(self.view.members).index(self.own.vm)
         delay_s = REMOVAL_RANK_DELAY_S * min(rank % MAX_REMOVAL_RANKS, others)
         timeout_s = self._inactivity_timeout_s
--- a/src/lovagestage/decisions/run_gate.py
+++ b/src/lovagestage/decisions/run_gate.py
@@ -3,10 +3,10 @@
 A request key is granted to another run only after this process has forbidden
 the earlier run. The dispatch of the earlier run may still be in transit, or its
 sender may be paused; if it executed, the request would run twice. Each keyed
-run therefore carries a permit, which is the time of the sidecar's clock at
-which the run was chosen. The sidecar refuses a dispatch whose permit has
-expired, so a forbidden run has to be remembered only for the lifetime of a
-permit.
+run therefore carries a permit, which is the time of the sidecar's clock as the
+entry had last received it when it chose the sidecar for the run. The sidecar
+refuses a dispatch whose permit has expired, so a forbidden run has to be
+remembered only for the lifetime of a permit.
 
 The decisions are pure; all times are those of the sidecar's own clock.
 """
@@ -73,8 +73,8 @@
 
         Args:
             run: Request id and attempt number.
-            incarnation: Incarnation of the sidecar for which the run was
-                chosen.
+            incarnation: Incarnation of the sidecar's process that was chosen
+                for the run.
             permit_ms: Permit of the run.
             forbid: Whether to forbid the run if it never arrived.
             now_ms: Time of the sidecar's clock in milliseconds.
--- a/src/lovagestage/messages/keys.py
+++ b/src/lovagestage/messages/keys.py
@@ -21,9 +21,9 @@
         sidecar: VM of the sidecar that executes the run.
         incarnation: Incarnation of the sidecar's process; a restarted process
             has no record of the run.
-        permit_ms: The sidecar's own clock, in milliseconds, at the time when
-            the sidecar was chosen. The sidecar refuses the run when this time
-            is too long ago.
+        permit_ms: The sidecar's own clock, in milliseconds, as the entry had
+            last received it when it chose the sidecar. The sidecar refuses the
+            run when this time is too long ago.
     """
 
     request_id: RequestId
--- a/src/lovagestage/messages/runs.py
+++ b/src/lovagestage/messages/runs.py
@@ -37,8 +37,9 @@
             request; 0 is any. A restarted sidecar has no record of earlier
             runs and must not run a request that was sent to its predecessor.
         keyed: Whether the run was claimed under a request key.
-        permit_ms: Clock of the sidecar's process, in milliseconds, at the time
-            when it was chosen, if the run is keyed.
+        permit_ms: Clock of the sidecar's process, in milliseconds, as the
+            entry had last received it when it chose this sidecar for the run;
+            0 if the run is not keyed.
         strikes: Number of upstream crashes at which the request was in flight.
         probe: Whether the request must not run beside other requests that
             have strikes.
